--- a/packages/configuration_check/tests/key_secrecy.rs
+++ b/packages/configuration_schema/tests/key_secrecy.rs
@@ -1,7 +1,7 @@
 //! Keys are secrets: whatever is wrong with a document, no reason, outcome or `Debug` form holds one.
 
 use arbtest::arbitrary::{Result, Unstructured};
-use configuration_check::{Change, ChangeOutcome, ConfigurationDelta, StoredConfiguration, check};
+use configuration_schema::{Change, ChangeOutcome, ConfigurationDelta, StoredConfiguration, check};
 use serde_json::{Value, json};
 
 /// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
--- a/packages/configuration_check/tests/operators_page.rs
+++ b/packages/configuration_schema/tests/operators_page.rs
@@ -1,6 +1,6 @@
 //! The operators' page shows a document that is sound.
 
-use configuration_check::check;
+use configuration_schema::check;
 
 const PAGE: &str = include_str!("../../../docs/operators/configuration.md");
 
--- a/packages/control_model/src/fleet.rs
+++ b/packages/control_model/src/fleet.rs
@@ -2,14 +2,14 @@
 use crate::limits::{Limits, Operation};
 use crate::machine::{Ask, Machine, Packet, Purpose, Receiver, TakenSet, Unsynced};
 use crate::{Action, PlantedFault};
-use clock_events::Micros;
-use colleague_messages::{
-    Bytes, List, Message, NewsItem, StoreEntry, StoredEntry, Text, WriteEntry, WriteOutcome,
-};
-use configuration_check::{Change, ChangeOutcome, StoredConfiguration};
+use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
 use control_registers::{
     CONFIGURATION_KEY, ChosenSet, DIFFERS, DISKS_KEY, DiskRegisters, OwnerAct, SetCopy, VoterSet, WRITTEN,
 };
+use monotonic_clock::Micros;
+use peer_messages::{
+    Bytes, List, Message, NewsItem, StoreEntry, StoredEntry, Text, WriteEntry, WriteOutcome,
+};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::collections::hash_map::DefaultHasher;
--- a/packages/control_model/src/history.rs
+++ b/packages/control_model/src/history.rs
@@ -1,5 +1,5 @@
-use colleague_messages::Bytes;
 use control_registers::{ChosenSet, DISKS_KEY, DiskRegisters, VoterSet};
+use peer_messages::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What must hold after each step. Example: `breach.invariant == Invariant::OneChosenSet`.
--- a/packages/control_model/src/machine.rs
+++ b/packages/control_model/src/machine.rs
@@ -1,7 +1,7 @@
 use crate::history::Mark;
-use clock_events::Micros;
-use colleague_messages::{Bytes, Epoch, Message};
 use control_registers::{ChosenSet, DiskRegisters, KeyOwner, SetCopy};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, Epoch, Message};
 use std::collections::BTreeMap;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
--- a/packages/control_registers/src/chosen_set.rs
+++ b/packages/control_registers/src/chosen_set.rs
@@ -1,5 +1,5 @@
 use crate::VoterSet;
-use colleague_messages::Bytes;
+use peer_messages::Bytes;
 use std::ops::Deref;
 
 /// A voter set that a quorum of the set before it stored and synced, or the founding set.
--- a/packages/control_registers/src/disk_registers.rs
+++ b/packages/control_registers/src/disk_registers.rs
@@ -1,8 +1,8 @@
 use crate::{CONFIGURATION_KEY, ChosenSet, DISKS_KEY, ProposedSet, VoterSet};
-use colleague_messages::{
+use deku::prelude::*;
+use peer_messages::{
     Bytes, Epoch, List, PromiseEntry, PromisedEntry, StoreEntry, StoredEntry, Text, value_digest,
 };
-use deku::prelude::*;
 use std::collections::BTreeMap;
 
 const KIND_PROMISE: u8 = 0;
--- a/packages/control_registers/src/key_owner.rs
+++ b/packages/control_registers/src/key_owner.rs
@@ -1,7 +1,7 @@
 use crate::disk_registers::LACKS;
 use crate::{ChosenSet, DISKS_KEY, VoterSet};
-use clock_events::Micros;
-use colleague_messages::{
+use monotonic_clock::Micros;
+use peer_messages::{
     Bytes, Epoch, LeaderRecord, List, NodeId, PolledRecord, PromiseEntry, PromisedEntry, RenewedRecord,
     StoreEntry, StoredEntry, Text, WriteEntry, WriteOutcome, stable_hash, value_digest,
 };
--- a/packages/control_registers/src/set_copy.rs
+++ b/packages/control_registers/src/set_copy.rs
@@ -1,5 +1,5 @@
 use crate::{ChosenSet, DISKS_KEY};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use std::collections::BTreeSet;
 
 /// Disks that did not list their keys are asked again after this.
--- a/packages/control_registers/src/tests.rs
+++ b/packages/control_registers/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use clock_events::Micros;
-use colleague_messages::{Bytes, WriteEntry, WriteOutcome};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, WriteEntry, WriteOutcome};
 use std::collections::BTreeMap;
 
 /// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
@@ -30,12 +30,12 @@
                 OwnerAct::Promise { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
                     let (answers, _) = registers.promise(fleet_set, &entries);
-                    owner.promised(disk, colleague_messages::List(answers), now);
+                    owner.promised(disk, peer_messages::List(answers), now);
                 }
                 OwnerAct::Store { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
                     let (answers, _) = registers.store(fleet_set, &entries);
-                    owner.stored(disk, colleague_messages::List(answers), now);
+                    owner.stored(disk, peer_messages::List(answers), now);
                 }
                 OwnerAct::Chosen(chosen_set) => {
                     for registers in disks.values_mut() {
@@ -147,7 +147,7 @@
         late_answers.push((disk, registers.store(fleet_set, &entries).0));
     }
     for (disk, answers) in late_answers.clone() {
-        old_owner.stored(disk, colleague_messages::List(answers), Micros(0));
+        old_owner.stored(disk, peer_messages::List(answers), Micros(0));
     }
     old_owner.flush(Micros(0));
     let mut new_owner = KeyOwner::new(11);
@@ -156,7 +156,7 @@
     assert_eq!(outcome_of(settle(&mut new_owner, &mut disks, Micros(0))).0, WRITTEN);
     old_owner.read_confirmed(5, 4, CONFIGURATION_KEY.into(), Micros(0));
     for (disk, answers) in late_answers {
-        old_owner.stored(disk, colleague_messages::List(answers), Micros(0));
+        old_owner.stored(disk, peer_messages::List(answers), Micros(0));
     }
     assert_eq!(outcome_of(settle(&mut old_owner, &mut disks, Micros(0))).0, UNKNOWN);
 }
@@ -184,10 +184,10 @@
     let restored = DiskRegisters::restore(&disks[&2].live_records()).expect("own records");
     assert_eq!(restored.chosen(), &set);
     assert_eq!(restored.stored(CONFIGURATION_KEY), disks[&2].stored(CONFIGURATION_KEY));
-    let low_epoch = colleague_messages::Epoch { counter: 0, owner: 99 };
-    let low_entry = colleague_messages::PromiseEntry { key: CONFIGURATION_KEY.into(), epoch: low_epoch };
+    let low_epoch = peer_messages::Epoch { counter: 0, owner: 99 };
+    let low_entry = peer_messages::PromiseEntry { key: CONFIGURATION_KEY.into(), epoch: low_epoch };
     let mut restored = restored;
-    let (answers, _) = restored.promise(set.mark(), &colleague_messages::List(vec![low_entry]));
+    let (answers, _) = restored.promise(set.mark(), &peer_messages::List(vec![low_entry]));
     assert_eq!(answers[0].granted, 0);
 }
 
@@ -232,12 +232,8 @@
 }
 
 fn leader_write(ask: u64, expected: u64, holder: u64, renew_count: u64) -> WriteEntry {
-    let record = colleague_messages::LeaderRecord {
-        holder,
-        renew_count,
-        lease_micros: 3_000_000,
-        steward_epoch: holder,
-    };
+    let record =
+        peer_messages::LeaderRecord { holder, renew_count, lease_micros: 3_000_000, steward_epoch: holder };
     WriteEntry { ask, key: "steward/a".into(), expected, value: record.encode(), hasty: 1 }
 }
 
@@ -246,7 +242,7 @@
     let (mut disks, set) = founded_disks();
     let mut owner = KeyOwner::new(10);
     owner.take_set(&set);
-    let keys: Vec<colleague_messages::Text> = vec!["steward/a".into(), "steward/b".into()];
+    let keys: Vec<peer_messages::Text> = vec!["steward/a".into(), "steward/b".into()];
     let mark = keys_mark(&keys);
     assert_eq!(owner.poll(mark, 0, &[], |_| true, Micros(0)), None, "keys that were never told");
     assert_eq!(owner.poll(mark + 1, 0, &keys, |_| true, Micros(0)), None, "a mark of other keys");
@@ -265,7 +261,7 @@
     settle(&mut owner, &mut disks, Micros(0));
     let renewed = owner.poll(mark, claimed.change, &[], |_| true, Micros(0)).expect("known keys");
     assert!(renewed.records.is_empty());
-    assert_eq!(renewed.renewed, [colleague_messages::RenewedRecord { place: 0, version: 2 }]);
+    assert_eq!(renewed.renewed, [peer_messages::RenewedRecord { place: 0, version: 2 }]);
     // Who missed the claim's answer gets the record whole, renewals or not.
     let late = owner.poll(mark, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(late.records.iter().map(|record| record.version).collect::<Vec<_>>(), [2]);
@@ -290,13 +286,13 @@
     settle(&mut first_owner, &mut disks, Micros(0));
     let mut next_owner = KeyOwner::new(11);
     next_owner.take_set(&set);
-    let keys: Vec<colleague_messages::Text> = vec!["steward/a".into()];
+    let keys: Vec<peer_messages::Text> = vec!["steward/a".into()];
     let mark = keys_mark(&keys);
     next_owner.poll(mark, 0, &keys, |_| true, Micros(0));
     for act in next_owner.flush(Micros(0)) {
         if let OwnerAct::Promise { disk, fleet_set, entries } = act {
             let answers = disks.get_mut(&disk).expect("all are up").promise(fleet_set, &entries).0;
-            next_owner.promised(disk, colleague_messages::List(answers), Micros(0));
+            next_owner.promised(disk, peer_messages::List(answers), Micros(0));
         }
     }
     let opening = next_owner.poll(mark, 0, &[], |_| true, Micros(0)).expect("known keys");
@@ -330,13 +326,13 @@
             match act {
                 OwnerAct::Promise { disk, fleet_set, entries } => {
                     let (answers, _) = disks.get_mut(&disk).expect("a disk").promise(fleet_set, &entries);
-                    owner.promised(disk, colleague_messages::List(answers), Micros(0));
+                    owner.promised(disk, peer_messages::List(answers), Micros(0));
                 }
                 OwnerAct::Store { disk, fleet_set, entries } => {
                     let is_opening = entries.0[0].version == 1;
                     if is_opening || reached.contains(&disk) {
                         let (answers, _) = disks.get_mut(&disk).expect("a disk").store(fleet_set, &entries);
-                        owner.stored(disk, colleague_messages::List(answers), Micros(0));
+                        owner.stored(disk, peer_messages::List(answers), Micros(0));
                     }
                     is_stored |= !is_opening;
                 }
@@ -457,9 +453,9 @@
     owner.write(7, set_entry(2, &final_set), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let grants = |registers: &DiskRegisters, sender: &VoterSet, key: &str| {
-        let epoch = colleague_messages::Epoch { counter: 99, owner: 99 };
-        let entry = colleague_messages::PromiseEntry { key: key.into(), epoch };
-        let (answers, _) = registers.clone().promise(sender.mark(), &colleague_messages::List(vec![entry]));
+        let epoch = peer_messages::Epoch { counter: 99, owner: 99 };
+        let entry = peer_messages::PromiseEntry { key: key.into(), epoch };
+        let (answers, _) = registers.clone().promise(sender.mark(), &peer_messages::List(vec![entry]));
         answers[0].granted == 1
     };
     assert!(grants(&stale_disk, &chosen_joint, DISKS_KEY) && !grants(&stale_disk, &set, DISKS_KEY));
@@ -533,14 +529,14 @@
                 OwnerAct::Promise { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
                     let (answers, _) = registers.promise(fleet_set, &entries);
-                    owner.promised(disk, colleague_messages::List(answers), Micros(0));
+                    owner.promised(disk, peer_messages::List(answers), Micros(0));
                 }
                 OwnerAct::Store { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
                     value_bytes += entries.0.iter().map(|entry| entry.value.0.len()).sum::<usize>();
                     let (answers, records) = registers.store(fleet_set, &entries);
                     record_count += records.len();
-                    owner.stored(disk, colleague_messages::List(answers), Micros(0));
+                    owner.stored(disk, peer_messages::List(answers), Micros(0));
                 }
                 OwnerAct::Chosen(_) => panic!("no voter set is written here"),
                 OwnerAct::Answer { outcome, .. } => outcomes.push(outcome),
@@ -556,7 +552,7 @@
     owner.take_set(&set);
     owner.write(5, large_entry(1, 0, 7), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
-    let digest = colleague_messages::value_digest(&[7; 100_000]);
+    let digest = peer_messages::value_digest(&[7; 100_000]);
     owner.confirm(6, 2, CONFIGURATION_KEY.into(), digest, Micros(0));
     let (outcomes, value_bytes, record_count) = settle_counted(&mut owner, &mut disks);
     assert_eq!(outcome_of(outcomes), (AS_KNOWN, 1, String::new()));
@@ -603,7 +599,7 @@
     settle(&mut old_owner, &mut disks, Micros(0));
     new_owner.write(5, large_entry(2, 1, 8), Micros(0));
     settle(&mut new_owner, &mut disks, Micros(0));
-    let old_digest = colleague_messages::value_digest(&[7; 100_000]);
+    let old_digest = peer_messages::value_digest(&[7; 100_000]);
     old_owner.confirm(6, 3, CONFIGURATION_KEY.into(), old_digest, Micros(0));
     assert_eq!(outcome_of(settle(&mut old_owner, &mut disks, Micros(0))).0, UNKNOWN);
 }
--- a/packages/control_registers/src/voter_set.rs
+++ b/packages/control_registers/src/voter_set.rs
@@ -1,5 +1,5 @@
-use colleague_messages::{Bytes, List, stable_hash};
 use deku::prelude::*;
+use peer_messages::{Bytes, List, stable_hash};
 use std::collections::BTreeSet;
 
 /// Which disks vote, and while a change is under way, which will.
--- a/packages/fleet_simulator/benches/configuration_change.rs
+++ b/packages/fleet_simulator/benches/configuration_change.rs
@@ -4,13 +4,13 @@
 //!
 //! `cargo bench -p fleet_simulator --bench configuration_change`
 
-use clock_events::Micros;
-use colleague_messages::{Bytes, Message};
-use configuration_check::{Configuration, ConfigurationDelta, StoredConfiguration};
+use configuration_schema::{Configuration, ConfigurationDelta, StoredConfiguration};
 use criterion::measurement::WallTime;
 use criterion::{BatchSize, BenchmarkGroup, BenchmarkId, Criterion, criterion_group, criterion_main};
-use function_front::LaneTable;
-use news_spread::{Neighbours, NewsSpread};
+use gateway::LaneTable;
+use gossip::{Neighbours, NewsSpread};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, Message};
 use serde_json::{Map, Value, json};
 use std::hint::black_box;
 
@@ -89,8 +89,7 @@
     owner.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
     let meaning = Bytes(generations.delta.encode());
     owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), meaning);
-    let known =
-        colleague_messages::List(vec![colleague_messages::NewsMark { topic: TOPIC.into(), sequence: 1 }]);
+    let known = peer_messages::List(vec![peer_messages::NewsMark { topic: TOPIC.into(), sequence: 1 }]);
     let (_, sends) = owner.received(READER, Message::NewsAsk { known });
     let message = sends.into_iter().map(|(_, message)| message).next().expect("an answer");
     let mut reader = NewsSpread::new(8);
--- a/packages/fleet_simulator/src/acknowledgement_scenarios.rs
+++ b/packages/fleet_simulator/src/acknowledgement_scenarios.rs
@@ -4,9 +4,9 @@
 use crate::World;
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::OrderPlan;
-use clock_events::Micros;
 use fastrand::Rng;
-use history_checks::OrderAnswer;
+use history_checker::OrderAnswer;
+use monotonic_clock::Micros;
 
 /// Within this every node serves by what was acknowledged.
 const SERVE_WITHIN_SECONDS: f64 = 3.0;
@@ -130,7 +130,7 @@
         let read = self.world.send_read(5);
         self.world.run_until(3.0, |world| world.read_answer(read).is_some());
         match self.world.read_answer(read) {
-            Some(history_checks::ReadAnswer::Confirmed { version: shown, .. }) => *shown >= version,
+            Some(history_checker::ReadAnswer::Confirmed { version: shown, .. }) => *shown >= version,
             _ => true,
         }
     }
--- a/packages/fleet_simulator/src/allowance_scenarios.rs
+++ b/packages/fleet_simulator/src/allowance_scenarios.rs
@@ -3,7 +3,7 @@
 
 use crate::WorldSettings;
 use crate::scenarios::{Trial, Verdict};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use serde_json::json;
 
 /// Every cold start is late, and memory holds nine tenths of a cell for each function.
--- a/packages/fleet_simulator/src/catch_up_scenarios.rs
+++ b/packages/fleet_simulator/src/catch_up_scenarios.rs
@@ -4,7 +4,7 @@
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::OrderPlan;
 use crate::{World, WorldSettings};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use serde_json::{Value, json};
 
 /// Changes that the member misses.
--- a/packages/fleet_simulator/src/control_scenarios.rs
+++ b/packages/fleet_simulator/src/control_scenarios.rs
@@ -5,9 +5,9 @@
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::{OrderPlan, Repeat};
 use crate::{World, WorldSettings};
-use clock_events::Micros;
 use fastrand::Rng;
-use history_checks::OrderAnswer;
+use history_checker::OrderAnswer;
+use monotonic_clock::Micros;
 
 /// How long a control machine is cut off.
 const CUT_SECONDS: f64 = 20.0;
--- a/packages/fleet_simulator/src/disk_scenarios.rs
+++ b/packages/fleet_simulator/src/disk_scenarios.rs
@@ -3,8 +3,8 @@
 
 use crate::scenarios::{Trial, Verdict};
 use crate::{World, WorldSettings};
-use clock_events::Micros;
 use fastrand::Rng;
+use monotonic_clock::Micros;
 
 fn fill(trial: &mut Trial, number: usize, is_full: bool) {
     if let Some(disk) = trial.world.disk(number) {
--- a/packages/fleet_simulator/src/lane_scenarios.rs
+++ b/packages/fleet_simulator/src/lane_scenarios.rs
@@ -2,8 +2,8 @@
 
 use crate::WorldSettings;
 use crate::scenarios::{Trial, Verdict};
-use clock_events::Micros;
 use fastrand::Rng;
+use monotonic_clock::Micros;
 use serde_json::{Value, json};
 
 /// A partial change at one function: its lane moved, its lane removed, both removed, or put back.
--- a/packages/fleet_simulator/src/late_news_scenarios.rs
+++ b/packages/fleet_simulator/src/late_news_scenarios.rs
@@ -4,7 +4,7 @@
 use crate::scenarios::{Trial, Verdict};
 use crate::{LinkRates, World, WorldSettings};
 use fastrand::Rng;
-use history_checks::Line;
+use history_checker::Line;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
--- a/packages/fleet_simulator/src/lib.rs
+++ b/packages/fleet_simulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! network, disks, platform, cells, callers and operators, and the failures of the brief.
 //!
 //! The same seed gives the same history, byte for byte. What is seen goes into a history that
-//! `history_checks` judges after the fact.
+//! `history_checker` judges after the fact.
 
 mod acknowledgement_scenarios;
 mod allowance_scenarios;
--- a/packages/fleet_simulator/src/operator_desk.rs
+++ b/packages/fleet_simulator/src/operator_desk.rs
@@ -5,7 +5,7 @@
 use crate::scenarios::Trial;
 use crate::sim_operators::{OrderPlan, Repeat};
 use fastrand::Rng;
-use history_checks::ReadAnswer;
+use history_checker::ReadAnswer;
 
 /// Between two looks of the operators at what was answered.
 const LOOK_SECONDS: f64 = 0.05;
@@ -81,7 +81,7 @@
         let version = self.known_version + 1;
         let node = self.node(world, dice);
         let mut plan = OrderPlan::new(order.clone(), node, Some(self.known_version), version);
-        plan.wanted_for = clock_events::Micros::from_secs(60);
+        plan.wanted_for = monotonic_clock::Micros::from_secs(60);
         if self.only_node.is_some() {
             plan.repeat = Repeat::SameNode;
         }
--- a/packages/fleet_simulator/src/order_scenarios.rs
+++ b/packages/fleet_simulator/src/order_scenarios.rs
@@ -2,8 +2,8 @@
 
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::OrderPlan;
-use clock_events::Micros;
 use fastrand::Rng;
+use monotonic_clock::Micros;
 
 /// Orders that operators have under way at once.
 const AT_ONCE: u64 = 8;
--- a/packages/fleet_simulator/src/processors.rs
+++ b/packages/fleet_simulator/src/processors.rs
@@ -2,8 +2,8 @@
 //! its kind at the machine's share of a core, and what comes meanwhile waits in order.
 
 use crate::world::{Happening, World};
-use colleague_messages::Priority;
 use node_protocol::{Act, Event};
+use peer_messages::Priority;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/packages/fleet_simulator/src/scenarios.rs
+++ b/packages/fleet_simulator/src/scenarios.rs
@@ -29,8 +29,8 @@
     usage_disk_nodes_killed, usage_disks_wiped, usage_platform_down, usage_quiet,
 };
 use crate::{World, WorldSettings};
-use clock_events::Micros;
-use history_checks::{Breach, CheckSettings, Line, check_all};
+use history_checker::{Breach, CheckSettings, Line, check_all};
+use monotonic_clock::Micros;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/packages/fleet_simulator/src/sim_calls.rs
+++ b/packages/fleet_simulator/src/sim_calls.rs
@@ -1,12 +1,12 @@
 //! Callers, the fronts' walk over the call chart, and what cells do with dispatches.
 
 use crate::world::{Happening, World};
-use clock_events::Micros;
-use colleague_messages::Ticket;
-use function_front::{CallChart, CallState, DispatchEnd, NextStep};
-use history_checks::{Line, Outcome};
+use function_scheduler::{TicketWish, UNUSED};
+use gateway::{CallChart, CallState, DispatchEnd, NextStep};
+use history_checker::{Line, Outcome};
+use monotonic_clock::Micros;
 use node_protocol::Event;
-use steward_work::{TicketWish, UNUSED};
+use peer_messages::Ticket;
 
 const DISPATCH_LIMIT: u32 = 4;
 const CONNECT_WITHIN: u64 = 1_000_000;
--- a/packages/fleet_simulator/src/sim_disk/tests.rs
+++ b/packages/fleet_simulator/src/sim_disk/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use colleague_messages::{Bytes, Epoch, List, StoreEntry};
 use control_registers::ChosenSet;
+use peer_messages::{Bytes, Epoch, List, StoreEntry};
 use std::collections::BTreeSet;
 
 const KEY: &str = "configuration";
--- a/packages/fleet_simulator/src/sim_operators.rs
+++ b/packages/fleet_simulator/src/sim_operators.rs
@@ -2,11 +2,11 @@
 //! and confirmed reads, each sending noted in the history with its begin and end.
 
 use crate::world::{Happening, World};
-use clock_events::Micros;
-use configuration_check::{
+use configuration_schema::{
     Change, ChangeOutcome, Configuration, EXPECTED_VERSION, Reason, StoredConfiguration,
 };
-use history_checks::{Line, OrderAnswer, ReadAnswer};
+use history_checker::{Line, OrderAnswer, ReadAnswer};
+use monotonic_clock::Micros;
 use node_protocol::Event;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/packages/fleet_simulator/src/sim_platform.rs
+++ b/packages/fleet_simulator/src/sim_platform.rs
@@ -1,6 +1,6 @@
+use function_scheduler::{ListedCell, ListedWorker};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use steward_work::{ListedCell, ListedWorker};
 
 /// Zones of the simulated fleet: nodes and workers are dealt out to them in turn.
 pub(crate) const ZONES: usize = 3;
--- a/packages/fleet_simulator/src/sim_usage.rs
+++ b/packages/fleet_simulator/src/sim_usage.rs
@@ -1,10 +1,10 @@
 //! Reports of usage at the simulated platform, and the nodes' wall clocks.
 
 use crate::world::{Happening, World};
-use clock_events::Micros;
-use colleague_messages::UsageWindow;
-use history_checks::Line;
+use history_checker::Line;
+use monotonic_clock::Micros;
 use node_protocol::{Event, UsageResult, UsageSettings};
+use peer_messages::UsageWindow;
 use serde_json::{Value, json};
 
 /// True time at the beginning of a simulation, in microseconds since the start of 1970: amid a window.
--- a/packages/fleet_simulator/src/stop_scenarios.rs
+++ b/packages/fleet_simulator/src/stop_scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::WorldSettings;
 use crate::scenarios::{Trial, Verdict};
-use history_checks::Line;
+use history_checker::Line;
 
 const NODES: usize = 10;
 const DISKS: usize = 3;
--- a/packages/fleet_simulator/src/usage_scenarios.rs
+++ b/packages/fleet_simulator/src/usage_scenarios.rs
@@ -1,10 +1,10 @@
 //! Reports of usage: who collects dies, sleeps or is cut off, clocks jump, the platform is down. The rules of
-//! `history_checks` hold always; each scenario says how many windows may go without a sound report.
+//! `history_checker` hold always; each scenario says how many windows may go without a sound report.
 
 use crate::scenarios::{Trial, Verdict};
 use crate::{SimUsage, WorldSettings};
 use fastrand::Rng;
-use history_checks::{Line, UsageWindows, usage_windows};
+use history_checker::{Line, UsageWindows, usage_windows};
 
 /// A tenant's count may be off by this share.
 const USAGE_ERROR: f64 = 0.05;
--- a/packages/fleet_simulator/src/world.rs
+++ b/packages/fleet_simulator/src/world.rs
@@ -13,23 +13,23 @@
 use crate::sim_operators::{OperatorHappening, SimOperators};
 use crate::sim_platform::{SimPlatform, SimStart, SimStop, zone_name};
 use crate::sim_usage::{SimUsage, UsageDesk};
-use clock_events::Micros;
-use colleague_messages::{Address, Envelope, Message, NodeId, Ticket, UsageWindow, fleet_mark, node_id};
-use colleague_probes::ProbeSettings;
-use configuration_check::{Change, ChangeOutcome, Configuration, StoredConfiguration};
+use configuration_schema::{Change, ChangeOutcome, Configuration, StoredConfiguration};
 use control_registers::VoterSet;
 use fastrand::Rng;
-use function_front::{DispatchEnd, LaneTable};
-use history_checks::{Line, Outcome};
+use function_scheduler::ExtraBound;
+use gateway::{DispatchEnd, LaneTable};
+use history_checker::{Line, Outcome};
+use leader_election::ElectionSettings;
+use membership::ProbeSettings;
+use monotonic_clock::Micros;
 use node_protocol::{
     Act, ConfigurationAnswer, Event, Node, NodeSettings, NodeStatus, Policy, RefusedAs, StartResult,
     StopResult,
 };
+use peer_messages::{Address, Envelope, Message, NodeId, Ticket, UsageWindow, fleet_mark, node_id};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use steward_election::ElectionSettings;
-use steward_work::ExtraBound;
 
 pub(crate) enum Happening {
     Tick {
--- a/packages/fleet_simulator/src/world/troubles.rs
+++ b/packages/fleet_simulator/src/world/troubles.rs
@@ -15,7 +15,7 @@
             zone: self.nodes[number].zone.clone(),
             seeds: self.seeds.clone(),
             founding_disks: self.settings.founding_disks,
-            costs: steward_work::CostModel::default(),
+            costs: function_scheduler::CostModel::default(),
             may_found: true,
             list_every: Micros::from_millis(900),
             lists_per_second: 1_000.0,
--- a/packages/fleet_simulator/tests/scenarios.rs
+++ b/packages/fleet_simulator/tests/scenarios.rs
@@ -171,11 +171,11 @@
         files_that_say(&[concat!("System", "Time"), concat!("Utc", "::now"), concat!("UNIX", "_EPOCH")]);
     assert_eq!(
         readers,
-        paths(["packages/call_traces/src/lib.rs", "packages/clock_events/src/wall_clock.rs"])
+        paths(["packages/call_traces/src/lib.rs", "packages/monotonic_clock/src/wall_clock.rs"])
     );
     let askers = files_that_say(&[concat!("unix", "_now")]);
     let shell = "packages/vanelane/src/protocol_shell.rs";
-    assert_eq!(askers, paths(["packages/clock_events/src/wall_clock.rs", shell]));
+    assert_eq!(askers, paths(["packages/monotonic_clock/src/wall_clock.rs", shell]));
     let tellers = files_that_say(&[concat!("Wall", "Clock")]);
     let (node, events) = ("packages/node_protocol/src/node.rs", "packages/node_protocol/src/lib.rs");
     assert_eq!(tellers, paths([node, events, "packages/fleet_simulator/src/sim_usage.rs", shell]));
--- a/packages/steward_work/src/allowance_split.rs
+++ b/packages/function_scheduler/src/allowance_split.rs
@@ -1,5 +1,5 @@
-use colleague_messages::stable_hash;
-use configuration_check::{Allowance, Configuration, Function};
+use configuration_schema::{Allowance, Configuration, Function};
+use peer_messages::stable_hash;
 use std::collections::BTreeMap;
 
 /// What a function wants now. Memory goes to calls first: what calls of now need, then what keeps called
--- a/packages/steward_work/src/allowance_split/tests.rs
+++ b/packages/function_scheduler/src/allowance_split/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use configuration_check::Configuration;
+use configuration_schema::Configuration;
 
 fn configuration(text: &str) -> Configuration {
     let document = text.parse().expect("JSON");
-    configuration_check::check(&document).expect("a checked document")
+    configuration_schema::check(&document).expect("a checked document")
 }
 
 #[test]
--- a/packages/steward_work/src/cell_demand.rs
+++ b/packages/function_scheduler/src/cell_demand.rs
@@ -1,5 +1,5 @@
-use clock_events::Micros;
-use colleague_messages::HandedDemand;
+use monotonic_clock::Micros;
+use peer_messages::HandedDemand;
 use std::collections::VecDeque;
 
 /// What cells, starts and late answers cost beside each other, all in megabytes of memory held for a
--- a/packages/steward_work/src/deputy_work.rs
+++ b/packages/function_scheduler/src/deputy_work.rs
@@ -1,7 +1,7 @@
 use crate::extra_budget::{DeputyExtras, ExtraBound};
 use crate::{NOT_RUN, RAN, TURNED_AWAY, UNKNOWN};
-use clock_events::Micros;
-use colleague_messages::{Address, NodeId, Ticket};
+use monotonic_clock::Micros;
+use peer_messages::{Address, NodeId, Ticket};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/packages/steward_work/src/extra_budget.rs
+++ b/packages/function_scheduler/src/extra_budget.rs
@@ -1,4 +1,4 @@
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the whole fleet may dispatch to one function beyond each call's first: in any sliding window a
--- a/packages/steward_work/src/function_work.rs
+++ b/packages/function_scheduler/src/function_work.rs
@@ -8,8 +8,8 @@
 use crate::zone::{WorkerZones, Zone, ZoneCalls};
 use crate::{ABANDONED, CellDemand, CellShape, CostModel, NOT_RUN, RAN, TURNED_AWAY, UNKNOWN, UNUSED};
 use cell::{Cell, FIRST_HOLD, Phase, learn_boot, learn_latency, take_outcome};
-use clock_events::Micros;
-use colleague_messages::{Address, NodeId, Ticket};
+use monotonic_clock::Micros;
+use peer_messages::{Address, NodeId, Ticket};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -1092,7 +1092,7 @@
             let address = Address::from(cell.address);
             self.next_ticket += 1;
             // Unique over stewards: the epoch is in it, so an old steward's ticket is never mistaken.
-            let ticket_id = colleague_messages::stable_hash(
+            let ticket_id = peer_messages::stable_hash(
                 format!("{}/{}/{}", self.function, self.steward_epoch, self.next_ticket).as_bytes(),
             );
             let ticket = Ticket {
--- a/packages/steward_work/src/function_work/cell.rs
+++ b/packages/function_scheduler/src/function_work/cell.rs
@@ -1,7 +1,7 @@
 //! One cell of a function: how far it is, and what is learnt from how its calls end.
 
 use crate::{NOT_RUN, RAN, TURNED_AWAY, UNKNOWN};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use std::net::SocketAddr;
 
 /// After a turn-away a cell is held to the calls it has; twice as long with each further one.
--- a/packages/steward_work/src/function_work/hand_over.rs
+++ b/packages/function_scheduler/src/function_work/hand_over.rs
@@ -1,8 +1,8 @@
 //! What a leader hands to the one that it gives a function to: the tickets that are out, and who waits.
 
 use super::{FunctionWork, OpenTicket, Urgency};
-use clock_events::Micros;
-use colleague_messages::{HandedDemand, HandedTicket, HeldTicket, NodeId, Ticket};
+use monotonic_clock::Micros;
+use peer_messages::{HandedDemand, HandedTicket, HeldTicket, NodeId, Ticket};
 
 /// An ask that waits as its leader goes. Example: see `FunctionWork::hand_over`.
 #[derive(Clone, Debug, PartialEq)]
--- a/packages/steward_work/src/function_work/turns.rs
+++ b/packages/function_scheduler/src/function_work/turns.rs
@@ -11,7 +11,7 @@
 //! asks for, where cells are short for long; so it gets at least half of what it would get in the order of coming.
 
 use super::{Urgency, WaitingAsk};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use std::collections::VecDeque;
 
 /// Of so many newcomers to a full list one takes the place of an ask of whoever has the most.
--- a/packages/steward_work/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -1,6 +1,6 @@
 use crate::zone::{WorkerZones, Zone};
-use clock_events::Micros;
-use colleague_messages::rendezvous_weight;
+use monotonic_clock::Micros;
+use peer_messages::rendezvous_weight;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -129,7 +129,7 @@
         let picked_worker = rooms
             .into_iter()
             .max_by_key(|(_, worker_id)| {
-                rendezvous_weight(start_id, colleague_messages::stable_hash(worker_id.as_bytes()))
+                rendezvous_weight(start_id, peer_messages::stable_hash(worker_id.as_bytes()))
             })
             .map(|(_, worker_id)| worker_id.to_owned())?;
         self.recent.push(RecentStart { worker: picked_worker.clone(), memory_mb, at: now });
--- a/packages/steward_work/src/start_rate.rs
+++ b/packages/function_scheduler/src/start_rate.rs
@@ -1,6 +1,6 @@
 //! This node's part of the starts and stops that the platform takes from the whole fleet.
 
-use clock_events::Micros;
+use monotonic_clock::Micros;
 
 /// A bucket of acts that fills at this node's part of the platform's rate.
 /// Example: `let mut rate = StartRate::new(); rate.take_rate(8.0, now); rate.spend(now)`.
--- a/packages/steward_work/src/zone.rs
+++ b/packages/function_scheduler/src/zone.rs
@@ -1,7 +1,7 @@
 //! Zones as they matter to a function: where its calls come from, and where its cells stand.
 
-use clock_events::Micros;
-use colleague_messages::stable_hash;
+use monotonic_clock::Micros;
+use peer_messages::stable_hash;
 use std::collections::BTreeMap;
 
 /// A zone by a number that is the same in every process. Zones that are not named are one.
--- a/packages/function_front/src/call_chart.rs
+++ b/packages/gateway/src/call_chart.rs
@@ -1,4 +1,4 @@
-use steward_work::{NOT_RUN, RAN, TURNED_AWAY, UNKNOWN};
+use function_scheduler::{NOT_RUN, RAN, TURNED_AWAY, UNKNOWN};
 
 /// Declares the chart: each state with the states that may follow it.
 macro_rules! call_chart {
@@ -42,7 +42,7 @@
     Unknown => [],
 }
 
-/// How one dispatch ended. Example: `DispatchEnd::TurnedAway.how() == steward_work::TURNED_AWAY`.
+/// How one dispatch ended. Example: `DispatchEnd::TurnedAway.how() == function_scheduler::TURNED_AWAY`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchEnd {
     /// A whole answer came.
@@ -58,7 +58,7 @@
 }
 
 impl DispatchEnd {
-    /// How the ticket is returned. Example: `DispatchEnd::TimedOut.how() == steward_work::UNKNOWN`.
+    /// How the ticket is returned. Example: `DispatchEnd::TimedOut.how() == function_scheduler::UNKNOWN`.
     pub fn how(self) -> u8 {
         match self {
             DispatchEnd::Answered => RAN,
--- a/packages/function_front/src/cell_dispatch.rs
+++ b/packages/gateway/src/cell_dispatch.rs
@@ -16,8 +16,8 @@
     ConnectionType, Method, RequestHead, RequestHeadType, ResponseHead, StatusCode, Uri, Version,
 };
 use bytes::{Bytes, BytesMut};
-use clock_events::Micros;
 use futures_util::{SinkExt, StreamExt};
+use monotonic_clock::Micros;
 use socket2::SockRef;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/packages/function_front/src/front/admission.rs
+++ b/packages/gateway/src/front/admission.rs
@@ -5,7 +5,7 @@
 use crate::lane_table::{LaneRow, LaneTable, TenantRow};
 use actix_http::header::HeaderMap;
 use actix_http::{HttpMessage, Request};
-use configuration_check::ApiKey;
+use configuration_schema::ApiKey;
 
 /// What may stand around a header's value and is no part of it.
 const OPTIONAL_WHITE_SPACE: [char; 2] = [' ', '\t'];
--- a/packages/function_front/src/front/answer_bodies.rs
+++ b/packages/gateway/src/front/answer_bodies.rs
@@ -4,11 +4,11 @@
 use crate::cell_dispatch::AnswerRest;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
+use function_scheduler::{RAN, UNKNOWN};
 use futures_util::StreamExt;
 use std::pin::Pin;
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll};
-use steward_work::{RAN, UNKNOWN};
 
 /// A whole answer that keeps its memory counted until it is handed over.
 pub(super) struct WholeBody {
--- a/packages/function_front/src/front/call_guards.rs
+++ b/packages/gateway/src/front/call_guards.rs
@@ -1,11 +1,11 @@
 //! What a call holds and gives back however it ends: memory, its place, its ask, its ticket.
 
 use super::{Front, FrontLink, TicketAnswer};
-use clock_events::Micros;
-use colleague_messages::Ticket;
+use function_scheduler::UNUSED;
+use monotonic_clock::Micros;
+use peer_messages::Ticket;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use steward_work::UNUSED;
 use tokio::sync::oneshot;
 
 /// Memory and a place among the open calls, given back when dropped.
--- a/packages/function_front/src/front/planned_stop.rs
+++ b/packages/gateway/src/front/planned_stop.rs
@@ -1,6 +1,6 @@
 //! What a planned stop means for calls: none is held past the time that the process has left.
 
-use clock_events::{Micros, MonotonicClock};
+use monotonic_clock::{Micros, MonotonicClock};
 use std::time::Duration;
 use tokio::sync::watch;
 
--- a/packages/function_front/src/front/request_facts.rs
+++ b/packages/gateway/src/front/request_facts.rs
@@ -4,7 +4,7 @@
 use crate::lane_table::{LaneRow, LaneTable};
 use actix_http::header;
 use actix_http::{HttpMessage, Request};
-use clock_events::Micros;
+use monotonic_clock::Micros;
 
 /// What lanes are matched by; kept, since a newer generation may come while the call waits.
 pub(super) struct CallPlace {
--- a/packages/function_front/src/lane_table.rs
+++ b/packages/gateway/src/lane_table.rs
@@ -1,6 +1,8 @@
-use clock_events::Micros;
-use configuration_check::{ApiKey, Configuration, ConfigurationDelta, Function, Lane, Tenant, VisitorLimits};
+use configuration_schema::{
+    ApiKey, Configuration, ConfigurationDelta, Function, Lane, Tenant, VisitorLimits,
+};
 use imbl::HashMap;
+use monotonic_clock::Micros;
 use std::sync::Arc;
 
 /// A lane as calls are matched to it. Example: `table.find("POST", None, "/proof/1").unwrap().function`.
--- a/packages/function_front/src/lane_table/tests.rs
+++ b/packages/gateway/src/lane_table/tests.rs
@@ -11,7 +11,7 @@
             "hosted": {"function": "f", "path_prefix": "/proof/", "host": "rush.example"},
             "deep": {"function": "f", "path_prefix": "/proof/rush"}}}"#;
     let configuration =
-        configuration_check::check(&document.parse().expect("JSON")).expect("a checked document");
+        configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document");
     let table = LaneTable::new(1, &configuration);
     let name = |method, host, path| table.find(method, host, path).map(|row| row.name.as_str());
     assert_eq!(name("GET", None, "/proof/1"), Some("proof"));
@@ -125,7 +125,7 @@
     if let Some(tenants) = tenants {
         document["tenants"] = tenants;
     }
-    LaneTable::new(1, &configuration_check::check(&document).expect("a checked document"))
+    LaneTable::new(1, &configuration_schema::check(&document).expect("a checked document"))
 }
 
 /// Guards against ROUTE on the duties: a lane that is not public needs a key of a tenant, even where the
--- a/packages/function_front/tests/call_model.rs
+++ b/packages/gateway/tests/call_model.rs
@@ -3,12 +3,12 @@
 //!
 //! The model plays callers, stewards, network and cells. Planted faults show that each rule bites.
 
-use clock_events::Micros;
-use colleague_messages::{Address, Ticket};
-use function_front::{
+use gateway::{
     AnswerEnd, AnswerOwner, CallChart, CallState, ConnectionUse, DispatchEnd, IdleCheck, NextStep,
 };
+use monotonic_clock::Micros;
 use node_protocol::{TicketAdmission, TicketLedger};
+use peer_messages::{Address, Ticket};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -477,7 +477,7 @@
 /// A state's whole content, hashed.
 fn key(world: &World) -> u128 {
     let text = format!("{world:?}");
-    let half = |salt: &str| u128::from(colleague_messages::stable_hash(format!("{salt}{text}").as_bytes()));
+    let half = |salt: &str| u128::from(peer_messages::stable_hash(format!("{salt}{text}").as_bytes()));
     (half("a") << 64) | half("b")
 }
 
--- a/packages/function_front/tests/dispatch_faults.rs
+++ b/packages/gateway/tests/dispatch_faults.rs
@@ -3,8 +3,8 @@
 
 mod scripted_cell;
 
-use clock_events::Micros;
-use function_front::{CallDialect, DispatchOutcome, DispatchSettings, dispatch};
+use gateway::{CallDialect, DispatchOutcome, DispatchSettings, dispatch};
+use monotonic_clock::Micros;
 use scripted_cell::{After, Reply, ScriptedCell, answer, call_to, keeping, platform_words, sound_answer};
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/packages/function_front/tests/front_calls.rs
+++ b/packages/gateway/tests/front_calls.rs
@@ -6,14 +6,14 @@
 use actix_http::header::{self, HeaderName, HeaderValue};
 use actix_http::{ConnectionType, Method, Payload, Request, StatusCode, Uri};
 use bytes::Bytes;
-use colleague_messages::{Address, Ticket};
-use function_front::{Front, FrontAnswer, FrontLink, FrontSettings, TicketAnswer};
+use function_scheduler::UNUSED;
+use gateway::{Front, FrontAnswer, FrontLink, FrontSettings, TicketAnswer};
+use peer_messages::{Address, Ticket};
 use scripted_cell::{After, Reply, ScriptedCell, answer, keeping, platform_words, sound_answer};
 use std::net::SocketAddr;
 use std::sync::mpsc as thread_channel;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use steward_work::UNUSED;
 use tokio::sync::mpsc;
 
 /// What a call may be held past its lane's patience at most, on a machine without trouble.
@@ -28,31 +28,31 @@
     returned: Vec<u8>,
 }
 
-fn lanes(lane_settings: &str) -> configuration_check::Configuration {
+fn lanes(lane_settings: &str) -> configuration_schema::Configuration {
     let document = format!(
         r#"{{"allowances": {{"all": {{"weight": 1}}}},
             "functions": {{"f": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}},
                 "g": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}}}},
             {lane_settings}}}"#
     );
-    configuration_check::check(&document.parse().expect("JSON")).expect("a checked document")
+    configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
 }
 
 /// One lane, impatient.
-fn one_lane(more: &str) -> configuration_check::Configuration {
+fn one_lane(more: &str) -> configuration_schema::Configuration {
     let patience = PATIENCE.as_millis();
     lanes(&format!(
         r#""lanes": {{"l": {{"function": "f", "path_prefix": "/", "patience_millis": {patience}{more}}}}}"#
     ))
 }
 
-fn patient_lane() -> configuration_check::Configuration {
+fn patient_lane() -> configuration_schema::Configuration {
     lanes(r#""lanes": {"l": {"function": "f", "path_prefix": "/", "patience_millis": 30000}}"#)
 }
 
 /// A front whose protocol grants the first `grants` asks a ticket for the cell, and is silent then.
 fn front(
-    configuration: &configuration_check::Configuration,
+    configuration: &configuration_schema::Configuration,
     cell: SocketAddr,
     grants: usize,
 ) -> (Arc<Front>, Arc<Mutex<Heard>>) {
--- a/packages/function_front/tests/key_bench/mod.rs
+++ b/packages/gateway/tests/key_bench/mod.rs
@@ -4,16 +4,16 @@
 use actix_http::{HttpService, StatusCode};
 use actix_service::{Service, ServiceFactory};
 use call_traces::TraceWriter;
-use colleague_messages::{Address, Ticket};
-use configuration_check::Configuration;
-use function_front::{CallDialect, Front, FrontLink, FrontSettings, Recorder, TicketAnswer};
+use configuration_schema::Configuration;
+use function_scheduler::TicketWish;
+use gateway::{CallDialect, Front, FrontLink, FrontSettings, Recorder, TicketAnswer};
+use peer_messages::{Address, Ticket};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use steward_work::TicketWish;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -58,7 +58,7 @@
                 "g": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}}}},
             {settings}}}"#
     );
-    configuration_check::check(&document.parse().expect("JSON")).expect("a checked document")
+    configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
 }
 
 fn head(path: &str, lines: &[String], framing: &str) -> String {
--- a/packages/function_front/tests/scripted_cell/mod.rs
+++ b/packages/gateway/tests/scripted_cell/mod.rs
@@ -4,8 +4,8 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Uri};
 use bytes::Bytes;
-use clock_events::Micros;
-use function_front::{CallDialect, DispatchCall, DispatchSettings};
+use gateway::{CallDialect, DispatchCall, DispatchSettings};
+use monotonic_clock::Micros;
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/packages/function_front/tests/tenant_keys.rs
+++ b/packages/gateway/tests/tenant_keys.rs
@@ -4,8 +4,8 @@
 mod scripted_cell;
 
 use actix_http::{StatusCode, header};
-use configuration_check::{Configuration, ConfigurationDelta};
-use function_front::{FrontLink, Recorder};
+use configuration_schema::{Configuration, ConfigurationDelta};
+use gateway::{FrontLink, Recorder};
 use key_bench::{Bench, HttpAnswer, Words, lanes, request_bytes};
 use scripted_cell::{After, Reply, ScriptedCell, sound_answer};
 use std::time::Duration;
--- a/packages/news_spread/src/body_delta.rs
+++ b/packages/gossip/src/body_delta.rs
@@ -3,7 +3,7 @@
 //! The old body is indexed in blocks; a rolling hash over the new one finds them again wherever they
 //! moved to, and each find is extended as far as the bytes agree.
 
-use colleague_messages::{Bytes, DeltaStep, List};
+use peer_messages::{Bytes, DeltaStep, List};
 use std::collections::HashMap;
 
 /// A stretch that is found again has at least this many bytes.
--- a/packages/news_spread/src/lib.rs
+++ b/packages/gossip/src/lib.rs
@@ -17,13 +17,13 @@
 mod neighbours;
 
 use body_delta::{delta, patched};
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::{
+use fastrand::Rng;
+use monotonic_clock::{ClockEvent, Micros};
+pub use neighbours::Neighbours;
+use peer_messages::{
     BodyChange, BucketDigest, Bytes, FRAME_LIMIT, LargeMark, List, Message, NewsItem, NewsMark, NodeId,
     stable_hash, value_digest,
 };
-use fastrand::Rng;
-pub use neighbours::Neighbours;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -527,7 +527,7 @@
     fn take_changes(
         &mut self,
         from: NodeId,
-        topic: colleague_messages::Text,
+        topic: peer_messages::Text,
         origin: NodeId,
         changes: Vec<BodyChange>,
     ) -> (Vec<String>, Vec<NewsSend>) {
--- a/packages/news_spread/src/neighbours.rs
+++ b/packages/gossip/src/neighbours.rs
@@ -1,6 +1,6 @@
 //! Whom news is passed on to: colleagues of the own zone, and relays that carry it over zone borders.
 
-use colleague_messages::NodeId;
+use peer_messages::NodeId;
 use std::collections::BTreeSet;
 
 /// The colleagues as the spread sees them.
--- a/packages/news_spread/src/tests.rs
+++ b/packages/gossip/src/tests.rs
@@ -59,7 +59,7 @@
             waiting.extend(sends.into_iter().map(|send| (node, send)));
         }
         while let Some((sender, (receiver, message))) = waiting.pop() {
-            let envelope = colleague_messages::Envelope {
+            let envelope = peer_messages::Envelope {
                 fleet: 0,
                 from: sender,
                 from_address: "127.0.0.1:1".parse::<std::net::SocketAddr>().expect("an address").into(),
--- a/packages/steward_election/src/act_guard.rs
+++ b/packages/leader_election/src/act_guard.rs
@@ -7,7 +7,7 @@
 //! since its own last act, unless nobody else can have held the function in between. What a process that has just
 //! started takes over from others is held too: the process before it, which has the same name, may have acted.
 
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use std::collections::BTreeMap;
 
 #[derive(Debug)]
--- a/packages/steward_election/src/lib.rs
+++ b/packages/leader_election/src/lib.rs
@@ -14,8 +14,8 @@
 mod successors;
 
 pub use act_guard::ActGuard;
-use clock_events::Micros;
-use colleague_messages::{LeaderRecord, NodeId, is_former_life, rendezvous_weight};
+use monotonic_clock::Micros;
+use peer_messages::{LeaderRecord, NodeId, is_former_life, rendezvous_weight};
 use standing::Standing;
 use std::collections::{BTreeMap, BTreeSet};
 pub use successors::Successors;
--- a/packages/steward_election/src/standing.rs
+++ b/packages/leader_election/src/standing.rs
@@ -7,8 +7,8 @@
 //! it no held record can have run out, and only from then on are all copies looked at again.
 
 use crate::{ObserverCopy, lease_of};
-use clock_events::Micros;
-use colleague_messages::{NodeId, is_former_life};
+use monotonic_clock::Micros;
+use peer_messages::{NodeId, is_former_life};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
--- a/packages/steward_election/src/successors.rs
+++ b/packages/leader_election/src/successors.rs
@@ -6,8 +6,8 @@
 //! emptiest one.
 
 use crate::Election;
-use clock_events::Micros;
-use colleague_messages::{NodeId, rendezvous_weight};
+use monotonic_clock::Micros;
+use peer_messages::{NodeId, rendezvous_weight};
 
 /// A member that may be named.
 #[derive(Clone, Debug)]
--- a/packages/steward_election/src/successors/tests.rs
+++ b/packages/leader_election/src/successors/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::ElectionSettings;
-use colleague_messages::LeaderRecord;
+use peer_messages::LeaderRecord;
 use std::collections::BTreeMap;
 
 const OWN: NodeId = 1;
--- a/packages/steward_election/src/tests.rs
+++ b/packages/leader_election/src/tests.rs
@@ -153,8 +153,8 @@
 
 #[test]
 fn a_process_takes_back_at_once_what_its_machine_held_before() {
-    let address = colleague_messages::Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], 7)));
-    let (before, own) = (colleague_messages::node_id(address, 1), colleague_messages::node_id(address, 2));
+    let address = peer_messages::Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], 7)));
+    let (before, own) = (peer_messages::node_id(address, 1), peer_messages::node_id(address, 2));
     let record = |holder| LeaderRecord { holder, renew_count: 3, lease_micros: 3_000_000, steward_epoch: 4 };
     let claims = |holder: NodeId| {
         let mut election = Election::new(own, ElectionSettings::default());
--- a/packages/local_fleet/src/deployments.rs
+++ b/packages/local_fleet/src/deployments.rs
@@ -1,9 +1,9 @@
 //! The two deployments of the brief, as far as one machine can stand in for them.
 
 use serde_json::{Map, Value, json};
-use stand_ins::{FunctionStandIn, Misbehaviour, PlatformSettings, Target};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use test_doubles::{FunctionStandIn, Misbehaviour, PlatformSettings, Target};
 
 pub const BUSY: usize = 8;
 pub const RARE: usize = 150;
--- a/packages/local_fleet/src/scenarios.rs
+++ b/packages/local_fleet/src/scenarios.rs
@@ -6,13 +6,13 @@
 use crate::deployments::{self, Deployment};
 use crate::fleet::{DISK_NODES, Fleet, NODES, NodeOptions};
 use crate::operator::Operator;
-use history_checks::{CheckSettings, History, Line, Outcome, check_all};
+use history_checker::{CheckSettings, History, Line, Outcome, check_all};
 use serde_json::{Value, json};
-use stand_ins::{CallerSettings, Callers, CallersReport, PlatformStandIn, micros_since};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_doubles::{CallerSettings, Callers, CallersReport, PlatformStandIn, micros_since};
 
 const SCENARIOS: &[&str] = &[
     "quiet",
@@ -222,7 +222,7 @@
         }
         let at = micros_since(self.began);
         let lanes = self.deployment.functions().into_iter().map(|name| (format!("/{name}"), name));
-        self.history.append(history_checks::first_lanes(at, lanes));
+        self.history.append(history_checker::first_lanes(at, lanes));
         let (_, spread) = self.change(json!({ "whole": document }), 4)?;
         self.note("configuration_spread_ms", spread.as_millis() as u64);
         let held = self.wait_until("stewards", Duration::from_secs(60), Run::all_held)?;
--- a/packages/local_fleet/src/scenarios/soak.rs
+++ b/packages/local_fleet/src/scenarios/soak.rs
@@ -7,9 +7,9 @@
 use crate::fleet::DISK_NODES;
 use fastrand::Rng;
 use serde_json::{Value, json};
-use stand_ins::{CallerSettings, Callers};
 use std::ops::Range;
 use std::time::{Duration, Instant};
+use test_doubles::{CallerSettings, Callers};
 
 /// A stop is over before a call that came in its beginning has waited as long as its lane allows (4 s).
 pub(super) const NODE_SETTINGS: &str = "still_accepting_millis = 1000\nstop_within_millis = 2500\n";
--- a/packages/colleague_probes/src/lib.rs
+++ b/packages/membership/src/lib.rs
@@ -2,9 +2,9 @@
 //! parties, suspicion that the suspected may refute, then removal. Removed members and seeds go on
 //! being probed now and then, so a healed cut joins itself again.
 
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::{Address, List, MemberNews, Message, NodeId, stable_hash};
 use fastrand::Rng;
+use monotonic_clock::{ClockEvent, Micros};
+use peer_messages::{Address, List, MemberNews, Message, NodeId, stable_hash};
 use std::collections::BTreeMap;
 
 /// A member that answers or has not yet been doubted.
--- a/packages/node_protocol/src/ask_relay.rs
+++ b/packages/node_protocol/src/ask_relay.rs
@@ -6,8 +6,8 @@
 //! same way. A relay keeps nothing that must not be lost: an ask that is repeated is passed on again under its
 //! number, and a return that is lost is made up for by the end of the ticket, as on the direct way.
 
-use clock_events::Micros;
-use colleague_messages::{HeldTicket, NodeId, Ticket};
+use monotonic_clock::Micros;
+use peer_messages::{HeldTicket, NodeId, Ticket};
 use std::collections::BTreeMap;
 
 /// Numbers from here on are those of relayed asks; a node's own calls stay below.
--- a/packages/node_protocol/src/ask_relay/tests.rs
+++ b/packages/node_protocol/src/ask_relay/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use colleague_messages::Address;
+use peer_messages::Address;
 
 const ASKER: NodeId = 7;
 const LEADER: NodeId = 3;
--- a/packages/node_protocol/src/call_part.rs
+++ b/packages/node_protocol/src/call_part.rs
@@ -4,15 +4,15 @@
 use crate::node::{Node, PAUSE_A_MEMBER};
 use crate::ticket_ledger::{TicketAdmission, TicketLedger};
 use crate::{Act, RefusedAs};
-use clock_events::Micros;
-use colleague_messages::ticket_ask::{AS_DEPUTY, AS_RELAY, NOT_AS_DEPUTY};
-use colleague_messages::{
+use deku::DekuContainerRead;
+use function_scheduler::{ReadyCell, TicketWish, UNUSED, Urgency};
+use monotonic_clock::Micros;
+use peer_messages::ticket_ask::{AS_DEPUTY, AS_RELAY, NOT_AS_DEPUTY};
+use peer_messages::{
     CellsNews, HeldAnswerEntry, HeldAskEntry, HeldTicket, List, Message, NodeId, Ticket, tenant_mark,
 };
-use deku::DekuContainerRead;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use steward_work::{ReadyCell, TicketWish, UNUSED, Urgency};
 
 /// A steward that leaves an ask unanswered this long is passed over for the deputy.
 const STEWARD_PATIENCE: Micros = Micros::from_millis(200);
--- a/packages/node_protocol/src/configuration_part.rs
+++ b/packages/node_protocol/src/configuration_part.rs
@@ -11,9 +11,9 @@
 use crate::node::Node;
 use batches::{AskedChange, Batch};
 use carried_changes::CarriedChange;
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::NodeId;
-use configuration_check::{ChangeOutcome, Configuration, StoredConfiguration};
+use configuration_schema::{ChangeOutcome, Configuration, StoredConfiguration};
+use monotonic_clock::{ClockEvent, Micros};
+use peer_messages::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
--- a/packages/node_protocol/src/configuration_part/batches.rs
+++ b/packages/node_protocol/src/configuration_part/batches.rs
@@ -4,10 +4,10 @@
 use super::{Asker, CHANGE_SPAN, CHANGE_WAITLIST, RETRY_PAUSE, UNCONFIRMED, overloaded};
 use crate::control_part::WritePurpose;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{Bytes, Message, NodeId, WriteOutcome};
-use configuration_check::{Change, ChangeOutcome, StoredConfiguration};
+use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
 use control_registers::{CONFIGURATION_KEY, DIFFERS, WRITTEN};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, Message, NodeId, WriteOutcome};
 
 const BATCH_LIMIT: usize = 64;
 /// A batch whose writes met another value so often is answered as of unknown fate.
--- a/packages/node_protocol/src/configuration_part/carried_changes.rs
+++ b/packages/node_protocol/src/configuration_part/carried_changes.rs
@@ -4,10 +4,10 @@
 use super::{Asker, CHANGE_SPAN, CHANGE_WAITLIST, RETRY_PAUSE, UNCONFIRMED, overloaded};
 use crate::Act;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{Bytes, Message, NodeId, rendezvous_weight};
-use configuration_check::{Change, ChangeOutcome};
+use configuration_schema::{Change, ChangeOutcome};
 use control_registers::CONFIGURATION_KEY;
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, Message, NodeId, rendezvous_weight};
 
 /// A change is sent anew after this without an outcome.
 const CARRY_PATIENCE: Micros = Micros::from_millis(1_000);
--- a/packages/node_protocol/src/configuration_part/standing_generation.rs
+++ b/packages/node_protocol/src/configuration_part/standing_generation.rs
@@ -5,10 +5,10 @@
 use crate::control_part::WritePurpose;
 use crate::node::Node;
 use crate::{Act, ConfigurationAnswer};
-use clock_events::Micros;
-use colleague_messages::{Bytes, WriteOutcome};
-use configuration_check::{Configuration, ConfigurationDelta, StoredConfiguration};
+use configuration_schema::{Configuration, ConfigurationDelta, StoredConfiguration};
 use control_registers::{CONFIGURATION_KEY, WRITTEN};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, WriteOutcome};
 use serde_json::json;
 use std::sync::Arc;
 
--- a/packages/node_protocol/src/control_part.rs
+++ b/packages/node_protocol/src/control_part.rs
@@ -19,11 +19,11 @@
 
 use crate::node::Node;
 use crate::vote_swaps::DiskSightings;
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::{Message, NodeId};
 use control_registers::{ChosenSet, DiskRegisters, KeyOwner, SetCopy, VoterSet};
 use disk::Disk;
+use monotonic_clock::{ClockEvent, Micros};
 use owner_answers::OWNS_NO_KEYS;
+use peer_messages::{Message, NodeId};
 use record_polls::PollGroups;
 use record_relay::{ObservedRecords, RelayedPoll};
 use requests::WriteFlight;
--- a/packages/node_protocol/src/control_part/disk.rs
+++ b/packages/node_protocol/src/control_part/disk.rs
@@ -4,9 +4,9 @@
 use super::{ControlPart, DISK_BLANK, DISK_FAILED, DISK_SPARE, DISK_VOTING};
 use crate::Act;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{List, Message, NodeId, PromiseEntry, StoreEntry, Text};
 use control_registers::DiskRegisters;
+use monotonic_clock::Micros;
+use peer_messages::{List, Message, NodeId, PromiseEntry, StoreEntry, Text};
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/packages/node_protocol/src/control_part/founding.rs
+++ b/packages/node_protocol/src/control_part/founding.rs
@@ -2,8 +2,8 @@
 
 use super::{DISK_BLANK, DISK_VOTING};
 use crate::node::Node;
-use colleague_messages::{Address, List, Message, NodeId, stable_hash};
 use control_registers::{ChosenSet, VoterSet};
+use peer_messages::{Address, List, Message, NodeId, stable_hash};
 use serde_json::json;
 
 impl Node {
--- a/packages/node_protocol/src/control_part/key_owners.rs
+++ b/packages/node_protocol/src/control_part/key_owners.rs
@@ -2,8 +2,8 @@
 
 use super::DISK_VOTING;
 use crate::node::Node;
-use colleague_messages::{Address, List, MemberNews, Message, NodeId};
 use control_registers::{CONFIGURATION_KEY, is_leader_key};
+use peer_messages::{Address, List, MemberNews, Message, NodeId};
 use std::collections::BTreeSet;
 
 /// An operator gives a node up after about a second; with a quarter of it spent on the wire enough is
--- a/packages/node_protocol/src/control_part/owner_answers.rs
+++ b/packages/node_protocol/src/control_part/owner_answers.rs
@@ -3,8 +3,8 @@
 
 use super::AS_NEWS;
 use crate::node::Node;
-use colleague_messages::{Bytes, List, Message, NodeId, Text, WriteEntry, WriteOutcome};
 use control_registers::{CONFIGURATION_KEY, NOT_OWNER, OwnerAct, WRITTEN};
+use peer_messages::{Bytes, List, Message, NodeId, Text, WriteEntry, WriteOutcome};
 use std::collections::BTreeMap;
 
 /// In a poll's answer: the asked node does not know the mark, and wants the keys.
--- a/packages/node_protocol/src/control_part/record_polls.rs
+++ b/packages/node_protocol/src/control_part/record_polls.rs
@@ -2,8 +2,8 @@
 //! owner's changes were heard.
 
 use crate::node::Node;
-use colleague_messages::{LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord, Text};
 use control_registers::{keys_mark, steward_key};
+use peer_messages::{LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord, Text};
 use std::collections::BTreeMap;
 
 /// The leader records that one owner is polled for, and how far its changes were heard.
--- a/packages/node_protocol/src/control_part/record_relay.rs
+++ b/packages/node_protocol/src/control_part/record_relay.rs
@@ -7,9 +7,9 @@
 
 use super::record_polls::keys_of;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{Bytes, LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord};
 use control_registers::{keys_mark, steward_key};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord};
 use std::collections::BTreeMap;
 
 /// A node that does not relay by its own view is passed over for so long.
--- a/packages/node_protocol/src/control_part/requests.rs
+++ b/packages/node_protocol/src/control_part/requests.rs
@@ -4,11 +4,9 @@
 use super::{AS_NEWS, OWNER_PATIENCE};
 use crate::node::Node;
 use crate::{Act, ConfigurationAnswer};
-use clock_events::Micros;
-use colleague_messages::{
-    Bytes, LeaderRecord, List, Message, NodeId, WriteEntry, WriteOutcome, value_digest,
-};
 use control_registers::{AS_KNOWN, CONFIGURATION_KEY, DIFFERS, NOT_OWNER, UNKNOWN, WRITTEN, steward_key};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, WriteEntry, WriteOutcome, value_digest};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An operator that reads asks elsewhere after about a second.
@@ -118,7 +116,7 @@
     }
 
     /// Sends the election's writes, one message for each owner.
-    pub(crate) fn send_leader_writes(&mut self, writes: Vec<steward_election::RecordWrite>) {
+    pub(crate) fn send_leader_writes(&mut self, writes: Vec<leader_election::RecordWrite>) {
         let mut groups: BTreeMap<NodeId, Vec<WriteEntry>> = BTreeMap::new();
         for write in writes {
             let key = steward_key(&write.function);
--- a/packages/node_protocol/src/control_part/standing_set.rs
+++ b/packages/node_protocol/src/control_part/standing_set.rs
@@ -2,8 +2,8 @@
 //! its own disk, and told to those who lack it.
 
 use crate::node::Node;
-use colleague_messages::{List, Message, NewsItem, NodeId};
 use control_registers::{ChosenSet, DISKS_KEY};
+use peer_messages::{List, Message, NewsItem, NodeId};
 use serde_json::json;
 
 impl Node {
--- a/packages/node_protocol/src/control_part/voter_changes.rs
+++ b/packages/node_protocol/src/control_part/voter_changes.rs
@@ -3,8 +3,8 @@
 
 use super::requests::{WriteFlight, WritePurpose};
 use crate::node::Node;
-use colleague_messages::{Bytes, List, MemberNews, Message, NodeId, Text, WriteOutcome};
 use control_registers::{ChosenSet, DIFFERS, DISKS_KEY, SetCopy, VoterSet, WRITTEN};
+use peer_messages::{Bytes, List, MemberNews, Message, NodeId, Text, WriteOutcome};
 
 /// So many keys are copied at a time while the voter set changes.
 const COPY_WINDOW: usize = 256;
--- a/packages/node_protocol/src/journal.rs
+++ b/packages/node_protocol/src/journal.rs
@@ -1,5 +1,5 @@
-use clock_events::Micros;
-use colleague_messages::{DecisionLine, NodeId};
+use monotonic_clock::Micros;
+use peer_messages::{DecisionLine, NodeId};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/packages/node_protocol/src/lib.rs
+++ b/packages/node_protocol/src/lib.rs
@@ -23,15 +23,15 @@
 pub use ticket_ledger::{TicketAdmission, TicketLedger};
 pub use usage_part::UsageSettings;
 
-use clock_events::Micros;
-use colleague_messages::{Address, DecisionLine, Envelope, Message, NodeId, Ticket, UsageWindow};
-use colleague_probes::ProbeSettings;
-use configuration_check::{Change, ChangeOutcome, Configuration, ConfigurationDelta};
+use configuration_schema::{Change, ChangeOutcome, Configuration, ConfigurationDelta};
+use function_scheduler::{CostModel, ExtraBound, ListedCell, ListedWorker, TicketWish};
+use leader_election::ElectionSettings;
+use membership::ProbeSettings;
+use monotonic_clock::Micros;
+use peer_messages::{Address, DecisionLine, Envelope, Message, NodeId, Ticket, UsageWindow};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 use std::sync::Arc;
-use steward_election::ElectionSettings;
-use steward_work::{CostModel, ExtraBound, ListedCell, ListedWorker, TicketWish};
 
 /// What a node is told at its start. Example: see `fleet_simulator`.
 #[derive(Clone, Debug)]
--- a/packages/node_protocol/src/list_part.rs
+++ b/packages/node_protocol/src/list_part.rs
@@ -3,10 +3,10 @@
 
 use crate::Act;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{Address, CellTold, List, Message, NodeId, Text, WorkerTold, rendezvous_weight};
+use function_scheduler::{ListedCell, ListedWorker};
+use monotonic_clock::Micros;
+use peer_messages::{Address, CellTold, List, Message, NodeId, Text, WorkerTold, rendezvous_weight};
 use std::collections::{BTreeMap, VecDeque};
-use steward_work::{ListedCell, ListedWorker};
 
 /// A lister that leaves a pull unanswered this long is passed over, for a while.
 const LISTER_PATIENCE: Micros = Micros::from_millis(600);
--- a/packages/node_protocol/src/list_part/tests.rs
+++ b/packages/node_protocol/src/list_part/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::{Event, NodeSettings};
-use colleague_messages::{Envelope, MemberNews};
-use colleague_probes::ProbeSettings;
+use leader_election::ElectionSettings;
+use membership::ProbeSettings;
+use peer_messages::{Envelope, MemberNews};
 use std::net::SocketAddr;
-use steward_election::ElectionSettings;
 
 fn cell(id: &str, leaving: bool) -> ListedCell {
     ListedCell {
@@ -39,8 +39,8 @@
         zone: "a".to_owned(),
         seeds: vec![address(2)],
         founding_disks: 3,
-        costs: steward_work::CostModel::default(),
-        extra_bound: steward_work::ExtraBound::default(),
+        costs: function_scheduler::CostModel::default(),
+        extra_bound: function_scheduler::ExtraBound::default(),
         may_found: false,
         lists_per_second: 1_000.0,
         list_every: Micros::from_millis(900),
--- a/packages/node_protocol/src/node.rs
+++ b/packages/node_protocol/src/node.rs
@@ -6,14 +6,14 @@
 use crate::usage_part::UsagePart;
 use crate::zones::Zones;
 use crate::{Act, Event, NodeSettings, Policy};
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::{
-    Address, CursorMark, DecisionLine, Envelope, List, MemberNews, Message, NodeId, rendezvous_weight,
-};
-use colleague_probes::{MemberChange, Members};
 use control_registers::{DiskRegisters, VoterSet};
 use fastrand::Rng;
-use news_spread::NewsSpread;
+use gossip::NewsSpread;
+use membership::{MemberChange, Members};
+use monotonic_clock::{ClockEvent, Micros};
+use peer_messages::{
+    Address, CursorMark, DecisionLine, Envelope, List, MemberNews, Message, NodeId, rendezvous_weight,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -611,7 +611,7 @@
     }
 
     /// The configuration that holds here. Example: `node.current_configuration().lanes.len()`.
-    pub fn current_configuration(&self) -> Arc<configuration_check::Configuration> {
+    pub fn current_configuration(&self) -> Arc<configuration_schema::Configuration> {
         self.configuration.current()
     }
 
--- a/packages/node_protocol/src/steward_part.rs
+++ b/packages/node_protocol/src/steward_part.rs
@@ -9,24 +9,24 @@
 use crate::node::{Node, PAUSE_A_MEMBER};
 use crate::{Act, Policy};
 use allowances::Split;
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::ticket_ask::{AS_RELAY, NOT_AS_DEPUTY};
-use colleague_messages::{
+use configuration_schema::{Function, FunctionTargets, KeptBy};
+use deku::DekuContainerWrite;
+use function_scheduler::{
+    AskDetails, CostModel, DeputyAsk, DeputyCell, DeputyWork, FunctionWork, HeldBackAs, ListedCell,
+    ListedWorker, Placement, StartOutcome, StartRate, Urgency, WorkAct, WorkSettings, Zone,
+};
+use hand_over::HandOvers;
+use leader_election::{ActGuard, Election, ElectionSettings, TermChange};
+use monotonic_clock::{ClockEvent, Micros};
+use peer_messages::ticket_ask::{AS_RELAY, NOT_AS_DEPUTY};
+use peer_messages::{
     Address, Bytes, CellEntry, CellsNews, DemandNews, HeldAnswerEntry, HeldAskEntry, List, Message, NodeId,
     Ticket,
 };
-use configuration_check::{Function, FunctionTargets, KeptBy};
-use deku::DekuContainerWrite;
-use hand_over::HandOvers;
 use platform_acts::{WaitingStart, WaitingStop};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
-use steward_election::{ActGuard, Election, ElectionSettings, TermChange};
-use steward_work::{
-    AskDetails, CostModel, DeputyAsk, DeputyCell, DeputyWork, FunctionWork, HeldBackAs, ListedCell,
-    ListedWorker, Placement, StartOutcome, StartRate, Urgency, WorkAct, WorkSettings, Zone,
-};
 
 const START_WAITLIST: usize = 2_048;
 /// The epoch of the first steward that a function ever has.
@@ -619,7 +619,7 @@
         self.stewards.next_deputy_ticket += 1;
         let ticket_name = format!("{:x}/{}", self.settings.node, self.stewards.next_deputy_ticket);
         let ask = DeputyAsk {
-            ticket_id: colleague_messages::stable_hash(ticket_name.as_bytes()),
+            ticket_id: peer_messages::stable_hash(ticket_name.as_bytes()),
             function,
             is_extra,
             avoid,
--- a/packages/node_protocol/src/steward_part/allowances.rs
+++ b/packages/node_protocol/src/steward_part/allowances.rs
@@ -3,11 +3,11 @@
 
 use crate::Policy;
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::{Bytes, DemandEntry, DemandNews, List, NodeId};
 use deku::{DekuContainerRead, DekuContainerWrite};
+use function_scheduler::{Demand, DemandedCells, Totals, allowance_split};
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, DemandEntry, DemandNews, List, NodeId};
 use std::collections::BTreeMap;
-use steward_work::{Demand, DemandedCells, Totals, allowance_split};
 
 /// Between two splits that only other nodes' news asks for, and between two that nothing asks for.
 const SPLIT_PAUSE: Micros = Micros::from_millis(300);
--- a/packages/node_protocol/src/steward_part/configured.rs
+++ b/packages/node_protocol/src/steward_part/configured.rs
@@ -2,7 +2,7 @@
 
 use super::work_settings;
 use crate::node::Node;
-use configuration_check::{ChangedFunctions, ConfigurationDelta, FunctionTargets};
+use configuration_schema::{ChangedFunctions, ConfigurationDelta, FunctionTargets};
 use std::collections::BTreeSet;
 
 impl Node {
--- a/packages/node_protocol/src/steward_part/hand_over.rs
+++ b/packages/node_protocol/src/steward_part/hand_over.rs
@@ -8,12 +8,12 @@
 //! it asks all nodes which tickets they hold. If it never claims, the record's short lease runs out.
 
 use crate::node::Node;
-use clock_events::Micros;
-use colleague_messages::ticket_ask::NOT_AS_DEPUTY;
-use colleague_messages::{LeaderRecord, List, Message, NodeId, Ticket};
+use function_scheduler::{HandedAsk, HandedWork};
+use leader_election::RecordWrite;
+use monotonic_clock::Micros;
+use peer_messages::ticket_ask::NOT_AS_DEPUTY;
+use peer_messages::{LeaderRecord, List, Message, NodeId, Ticket};
 use std::collections::BTreeMap;
-use steward_election::RecordWrite;
-use steward_work::{HandedAsk, HandedWork};
 
 use super::{CALL_COST, LARGE_PART};
 
@@ -86,7 +86,7 @@
     pub(super) fn name_successors(&mut self, members: &[NodeId]) {
         let now = self.now;
         let election = &self.stewards.election;
-        let mut successors = steward_election::Successors::new(election, members, now);
+        let mut successors = leader_election::Successors::new(election, members, now);
         let mut named = Vec::new();
         for function in election.held(now) {
             let rate = self.stewards.works.get(&function).map_or(0.0, |work| work.call_rate(now));
@@ -214,7 +214,7 @@
     fn pass_term_on(&mut self, function: &str, version: u64, record: LeaderRecord, work: HandedWork) {
         let now = self.now;
         let members = self.serving_members();
-        let mut successors = steward_election::Successors::new(&self.stewards.election, &members, now);
+        let mut successors = leader_election::Successors::new(&self.stewards.election, &members, now);
         let Some(successor) = successors.name(function, 0) else { return };
         let leaving = LeavingTerm { successor, given_at: now, is_written: false, work, asks: Vec::new() };
         self.stewards.hand_overs.leaving.insert(function.to_owned(), leaving);
--- a/packages/node_protocol/src/steward_part/platform_acts.rs
+++ b/packages/node_protocol/src/steward_part/platform_acts.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Node;
 use crate::{Act, StartResult, StopResult};
-use clock_events::Micros;
+use function_scheduler::{StartOutcome, Zone};
+use monotonic_clock::Micros;
 use serde_json::json;
-use steward_work::{StartOutcome, Zone};
 
 const START_TRIES: u32 = 4;
 /// Where that many workers had no room a start waits for stops rather than for luck.
--- a/packages/node_protocol/src/ticket_ledger.rs
+++ b/packages/node_protocol/src/ticket_ledger.rs
@@ -1,7 +1,7 @@
 //! The tickets that a node holds: each is used for one dispatch, however often its grant arrives.
 
-use clock_events::Micros;
-use colleague_messages::{HeldTicket, Ticket};
+use monotonic_clock::Micros;
+use peer_messages::{HeldTicket, Ticket};
 use std::collections::BTreeMap;
 
 /// How long a ticket is known past the end of the call that it was granted to: a grant that arrives
--- a/packages/node_protocol/src/usage_part.rs
+++ b/packages/node_protocol/src/usage_part.rs
@@ -7,15 +7,15 @@
 use crate::control_part::WritePurpose;
 use crate::node::{Node, PAUSE_A_MEMBER};
 use crate::{Act, UsageResult};
-use clock_events::{ClockEvent, Micros};
-use colleague_messages::{
+use control_registers::{DIFFERS, USAGE_KEY, WRITTEN};
+use function_scheduler::{NOT_RUN, TURNED_AWAY, UNUSED};
+use monotonic_clock::{ClockEvent, Micros};
+use peer_messages::{
     Bytes, List, Message, NodeId, UsageWindow, WriteOutcome, is_former_life, rendezvous_weight,
 };
-use control_registers::{DIFFERS, USAGE_KEY, WRITTEN};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use steward_work::{NOT_RUN, TURNED_AWAY, UNUSED};
 use usage_reports::{FleetClock, Gathering, REPORTS_KEPT, Tally, Told, UsageRegister, WindowLength};
 
 /// The collector hears of changed counts this often, the node after it half as often.
@@ -573,6 +573,6 @@
     }
 }
 
-fn total(counts: &List<colleague_messages::TenantCount>) -> u64 {
+fn total(counts: &List<peer_messages::TenantCount>) -> u64 {
     counts.0.iter().map(|told| u64::from(told.count)).sum()
 }
--- a/packages/node_protocol/src/vote_swaps.rs
+++ b/packages/node_protocol/src/vote_swaps.rs
@@ -2,9 +2,9 @@
 //! the disk machines, and the swaps that follow from it.
 
 use crate::control_part::{DISK_BLANK, DISK_SPARE};
-use clock_events::Micros;
-use colleague_messages::{Address, MemberNews, NodeId};
 use control_registers::VoterSet;
+use monotonic_clock::Micros;
+use peer_messages::{Address, MemberNews, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A voter that was suspected or gone for so long is lost, if a disk waits for its vote. Removal takes
@@ -32,7 +32,7 @@
         self.addresses.retain(|disk, _| voters.contains(disk));
         self.addresses.extend(disks.clone().map(|news| (news.disk, news.address)));
         let answering: BTreeSet<u64> =
-            disks.filter(|news| news.state == colleague_probes::ALIVE).map(|news| news.disk).collect();
+            disks.filter(|news| news.state == membership::ALIVE).map(|news| news.disk).collect();
         self.missing_since.retain(|disk, _| voters.contains(disk) && !answering.contains(disk));
         for disk in voters.difference(&answering) {
             self.missing_since.entry(*disk).or_insert(now);
@@ -45,7 +45,7 @@
     pub(crate) fn untold(&mut self, set: &VoterSet, live: &[MemberNews]) -> Vec<MemberNews> {
         let is_telling = |news: &&MemberNews| {
             let is_voter = set.disks.0.contains(&news.disk);
-            news.disk_state == DISK_BLANK || (is_voter && news.state == colleague_probes::SUSPECTED)
+            news.disk_state == DISK_BLANK || (is_voter && news.state == membership::SUSPECTED)
         };
         let telling: Vec<MemberNews> = live.iter().filter(is_telling).cloned().collect();
         let told_before = std::mem::take(&mut self.told);
@@ -74,14 +74,13 @@
         let mut free_disks: BTreeMap<u64, Address> = live
             .iter()
             .filter(|news| [DISK_BLANK, DISK_SPARE].contains(&news.disk_state))
-            .filter(|news| news.draining == 0 && news.state == colleague_probes::ALIVE)
+            .filter(|news| news.draining == 0 && news.state == membership::ALIVE)
             .filter(|news| !set.all().contains(&news.disk))
             .map(|news| (news.disk, news.address))
             .collect();
         let is_there_without = |address: &Address, lost: u64| {
-            live.iter().any(|news| {
-                news.address == *address && news.disk != lost && news.state == colleague_probes::ALIVE
-            })
+            live.iter()
+                .any(|news| news.address == *address && news.disk != lost && news.state == membership::ALIVE)
         };
         let mut swaps = Vec::new();
         let mut others = Vec::new();
--- a/packages/node_protocol/src/vote_swaps/tests.rs
+++ b/packages/node_protocol/src/vote_swaps/tests.rs
@@ -10,7 +10,7 @@
         address: Address::from(SocketAddr::from(([10, 0, 0, machine], 7_000))),
         zone: "zone".into(),
         incarnation: 1,
-        state: colleague_probes::ALIVE,
+        state: membership::ALIVE,
         disk,
         disk_state,
         draining: 0,
@@ -48,14 +48,14 @@
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), []);
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), [(3, 90)]);
     // Suspected is enough: removal takes longer.
-    let suspected = MemberNews { state: colleague_probes::SUSPECTED, ..member(3, 3, DISK_VOTING) };
+    let suspected = MemberNews { state: membership::SUSPECTED, ..member(3, 3, DISK_VOTING) };
     let all = [live.clone(), vec![suspected]].concat();
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &all, LOST_PATIENCE), [(3, 90)]);
     // One that this process never met may only not have been heard of yet.
     assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, LOST_PATIENCE), []);
     assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, UNMET_PATIENCE), [(3, 90)]);
     // Neither a suspected nor a draining machine takes a vote.
-    live[2].state = colleague_probes::SUSPECTED;
+    live[2].state = membership::SUSPECTED;
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), []);
     live[2] = MemberNews { draining: 1, ..member(7, 90, DISK_BLANK) };
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), []);
@@ -101,13 +101,13 @@
     let mut live = voters(&[1, 2, 3]);
     let mut sightings = DiskSightings::default();
     assert_eq!(sightings.untold(&set, &live), []);
-    live[2].state = colleague_probes::SUSPECTED;
+    live[2].state = membership::SUSPECTED;
     live.push(member(7, 90, DISK_BLANK));
     assert_eq!(sightings.untold(&set, &live), live[2..]);
     assert_eq!(sightings.untold(&set, &live), []);
     // It answers again, and is suspected anew.
-    live[2].state = colleague_probes::ALIVE;
+    live[2].state = membership::ALIVE;
     assert_eq!(sightings.untold(&set, &live), []);
-    live[2].state = colleague_probes::SUSPECTED;
+    live[2].state = membership::SUSPECTED;
     assert_eq!(sightings.untold(&set, &live), live[2..3]);
 }
--- a/packages/node_protocol/src/zones.rs
+++ b/packages/node_protocol/src/zones.rs
@@ -1,8 +1,8 @@
 //! Who is near whom: the live members by zone, and the nodes that carry things over a zone's border.
 
-use colleague_messages::{Address, MemberNews, NodeId, rendezvous_weight};
-use colleague_probes::ALIVE;
-use news_spread::Neighbours;
+use gossip::Neighbours;
+use membership::ALIVE;
+use peer_messages::{Address, MemberNews, NodeId, rendezvous_weight};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Up to so many colleagues everybody speaks with everybody: relays would add a step and save little.
--- a/packages/node_protocol/src/zones/tests.rs
+++ b/packages/node_protocol/src/zones/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use colleague_messages::Address;
+use peer_messages::Address;
 
 fn member(node: NodeId, zone: &str, processor: u32) -> MemberNews {
     MemberNews {
--- a/packages/platform_client/src/lib.rs
+++ b/packages/platform_client/src/lib.rs
@@ -3,13 +3,13 @@
 
 use awc::Client;
 use awc::http::StatusCode;
+use function_scheduler::{ListedCell, ListedWorker};
 use futures_util::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use steward_work::{ListedCell, ListedWorker};
 
 const LIST_LIMIT: usize = 8 * 1024 * 1024;
 const ANSWER_LIMIT: usize = 64 * 1024;
--- a/packages/stand_ins/src/bin/stand_in_platform.rs
+++ b/packages/test_doubles/src/bin/stand_in_platform.rs
@@ -1,13 +1,13 @@
 //! A platform stand-in to try vanelane with: workers, cells that answer, a late list, a rate limit.
 
-use history_checks::History;
-use stand_ins::{FunctionStandIn, PlatformSettings, PlatformStandIn};
+use history_checker::History;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_doubles::{FunctionStandIn, PlatformSettings, PlatformStandIn};
 
 xflags::xflags! {
     /// A stand-in of the platform on loopback.
--- a/packages/stand_ins/src/lib.rs
+++ b/packages/test_doubles/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for what vanelane meets: the platform with its workers and cells, and the callers.
-//! They write what they saw into a history that `history_checks` judges.
+//! They write what they saw into a history that `history_checker` judges.
 
 mod callers;
 mod cell_stand_in;
--- a/packages/stand_ins/src/platform_stand_in.rs
+++ b/packages/test_doubles/src/platform_stand_in.rs
@@ -4,7 +4,7 @@
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
 use actix_server::Server;
 use futures_util::StreamExt;
-use history_checks::{History, Line};
+use history_checker::{History, Line};
 use platform_client::{
     CellDocument, ListDocument, StartDocument, StartedDocument, UsageReportDocument, WorkerDocument,
 };
--- a/packages/day_replay/src/main.rs
+++ b/packages/traffic_replay/src/main.rs
@@ -2,8 +2,8 @@
 
 use awc::http::Method;
 use awc::{Client, Connector};
-use clock_events::{Micros, MonotonicClock};
-use function_front::{OUTCOME_HEADER, RecordedCall};
+use gateway::{OUTCOME_HEADER, RecordedCall};
+use monotonic_clock::{Micros, MonotonicClock};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/packages/usage_reports/src/fleet_clock.rs
+++ b/packages/usage_reports/src/fleet_clock.rs
@@ -1,5 +1,5 @@
-use clock_events::Micros;
-use colleague_messages::NodeId;
+use monotonic_clock::Micros;
+use peer_messages::NodeId;
 use std::collections::BTreeMap;
 
 /// A wall clock that was told longer ago counts no more.
--- a/packages/usage_reports/src/gathering.rs
+++ b/packages/usage_reports/src/gathering.rs
@@ -1,5 +1,5 @@
-use clock_events::Micros;
-use colleague_messages::{List, NodeId, TenantCount, Text, UsageWindow};
+use monotonic_clock::Micros;
+use peer_messages::{List, NodeId, TenantCount, Text, UsageWindow};
 use std::collections::BTreeMap;
 
 /// What a node tells of its counts: the fields of the message without the wall clock.
--- a/packages/usage_reports/src/lib.rs
+++ b/packages/usage_reports/src/lib.rs
@@ -14,7 +14,7 @@
 pub use tally::Tally;
 pub use usage_register::{REPORTS_KEPT, UsageRegister};
 
-use clock_events::Micros;
+use monotonic_clock::Micros;
 
 /// The length of the windows. Example: `WindowLength(Micros::from_secs(5)).number_at(Micros(0)) == 0`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/packages/usage_reports/src/tally.rs
+++ b/packages/usage_reports/src/tally.rs
@@ -1,5 +1,5 @@
-use clock_events::Micros;
-use colleague_messages::{List, TenantCount, UsageWindow};
+use monotonic_clock::Micros;
+use peer_messages::{List, TenantCount, UsageWindow};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/packages/usage_reports/src/tests.rs
+++ b/packages/usage_reports/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use colleague_messages::{Bytes, List, TenantCount, UsageWindow};
+use peer_messages::{Bytes, List, TenantCount, UsageWindow};
 use std::sync::Arc;
 
 const NOW: Micros = Micros::from_secs(50);
--- a/packages/usage_reports/src/usage_register.rs
+++ b/packages/usage_reports/src/usage_register.rs
@@ -1,6 +1,6 @@
-use clock_events::Micros;
-use colleague_messages::{Bytes, List, NodeId, Text, UsageWindow};
 use deku::prelude::*;
+use monotonic_clock::Micros;
+use peer_messages::{Bytes, List, NodeId, Text, UsageWindow};
 
 /// So many decided reports are kept for whoever sends them on.
 pub const REPORTS_KEPT: usize = 6;
--- a/packages/vanelane/src/client_connection/tests.rs
+++ b/packages/vanelane/src/client_connection/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::local_server::{LocalServer, serve};
-use colleague_messages::{Address, Ticket};
-use function_front::{Front, FrontLink, FrontSettings, TicketAnswer};
+use gateway::{Front, FrontLink, FrontSettings, TicketAnswer};
+use peer_messages::{Address, Ticket};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -80,7 +80,7 @@
     End::ClosedBehindALongRequest,
 ];
 
-fn configuration(function: &str) -> configuration_check::Configuration {
+fn configuration(function: &str) -> configuration_schema::Configuration {
     let document = format!(
         r#"{{"allowances": {{"all": {{"weight": 1}}}},
             "functions": {{"f": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}},
@@ -88,7 +88,7 @@
             "lanes": {{"l": {{"function": "{function}", "path_prefix": "/", "repeatable": true,
                 "patience_millis": 30000}}}}}}"#
     );
-    configuration_check::check(&document.parse().expect("JSON")).expect("a checked document")
+    configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
 }
 
 /// A cell that answers with these bytes, and how many requests it got.
--- a/packages/vanelane/src/colleague_links.rs
+++ b/packages/vanelane/src/colleague_links.rs
@@ -2,9 +2,9 @@
 
 use crate::node_lag::NodeLag;
 use crate::protocol_shell::ShellEvent;
-use clock_events::MonotonicClock;
-use colleague_messages::{Address, FRAME_HEAD, FrameError, Priority, decode_payload, frame_length};
 use error_stack::{Report, ResultExt};
+use monotonic_clock::MonotonicClock;
+use peer_messages::{Address, FRAME_HEAD, FrameError, Priority, decode_payload, frame_length};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/packages/vanelane/src/node_lag.rs
+++ b/packages/vanelane/src/node_lag.rs
@@ -70,7 +70,7 @@
 pub struct NodeLag {
     /// How late clock events ran: everything that is ready on the node's thread, the bytes and ends of clients'
     /// connections among it, waits about as long.
-    pub clock_events: LongestLately,
+    pub ticker: LongestLately,
     /// From the reading of a message that somebody waits for to its handling.
     pub urgent_inbox: LongestLately,
     /// The same of news, lists and polls.
@@ -86,7 +86,7 @@
     pub fn starting(now: Instant) -> NodeLag {
         let starting = || LongestLately::starting(now);
         NodeLag {
-            clock_events: starting(),
+            ticker: starting(),
             urgent_inbox: starting(),
             bulk_inbox: starting(),
             urgent_links: starting(),
@@ -94,10 +94,10 @@
         }
     }
 
-    /// All of them by name. Example: `lag.all()[0].0 == "clock_events"`.
+    /// All of them by name. Example: `lag.all()[0].0 == "monotonic_clock"`.
     pub fn all(&self) -> Vec<(&'static str, Duration)> {
         vec![
-            ("clock_events", self.clock_events.lately()),
+            ("clock_events", self.ticker.lately()),
             ("urgent_inbox", self.urgent_inbox.lately()),
             ("bulk_inbox", self.bulk_inbox.lately()),
             ("urgent_links", self.urgent_links.lately()),
--- a/packages/vanelane/src/operator_commands.rs
+++ b/packages/vanelane/src/operator_commands.rs
@@ -26,7 +26,7 @@
 }
 
 pub fn schema() -> ExitCode {
-    say(configuration_check::SCHEMA.as_bytes());
+    say(configuration_schema::SCHEMA.as_bytes());
     ExitCode::SUCCESS
 }
 
@@ -51,7 +51,7 @@
         Ok(document) => document,
         Err(failure) => return complain(format!("{}: {failure}", path.display()), BAD_USE),
     };
-    match configuration_check::check(&document) {
+    match configuration_schema::check(&document) {
         Ok(configuration) => {
             let line = json!({
                 "outcome": "sound",
--- a/packages/vanelane/src/protocol_shell.rs
+++ b/packages/vanelane/src/protocol_shell.rs
@@ -4,14 +4,14 @@
 use crate::control_costs::ControlCosts;
 use crate::disk_thread::{DiskThread, DiskWork};
 use crate::node_lag::NodeLag;
-use clock_events::{ClockEvent, Micros, MonotonicClock, wall_clock};
-use colleague_messages::{Address, DecisionLine, Envelope, NodeId, Priority};
-use configuration_check::{Change, ChangeOutcome};
+use configuration_schema::{Change, ChangeOutcome};
 use error_stack::Report;
-use function_front::{Front, FrontLink, TicketAnswer};
+use gateway::{Front, FrontLink, TicketAnswer};
+use monotonic_clock::{ClockEvent, Micros, MonotonicClock, wall_clock};
 use node_protocol::{
     Act, ConfigurationAnswer, Event, Node, NodeStatus, RefusedAs, StartResult, StopResult, UsageResult,
 };
+use peer_messages::{Address, DecisionLine, Envelope, NodeId, Priority};
 use platform_client::{
     ActStamp, PlatformApi, StartAnswer, StartDocument, StopAnswer, UsageAnswer, UsageDocument,
 };
@@ -120,7 +120,7 @@
                     self.front.tell_node_count(self.node.member_count());
                     let late = now - ticked_at - Micros::from_millis(TICK.as_millis() as u64);
                     self.front.tell_lag(late);
-                    self.lag.clock_events.note(late.duration());
+                    self.lag.ticker.note(late.duration());
                     ticked_at = now;
                     if self.node.reports_usage() && self.wall_clock_event.due(now) {
                         self.handle(Event::WallClock { unix: wall_clock::unix_now() });
@@ -327,7 +327,11 @@
                     None => true,
                 };
                 if is_gone {
-                    return Some(Event::TicketDone { ticket, how: steward_work::UNUSED, latency: Micros(0) });
+                    return Some(Event::TicketDone {
+                        ticket,
+                        how: function_scheduler::UNUSED,
+                        latency: Micros(0),
+                    });
                 }
             }
             Act::CallRefused { call, refused_as, reason, retry_after } => {
--- a/packages/vanelane/src/run_node.rs
+++ b/packages/vanelane/src/run_node.rs
@@ -16,14 +16,16 @@
 use actix_server::{Server, ServerHandle};
 use actix_service::fn_service;
 use call_traces::TraceWriter;
-use clock_events::{ClockEvent, Micros, MonotonicClock};
-use colleague_messages::{Address, fleet_mark, node_id};
-use configuration_check::{DOCUMENT_LIMIT, VisitorLimits};
-use function_front::{CallDialect, DispatchSettings, Front, FrontSettings, OpenCalls, Recorder};
+use configuration_schema::{DOCUMENT_LIMIT, VisitorLimits};
+use function_scheduler::{CostModel, ExtraBound};
+use gateway::{CallDialect, DispatchSettings, Front, FrontSettings, OpenCalls, Recorder};
+use leader_election::ElectionSettings;
 use log4rs::append::console::{ConsoleAppender, Target};
 use log4rs::config::{Appender, Root};
 use log4rs::encode::json::JsonEncoder;
+use monotonic_clock::{ClockEvent, Micros, MonotonicClock};
 use node_protocol::{Event, Node, NodeSettings, UsageSettings};
+use peer_messages::{Address, fleet_mark, node_id};
 use platform_client::{PlatformApi, PlatformClient};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -34,8 +36,6 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use steward_election::ElectionSettings;
-use steward_work::{CostModel, ExtraBound};
 use supervisor::{Patience, Supervisor};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
@@ -369,7 +369,7 @@
             gate: settings.gate,
             ..ElectionSettings::default()
         },
-        probes: colleague_probes::ProbeSettings::default(),
+        probes: membership::ProbeSettings::default(),
         switched_off: settings.switched_off.clone(),
         luck_seed: fastrand::u64(..),
     }
--- a/packages/vanelane/src/settings.rs
+++ b/packages/vanelane/src/settings.rs
@@ -1,7 +1,7 @@
 //! The node's settings: a TOML file, flags over it, every field checked and named when it is wrong.
 
 use crate::command_line::Run;
-use clock_events::Micros;
+use monotonic_clock::Micros;
 use node_protocol::Policy;
 use serde::Deserialize;
 use std::collections::BTreeSet;
--- a/packages/vanelane/tests/clients_that_leave.rs
+++ b/packages/vanelane/tests/clients_that_leave.rs
@@ -2,7 +2,7 @@
 
 mod running_node;
 
-use history_checks::{History, Line};
+use history_checker::{History, Line};
 use running_node::*;
 use std::io::Write;
 use std::net::TcpStream;
--- a/packages/vanelane/tests/one_node.rs
+++ b/packages/vanelane/tests/one_node.rs
@@ -2,7 +2,7 @@
 
 mod running_node;
 
-use history_checks::{CheckSettings, History, check_all};
+use history_checker::{CheckSettings, History, check_all};
 use running_node::*;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -79,7 +79,7 @@
 
     let lines = history.lines();
     let runs = |call: &str| {
-        let took = |line: &&history_checks::Line| matches!(line, history_checks::Line::CellTook { call: taken, ran: true, .. } if taken == call);
+        let took = |line: &&history_checker::Line| matches!(line, history_checker::Line::CellTook { call: taken, ran: true, .. } if taken == call);
         lines.iter().filter(took).count()
     };
     assert_eq!((runs("c1"), runs("once-lose"), runs("once-garble"), runs("stalled")), (1, 1, 1, 1));
@@ -324,7 +324,7 @@
         .lines()
         .iter()
         .filter_map(|line| match line {
-            history_checks::Line::CellTook { call, .. } => Some(call.clone()),
+            history_checker::Line::CellTook { call, .. } => Some(call.clone()),
             _ => None,
         })
         .collect();
--- a/packages/vanelane/tests/planned_stop.rs
+++ b/packages/vanelane/tests/planned_stop.rs
@@ -3,7 +3,7 @@
 
 mod running_node;
 
-use history_checks::History;
+use history_checker::History;
 use running_node::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/packages/vanelane/tests/running_node/mod.rs
+++ b/packages/vanelane/tests/running_node/mod.rs
@@ -1,14 +1,14 @@
 //! A real node as a child process on loopback, and raw exchanges with it.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use history_checks::History;
-use stand_ins::{FunctionStandIn, Misbehaviour, PlatformSettings, PlatformStandIn};
+use history_checker::History;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_doubles::{FunctionStandIn, Misbehaviour, PlatformSettings, PlatformStandIn};
 
 pub struct RunningNode {
     pub child: Child,
--- a/packages/vanelane/tests/usage_reports.rs
+++ b/packages/vanelane/tests/usage_reports.rs
@@ -2,7 +2,7 @@
 
 mod running_node;
 
-use history_checks::{History, Line};
+use history_checker::{History, Line};
 use running_node::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
