--- a/packages/call_traces/src/lib.rs
+++ b/packages/call_traces/src/lib.rs
@@ -90,11 +90,11 @@
     }
 
     /// Ends a call's trace and writes it. Example: `writer.end(trace, "proofs", "ran", 200)`.
-    pub fn end(&self, trace: CallTrace, lane: &str, outcome: &str, status: u16) {
+    pub fn end(&self, trace: CallTrace, route: &str, outcome: &str, status: u16) {
         let mut root = trace.root;
         root.end_time_unix_nano = nanos_now();
         root.attributes = vec![
-            attribute("vanelane.lane", lane),
+            attribute("vanelane.lane", route),
             attribute("vanelane.outcome", outcome),
             attribute("http.response.status_code", &status.to_string()),
         ];
--- a/packages/call_traces/src/line_file.rs
+++ b/packages/call_traces/src/line_file.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::time::Duration;
 
-const WAITLIST: usize = 4_096;
+const QUEUE_LENGTH: usize = 4_096;
 
 /// Appends lines to a bounded file from a thread of its own; what the disk cannot take is dropped
 /// and counted, and nobody waits. Example: `LineFile::start(path, 1 << 30)?.write(line)`.
@@ -20,7 +20,7 @@
     pub fn start(path: &Path, most_bytes: u64) -> std::io::Result<LineFile> {
         let file = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
         let length = file.metadata()?.len();
-        let (sender, receiver) = sync_channel(WAITLIST);
+        let (sender, receiver) = sync_channel(QUEUE_LENGTH);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted_dropped = dropped.clone();
         std::thread::Builder::new().name("line file".to_owned()).spawn(move || {
--- a/packages/call_traces/src/tests.rs
+++ b/packages/call_traces/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_trace_joins_its_visitors_and_is_written_in_the_json_form() {
+fn a_trace_joins_its_clients_and_is_written_in_the_json_form() {
     let path = std::env::temp_dir().join(format!("vanelane-traces-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let writer = TraceWriter::start(&path, 1 << 20, 1.0, "a").expect("a file");
--- a/packages/configuration_schema/src/changes.rs
+++ b/packages/configuration_schema/src/changes.rs
@@ -146,9 +146,9 @@
         }
         serde_json::from_slice(line).map_err(|failure| {
             let text = failure.to_string();
-            let tells_a_name = FIELD_FAILURES.iter().any(|beginning| text.starts_with(beginning));
+            let names_item = FIELD_FAILURES.iter().any(|beginning| text.starts_with(beginning));
             match failure.classify() {
-                Category::Data if !tells_a_name => "a field is of another type".to_owned(),
+                Category::Data if !names_item => "a field is of another type".to_owned(),
                 _ => text,
             }
         })
@@ -186,13 +186,13 @@
         serde_json::from_slice(stored_bytes).ok()
     }
 
-    /// The checked document. Example: `stored.checked().unwrap().lanes.len()`.
+    /// The checked document. Example: `stored.checked().unwrap().routes.len()`.
     pub fn checked(&self) -> Result<Configuration, Vec<Reason>> {
         check(&self.document)
     }
 
     /// The document as it was checked before it was stored, without checking it again.
-    /// Example: `stored.trusted().unwrap().lanes.len()`.
+    /// Example: `stored.trusted().unwrap().routes.len()`.
     pub fn trusted(&self) -> Option<Configuration> {
         Configuration::deserialize(&self.document).ok()
     }
--- a/packages/configuration_schema/src/changes/tests.rs
+++ b/packages/configuration_schema/src/changes/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(stored, before_refusals);
     let partial = change("e", None, None, Some(json!({ "lanes": { "proofs": { "repeatable": true } } })));
     assert_eq!(stored.apply(&partial), ChangeOutcome::Accepted { generation: 2, repeated: false });
-    assert!(stored.checked().expect("a checked document").lanes["proofs"].repeatable);
+    assert!(stored.checked().expect("a checked document").routes["proofs"].repeatable);
     assert_eq!(StoredConfiguration::decode(&stored.encode()), Some(stored));
 }
 
@@ -95,8 +95,8 @@
     replace["lanes"]["proofs"]["split"][0]["weight"] = json!(2);
     let split = Change { change_id: "f".to_owned(), items: Some(replace), ..Change::default() };
     assert!(matches!(stored.apply(&split), ChangeOutcome::Accepted { generation: 3, .. }));
-    let lane = &stored.checked().expect("checked").lanes["proofs"];
-    assert_eq!((lane.target_millis, lane.shares()), (None, vec![("proof", 2.0)]));
+    let route = &stored.checked().expect("checked").routes["proofs"];
+    assert_eq!((route.target_millis, route.shares()), (None, vec![("proof", 2.0)]));
     assert_eq!(stored.version, 9, "a change without a version keeps the one that stands");
 }
 
--- a/packages/configuration_schema/src/delta.rs
+++ b/packages/configuration_schema/src/delta.rs
@@ -3,7 +3,7 @@
 //! A node that has the older generation makes the newer one of it by the items that changed: the cost of a
 //! change does not grow with the configuration.
 
-use crate::{Allowance, Annotations, Configuration, Function, Lane, Tenant, VisitorLimits};
+use crate::{Annotations, ClientLimits, Configuration, Function, Quota, Route, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,13 +20,15 @@
     pub generation: u64,
     /// Shares, as far as they changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub allowances: ItemChanges<Allowance>,
+    #[serde(rename = "allowances")]
+    pub quotas: ItemChanges<Quota>,
     /// Functions, as far as they changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub functions: ItemChanges<Function>,
     /// Lanes, as far as they changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub lanes: ItemChanges<Lane>,
+    #[serde(rename = "lanes")]
+    pub routes: ItemChanges<Route>,
     /// Tenants, as far as they changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tenants: ItemChanges<Tenant>,
@@ -45,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangedLimits {
     /// What holds now.
-    pub limits: Option<VisitorLimits>,
+    pub limits: Option<ClientLimits>,
 }
 
 /// New annotations of the document; none where it has none any more.
@@ -68,12 +70,12 @@
 
 impl ConfigurationDelta {
     /// What leads from one generation to another.
-    /// Example: `ConfigurationDelta::between((4, &old), (5, &new)).lanes.len()`.
+    /// Example: `ConfigurationDelta::between((4, &old), (5, &new)).routes.len()`.
     pub fn between(
         (base_generation, old): (u64, &Configuration),
         (generation, new): (u64, &Configuration),
     ) -> ConfigurationDelta {
-        let are_limits_new = old.visitor_limits != new.visitor_limits;
+        let are_limits_new = old.client_limits != new.client_limits;
         let are_annotations_new = old.annotations != new.annotations;
         let no_tenants = BTreeMap::new();
         let old_tenants = old.tenants.as_ref().unwrap_or(&no_tenants);
@@ -82,12 +84,12 @@
         ConfigurationDelta {
             base_generation,
             generation,
-            allowances: items_between(&old.allowances, &new.allowances),
+            quotas: items_between(&old.quotas, &new.quotas),
             functions: items_between(&old.functions, &new.functions),
-            lanes: items_between(&old.lanes, &new.lanes),
+            routes: items_between(&old.routes, &new.routes),
             tenants: items_between(old_tenants, new_tenants),
             has_tenants: is_presence_new.then_some(new.tenants.is_some()),
-            limits: are_limits_new.then(|| ChangedLimits { limits: new.visitor_limits.clone() }),
+            limits: are_limits_new.then(|| ChangedLimits { limits: new.client_limits.clone() }),
             annotations: are_annotations_new
                 .then(|| ChangedAnnotations { annotations: new.annotations.clone() }),
         }
@@ -106,9 +108,9 @@
 
     /// Makes the later generation of the one that it builds on. Example: `delta.apply(&mut configuration)`.
     pub fn apply(&self, configuration: &mut Configuration) {
-        apply_items(&self.allowances, &mut configuration.allowances);
+        apply_items(&self.quotas, &mut configuration.quotas);
         apply_items(&self.functions, &mut configuration.functions);
-        apply_items(&self.lanes, &mut configuration.lanes);
+        apply_items(&self.routes, &mut configuration.routes);
         if self.has_tenants == Some(true) {
             configuration.tenants.get_or_insert_default();
         }
@@ -119,7 +121,7 @@
             configuration.tenants = None;
         }
         if let Some(changed) = &self.limits {
-            configuration.visitor_limits.clone_from(&changed.limits);
+            configuration.client_limits.clone_from(&changed.limits);
         }
         if let Some(changed) = &self.annotations {
             configuration.annotations.clone_from(&changed.annotations);
--- a/packages/configuration_schema/src/delta/tests.rs
+++ b/packages/configuration_schema/src/delta/tests.rs
@@ -131,7 +131,7 @@
                 let delta = ConfigurationDelta::between((before.generation, &old), (stored.generation, &new));
                 let travelled = ConfigurationDelta::decode(&delta.encode()).expect("a delta");
                 let functions = travelled.changed_functions(&applied);
-                targets.take(&travelled, &applied);
+                targets.apply(&travelled, &applied);
                 travelled.apply(&mut applied);
                 assert_eq!(targets, FunctionTargets::of(&applied));
                 let decoded = StoredConfiguration::decode(&stored.encode()).expect("stored");
--- a/packages/configuration_schema/src/function_targets.rs
+++ b/packages/configuration_schema/src/function_targets.rs
@@ -1,6 +1,6 @@
 //! The shortest target latency of the lanes that lead to each function, kept up by the lanes that change.
 
-use crate::{Configuration, ConfigurationDelta, Lane};
+use crate::{Configuration, ConfigurationDelta, Route};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Targets by function. Example: `FunctionTargets::of(&configuration).get("proof") == Some(300)`.
@@ -14,8 +14,8 @@
     /// The targets of a whole configuration. Example: `FunctionTargets::of(&Configuration::empty())`.
     pub fn of(configuration: &Configuration) -> FunctionTargets {
         let mut targets = FunctionTargets::default();
-        for (name, lane) in &configuration.lanes {
-            targets.add_lane(name, lane);
+        for (name, route) in &configuration.routes {
+            targets.add_route(name, route);
         }
         targets
     }
@@ -27,36 +27,36 @@
     }
 
     /// Takes what a delta changes of the configuration that it builds on. Returns the functions whose lanes
-    /// changed. Example: `targets.take(&delta, &base).contains("proof")`.
-    pub fn take(&mut self, delta: &ConfigurationDelta, base: &Configuration) -> BTreeSet<String> {
+    /// changed. Example: `targets.apply(&delta, &base).contains("proof")`.
+    pub fn apply(&mut self, delta: &ConfigurationDelta, base: &Configuration) -> BTreeSet<String> {
         let mut touched = BTreeSet::new();
-        for (name, lane) in &delta.lanes {
-            let old = base.lanes.get(name);
-            for lane in old.into_iter().chain(lane) {
-                touched.extend(lane.shares().into_iter().map(|(function, _)| function.to_owned()));
+        for (name, route) in &delta.routes {
+            let old = base.routes.get(name);
+            for route in old.into_iter().chain(route) {
+                touched.extend(route.shares().into_iter().map(|(function, _)| function.to_owned()));
             }
             if let Some(old) = old {
-                self.remove_lane(name, old);
+                self.remove_route(name, old);
             }
-            if let Some(lane) = lane {
-                self.add_lane(name, lane);
+            if let Some(route) = route {
+                self.add_route(name, route);
             }
         }
         touched
     }
 
-    fn add_lane(&mut self, name: &str, lane: &Lane) {
-        let Some(target) = lane.target_millis else { return };
-        for (function, _) in lane.shares() {
+    fn add_route(&mut self, name: &str, route: &Route) {
+        let Some(target) = route.target_millis else { return };
+        for (function, _) in route.shares() {
             self.by_function.entry(function.to_owned()).or_default().insert(name.to_owned(), target);
         }
     }
 
-    fn remove_lane(&mut self, name: &str, lane: &Lane) {
-        for (function, _) in lane.shares() {
-            let Some(lanes) = self.by_function.get_mut(function) else { continue };
-            lanes.remove(name);
-            if lanes.is_empty() {
+    fn remove_route(&mut self, name: &str, route: &Route) {
+        for (function, _) in route.shares() {
+            let Some(routes) = self.by_function.get_mut(function) else { continue };
+            routes.remove(name);
+            if routes.is_empty() {
                 self.by_function.remove(function);
             }
         }
--- a/packages/configuration_schema/src/lib.rs
+++ b/packages/configuration_schema/src/lib.rs
@@ -60,15 +60,16 @@
 /// Declares a part of the document, with serde derives and defaults.
 macro_rules! document_parts {
     ($($(#[$note:meta])* $part:ident { $($(#[$field_note:meta])* $field:ident: $type:ty,)* })*) => {
-        $($(#[$note])*
-        #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+        $(#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+        $(#[$note])*
         pub struct $part { $($(#[$field_note])* pub $field: $type,)* })*
     };
 }
 
 document_parts! {
     /// A node of the tree of shares. Example: `{"parent": "all", "weight": 3}`.
-    Allowance {
+    #[serde(rename = "Allowance")]
+    Quota {
         /// None for a root.
         #[serde(default)] parent: Option<String>,
         /// The share beside its siblings.
@@ -85,11 +86,11 @@
     /// What runs in cells. Example: `{"allowance": "busy", "cell_memory_mb": 600, "calls_at_once": 4}`.
     Function {
         /// The tree's node it is a leaf of.
-        allowance: String,
+        #[serde(rename = "allowance")] quota: String,
         /// The share beside its siblings.
         #[serde(default = "default_weight")] weight: f64,
         /// Memory of one cell.
-        cell_memory_mb: u64,
+        #[serde(rename = "cell_memory_mb")] instance_memory_mb: u64,
         /// Calls one cell may run at once.
         calls_at_once: u32,
         /// How long a cell boots, until that is learnt.
@@ -99,25 +100,27 @@
         /// What decides how many cells are kept.
         #[serde(default)] kept_by: KeptBy,
         /// Cells kept even when idle.
-        #[serde(default)] least_cells: u32,
+        #[serde(default)] #[serde(rename = "least_cells")] min_instances: u32,
         /// Cells never passed.
-        #[serde(default = "default_most")] most_cells: u32,
+        #[serde(default = "default_most")] #[serde(rename = "most_cells")] max_instances: u32,
         /// Calls that may wait at the steward.
-        #[serde(default = "default_waitlist")] waitlist: u32,
+        #[serde(default = "default_queue_limit")] #[serde(rename = "waitlist")] queue_limit: u32,
         /// Connections that one cell takes from all nodes together.
         #[serde(default, skip_serializing_if = "Option::is_none")] connection_limit: Option<u32>,
         /// Kept as sent, without meaning here.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
     /// One part of a lane that is split over functions. Example: `{"function": "proof", "weight": 3}`.
-    LaneShare {
+    #[serde(rename = "LaneShare")]
+    RouteShare {
         /// Where these calls go.
         function: String,
         /// The share beside the others; zero sends none.
         weight: f64,
     }
     /// Bounds on what visitors may send and how slowly. Example: `{"body_bytes": 262144}`.
-    VisitorLimits {
+    #[serde(rename = "VisitorLimits")]
+    ClientLimits {
         /// The longest head of a call, in bytes.
         #[serde(default, skip_serializing_if = "Option::is_none")] header_bytes: Option<u64>,
         /// The longest body of a call, in bytes.
@@ -130,11 +133,12 @@
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
     /// Which calls go to a function. Example: `{"function": "proof", "path_prefix": "/proof"}`.
-    Lane {
+    #[serde(rename = "Lane")]
+    Route {
         /// Where its calls go, unless it is split.
         #[serde(default, skip_serializing_if = "String::is_empty")] function: String,
         /// Where its calls go by weight, instead of one function.
-        #[serde(default, skip_serializing_if = "Vec::is_empty")] split: Vec<LaneShare>,
+        #[serde(default, skip_serializing_if = "Vec::is_empty")] split: Vec<RouteShare>,
         /// Only for this host, if named.
         #[serde(default)] host: Option<String>,
         /// Matched at whole path segments; the longest wins.
@@ -144,7 +148,7 @@
         /// Whether a call whose fate is unknown may be dispatched again.
         #[serde(default)] repeatable: bool,
         /// How long a call may take in all, where the visitor names no shorter time.
-        #[serde(default = "default_patience")] patience_millis: u64,
+        #[serde(default = "default_timeout")] #[serde(rename = "patience_millis")] timeout_millis: u64,
         /// The time within which an answer is worth most: decides whether a cold start may be waited for.
         #[serde(default, skip_serializing_if = "Option::is_none")] target_millis: Option<u64>,
         /// Zero is served first where not all can be.
@@ -165,19 +169,19 @@
         /// Kept as sent, without meaning here.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
-    /// A checked document. Example: `check(&document)?.lanes["proofs"].function`.
+    /// A checked document. Example: `check(&document)?.routes["proofs"].function`.
     Configuration {
         /// The tree of shares.
-        allowances: BTreeMap<String, Allowance>,
+        #[serde(rename = "allowances")] quotas: BTreeMap<String, Quota>,
         /// The functions.
         functions: BTreeMap<String, Function>,
         /// The lanes.
-        lanes: BTreeMap<String, Lane>,
+        #[serde(rename = "lanes")] routes: BTreeMap<String, Route>,
         /// The tenants; where the document names the group, even an empty one, calls on lanes that are not
         /// public need a tenant's key.
         #[serde(default, skip_serializing_if = "Option::is_none")] tenants: Option<BTreeMap<String, Tenant>>,
         /// Bounds on visitors; the program's own where none is named.
-        #[serde(default)] visitor_limits: Option<VisitorLimits>,
+        #[serde(default)] #[serde(rename = "visitor_limits")] client_limits: Option<ClientLimits>,
         /// Kept as sent, without meaning here.
         #[serde(default)] annotations: Option<Annotations>,
     }
@@ -195,28 +199,28 @@
 fn default_most() -> u32 {
     1_000
 }
-fn default_waitlist() -> u32 {
+fn default_queue_limit() -> u32 {
     256
 }
-fn default_patience() -> u64 {
+fn default_timeout() -> u64 {
     4_000
 }
 
 impl Configuration {
-    /// The configuration before any change. Example: `Configuration::empty().lanes.is_empty()`.
+    /// The configuration before any change. Example: `Configuration::empty().routes.is_empty()`.
     pub fn empty() -> Configuration {
         Configuration {
-            allowances: BTreeMap::new(),
+            quotas: BTreeMap::new(),
             functions: BTreeMap::new(),
-            lanes: BTreeMap::new(),
+            routes: BTreeMap::new(),
             tenants: None,
-            visitor_limits: None,
+            client_limits: None,
             annotations: None,
         }
     }
 }
 
-impl Lane {
+impl Route {
     /// The functions that this lane may send calls to, with their weights.
     /// Example: an unsplit lane gives its one function with weight 1.
     pub fn shares(&self) -> Vec<(&str, f64)> {
@@ -255,9 +259,9 @@
         Err(failure) => return Err(vec![misfit(document, &failure)]),
     };
     let mut reasons = Vec::new();
-    check_allowances(&configuration, &mut reasons);
+    check_quotas(&configuration, &mut reasons);
     check_functions(&configuration, &mut reasons);
-    check_lanes(&configuration, &mut reasons);
+    check_routes(&configuration, &mut reasons);
     tenant_checks::check_tenants(&configuration, &mut reasons);
     reasons.truncate(REASON_LIMIT);
     if reasons.is_empty() { Ok(configuration) } else { Err(reasons) }
@@ -278,11 +282,11 @@
     }
 }
 
-fn check_allowances(configuration: &Configuration, reasons: &mut Vec<Reason>) {
-    for (name, allowance) in &configuration.allowances {
+fn check_quotas(configuration: &Configuration, reasons: &mut Vec<Reason>) {
+    for (name, quota) in &configuration.quotas {
         let place = format!("/allowances/{name}");
-        if let Some(parent) = &allowance.parent
-            && !configuration.allowances.contains_key(parent)
+        if let Some(parent) = &quota.parent
+            && !configuration.quotas.contains_key(parent)
         {
             reasons.push(Reason::at(format!("{place}/parent"), format!("no allowance named {parent}")));
         }
@@ -291,29 +295,24 @@
             continue;
         }
         let pairs = [
-            ("memory_floor_mb", allowance.memory_floor_mb, allowance.memory_ceiling_mb),
-            (
-                "starts_floor_per_second",
-                allowance.starts_floor_per_second,
-                allowance.starts_ceiling_per_second,
-            ),
+            ("memory_floor_mb", quota.memory_floor_mb, quota.memory_ceiling_mb),
+            ("starts_floor_per_second", quota.starts_floor_per_second, quota.starts_ceiling_per_second),
         ];
         for (field, floor, ceiling) in pairs {
             if floor.zip(ceiling).is_some_and(|(low, high)| low > high) {
                 reasons.push(Reason::at(format!("{place}/{field}"), "the floor is above the ceiling"));
             }
         }
-        let child_floors = |floor: fn(&Allowance) -> Option<f64>| -> f64 {
-            let children =
-                configuration.allowances.values().filter(|child| child.parent.as_ref() == Some(name));
+        let child_floors = |floor: fn(&Quota) -> Option<f64>| -> f64 {
+            let children = configuration.quotas.values().filter(|child| child.parent.as_ref() == Some(name));
             children.filter_map(floor).sum()
         };
         let floor_sums = [
-            ("memory_ceiling_mb", child_floors(|child| child.memory_floor_mb), allowance.memory_ceiling_mb),
+            ("memory_ceiling_mb", child_floors(|child| child.memory_floor_mb), quota.memory_ceiling_mb),
             (
                 "starts_ceiling_per_second",
                 child_floors(|child| child.starts_floor_per_second),
-                allowance.starts_ceiling_per_second,
+                quota.starts_ceiling_per_second,
             ),
         ];
         for (field, floor_sum, ceiling) in floor_sums {
@@ -329,8 +328,7 @@
     let mut seen_names = BTreeSet::new();
     let mut current_name = start;
     while seen_names.insert(current_name) {
-        let parent_name =
-            configuration.allowances.get(current_name).and_then(|allowance| allowance.parent.as_deref());
+        let parent_name = configuration.quotas.get(current_name).and_then(|quota| quota.parent.as_deref());
         let Some(parent_name) = parent_name else { return false };
         current_name = parent_name;
     }
@@ -340,50 +338,50 @@
 fn check_functions(configuration: &Configuration, reasons: &mut Vec<Reason>) {
     for (name, function) in &configuration.functions {
         let place = format!("/functions/{name}");
-        let Some(allowance) = configuration.allowances.get(&function.allowance) else {
-            let reason = format!("no allowance named {}", function.allowance);
+        let Some(quota) = configuration.quotas.get(&function.quota) else {
+            let reason = format!("no allowance named {}", function.quota);
             reasons.push(Reason::at(format!("{place}/allowance"), reason));
             continue;
         };
-        if allowance.memory_ceiling_mb.is_some_and(|ceiling| (function.cell_memory_mb as f64) > ceiling) {
+        if quota.memory_ceiling_mb.is_some_and(|ceiling| (function.instance_memory_mb as f64) > ceiling) {
             let reason = "one cell is larger than its allowance's memory ceiling";
             reasons.push(Reason::at(format!("{place}/cell_memory_mb"), reason));
         }
-        if function.least_cells > function.most_cells {
+        if function.min_instances > function.max_instances {
             let reason = "least_cells is above most_cells";
             reasons.push(Reason::at(format!("{place}/least_cells"), reason));
         }
     }
 }
 
-fn check_lanes(configuration: &Configuration, reasons: &mut Vec<Reason>) {
+fn check_routes(configuration: &Configuration, reasons: &mut Vec<Reason>) {
     let mut taken_places: BTreeMap<(Option<&str>, &str, &str), &str> = BTreeMap::new();
-    for (name, lane) in &configuration.lanes {
+    for (name, route) in &configuration.routes {
         let place = format!("/lanes/{name}");
-        let is_named = !lane.function.is_empty();
-        if is_named && !configuration.functions.contains_key(&lane.function) {
-            let reason = format!("no function named {}", lane.function);
+        let is_named = !route.function.is_empty();
+        if is_named && !configuration.functions.contains_key(&route.function) {
+            let reason = format!("no function named {}", route.function);
             reasons.push(Reason::at(format!("{place}/function"), reason));
         }
-        if is_named != lane.split.is_empty() {
+        if is_named != route.split.is_empty() {
             reasons.push(Reason::at(place.clone(), "name either function or split"));
         }
-        for (number, share) in lane.split.iter().enumerate() {
+        for (number, share) in route.split.iter().enumerate() {
             if !configuration.functions.contains_key(&share.function) {
                 let reason = format!("no function named {}", share.function);
                 reasons.push(Reason::at(format!("{place}/split/{number}/function"), reason));
             }
         }
-        if !lane.split.is_empty() && lane.split.iter().map(|share| share.weight).sum::<f64>() <= 0.0 {
+        if !route.split.is_empty() && route.split.iter().map(|share| share.weight).sum::<f64>() <= 0.0 {
             reasons.push(Reason::at(format!("{place}/split"), "the weights add up to 0"));
         }
-        let trimmed_prefix = lane.path_prefix.trim_end_matches('/');
-        let methods: Vec<&str> = match lane.methods.is_empty() {
+        let trimmed_prefix = route.path_prefix.trim_end_matches('/');
+        let methods: Vec<&str> = match route.methods.is_empty() {
             true => vec!["any"],
-            false => lane.methods.iter().map(String::as_str).collect(),
+            false => route.methods.iter().map(String::as_str).collect(),
         };
         for method in methods {
-            let key = (lane.host.as_deref(), trimmed_prefix, method);
+            let key = (route.host.as_deref(), trimmed_prefix, method);
             if let Some(other_name) = taken_places.insert(key, name) {
                 let reason = format!("lane {other_name} takes the same calls");
                 reasons.push(Reason::at(format!("{place}/path_prefix"), reason));
--- a/packages/configuration_schema/tests/key_secrecy.rs
+++ b/packages/configuration_schema/tests/key_secrecy.rs
@@ -81,8 +81,8 @@
     Ok(())
 }
 
-fn assert_hidden(told: &str, what: &str) {
-    assert!(!told.contains(MARK), "{what} tells a key: {told}");
+fn assert_hidden(reported: &str, what: &str) {
+    assert!(!reported.contains(MARK), "{what} tells a key: {reported}");
 }
 
 fn change_in_some_form(number: u64, document: Value, source: &mut Unstructured<'_>) -> Result<Change> {
@@ -135,27 +135,27 @@
 /// Reasons stay of use: they tell the place and what is wrong there.
 #[test]
 fn a_reason_against_a_tenant_tells_the_place_and_the_fault() {
-    let told = |tenants: Value| {
+    let reported = |tenants: Value| {
         let document = json!({ "allowances": {}, "functions": {}, "lanes": {}, "tenants": tenants });
         let reasons = check(&document).expect_err("refused");
         reasons.into_iter().map(|reason| (reason.path, reason.reason)).collect::<Vec<(String, String)>>()
     };
     let one = |path: &str, reason: &str| vec![(path.to_owned(), reason.to_owned())];
-    assert_eq!(told(json!([])), one("/tenants", r#"the value is not of type "object""#));
+    assert_eq!(reported(json!([])), one("/tenants", r#"the value is not of type "object""#));
     assert_eq!(
-        told(json!({ "a": { "keys": ["k 1"] } })),
+        reported(json!({ "a": { "keys": ["k 1"] } })),
         one("/tenants/a/keys/0", r#"the value does not match "^[!-~]+$""#)
     );
-    assert_eq!(told(json!({ "a": {} })), one("/tenants/a", r#""keys" is a required property"#));
+    assert_eq!(reported(json!({ "a": {} })), one("/tenants/a", r#""keys" is a required property"#));
     assert_eq!(
-        told(json!({ "a": { "keys": [], "k1": 1 } })),
+        reported(json!({ "a": { "keys": [], "k1": 1 } })),
         one("/tenants/a", "1 of the fields here are not known")
     );
     assert_eq!(
-        told(json!({ "a b": { "keys": [] } })),
+        reported(json!({ "a b": { "keys": [] } })),
         one("/tenants", r#"a name does not match "^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$""#)
     );
-    let misfit = told(json!({ "a": { "keys": [], "rank": 1.0 } }));
+    let misfit = reported(json!({ "a": { "keys": [], "rank": 1.0 } }));
     assert_eq!(misfit[0].0, "/tenants");
     // Elsewhere a number is told, as before.
     let document = json!({ "allowances": { "a": { "weight": 0 } }, "functions": {}, "lanes": {} });
@@ -202,9 +202,9 @@
         let reason = Change::read(line.as_bytes()).expect_err(line);
         assert_hidden(&reason, line);
     }
-    let told = |line: &str| Change::read(line.as_bytes()).expect_err(line);
-    assert_eq!(told(r#""SECRET-1""#), "is no object");
-    assert!(told(r#"{"change_id": "a", "lanes": {}}"#).starts_with("unknown field `lanes`"));
-    assert!(told(r#"{"whole": {}}"#).starts_with("missing field `change_id`"));
+    let reported = |line: &str| Change::read(line.as_bytes()).expect_err(line);
+    assert_eq!(reported(r#""SECRET-1""#), "is no object");
+    assert!(reported(r#"{"change_id": "a", "lanes": {}}"#).starts_with("unknown field `lanes`"));
+    assert!(reported(r#"{"whole": {}}"#).starts_with("missing field `change_id`"));
     assert!(Change::read(br#"{"change_id": "a", "whole": {}}"#).is_ok());
 }
--- a/packages/configuration_schema/tests/operators_page.rs
+++ b/packages/configuration_schema/tests/operators_page.rs
@@ -13,5 +13,5 @@
     let document: String = lines.collect();
     let configuration = check(&document.parse().expect("JSON")).expect("a sound document");
     assert_eq!(configuration.tenants.expect("tenants")["acme"].keys.len(), 2);
-    assert!(configuration.lanes["status"].is_public);
+    assert!(configuration.routes["status"].is_public);
 }
--- a/packages/control_model/src/explore.rs
+++ b/packages/control_model/src/explore.rs
@@ -1,4 +1,4 @@
-use crate::{Action, Breach, Counts, Fleet, Limits};
+use crate::{Action, Counts, Fleet, Limits, Violation};
 use fastrand::Rng;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// What was broken.
-    pub breach: Breach,
+    pub violation: Violation,
     /// The actions from the founded fleet on.
     pub path: Vec<Action>,
 }
@@ -40,9 +40,9 @@
 struct Visited(Vec<Mutex<HashSet<u64>>>);
 
 impl Visited {
-    fn insert(&self, mark: u64) -> bool {
-        let shard = &self.0[mark as usize % SHARDS];
-        shard.lock().unwrap_or_else(std::sync::PoisonError::into_inner).insert(mark)
+    fn insert(&self, fingerprint: u64) -> bool {
+        let shard = &self.0[fingerprint as usize % SHARDS];
+        shard.lock().unwrap_or_else(std::sync::PoisonError::into_inner).insert(fingerprint)
     }
 
     fn count(&self) -> usize {
@@ -54,9 +54,9 @@
 /// `most_states`. Example: `explore(&Limits::racing_writes(), 12, 1_000_000, 4).failure.is_none()`.
 pub fn explore(limits: &Limits, depth: usize, most_states: usize, threads: usize) -> Exploration {
     let visited = Visited((0..SHARDS).map(|_| Mutex::new(HashSet::new())).collect());
-    let founded = Fleet::founded(&Arc::new(limits.clone()));
-    visited.insert(founded.mark());
-    let mut level = vec![Step { fleet: founded, path: Vec::new() }];
+    let bootstrapped = Fleet::bootstrapped(&Arc::new(limits.clone()));
+    visited.insert(bootstrapped.fingerprint());
+    let mut level = vec![Step { fleet: bootstrapped, path: Vec::new() }];
     for reached in 0..depth {
         let part = level.len().div_ceil(threads.max(1)).max(1);
         let parts: Vec<Result<Vec<Step>, Failure>> = std::thread::scope(|scope| {
@@ -90,7 +90,7 @@
         for action in step.fleet.actions() {
             let mut fleet = step.fleet.clone();
             let outcome = fleet.apply(&action);
-            let is_new = outcome.is_err() || visited.insert(fleet.mark());
+            let is_new = outcome.is_err() || visited.insert(fleet.fingerprint());
             if !is_new {
                 continue;
             }
@@ -98,7 +98,7 @@
             path.push(action);
             match outcome {
                 Ok(()) => next_steps.push(Step { fleet, path }),
-                Err(breach) => return Err(Failure { breach, path }),
+                Err(violation) => return Err(Failure { violation, path }),
             }
         }
     }
@@ -118,22 +118,22 @@
 /// each kind of event comes about, so that some walks are calm and long and others full of one failure.
 /// Example: `walk(&Limits::everything(), 7, 400).failure.is_none()`.
 pub fn walk(limits: &Limits, seed: u64, length: usize) -> Walks {
-    let mut dice = Rng::with_seed(seed);
-    let mut habits = Habits::draw(limits.owners, &mut dice);
-    let mut fleet = Fleet::founded(&Arc::new(limits.clone()));
+    let mut rng = Rng::with_seed(seed);
+    let mut action_weights = ActionWeights::random(limits.owners, &mut rng);
+    let mut fleet = Fleet::bootstrapped(&Arc::new(limits.clone()));
     let mut path = Vec::new();
     for _ in 0..length {
-        let Some(action) = habits.pick(&fleet, &mut dice) else { break };
+        let Some(action) = action_weights.pick(&fleet, &mut rng) else { break };
         path.push(action);
-        if let Err(breach) = fleet.apply(&action) {
-            return Walks { counts: fleet.counts, failure: Some((seed, Failure { breach, path })) };
+        if let Err(violation) = fleet.apply(&action) {
+            return Walks { counts: fleet.counts, failure: Some((seed, Failure { violation, path })) };
         }
     }
     Walks { counts: fleet.counts, failure: None }
 }
 
 /// How a walk picks what happens next.
-struct Habits {
+struct ActionWeights {
     /// Of a thousand steps so many are rare events, while there is anything ordinary to do.
     rare_share: u32,
     /// The weight of each kind of action.
@@ -145,67 +145,67 @@
     frozen: Option<usize>,
 }
 
-impl Habits {
-    fn draw(owners: usize, dice: &mut Rng) -> Habits {
+impl ActionWeights {
+    fn random(owners: usize, rng: &mut Rng) -> ActionWeights {
         let mut weights = [0; Action::KINDS];
         for weight in &mut weights {
-            *weight = [0, 1, 1, 4][dice.usize(..4)];
+            *weight = [0, 1, 1, 4][rng.usize(..4)];
         }
         for (kind, weight) in
             [(Action::DELIVER, 12), (Action::SYNC, 12), (Action::CONTINUE, 6), (Action::BEGIN, 6)]
         {
             weights[kind] = weight;
         }
-        let rare_share = [5, 20, 50, 150][dice.usize(..4)];
-        Habits { rare_share, weights, owners, leader: dice.usize(..owners), frozen: None }
+        let rare_share = [5, 20, 50, 150][rng.usize(..4)];
+        ActionWeights { rare_share, weights, owners, leader: rng.usize(..owners), frozen: None }
     }
 
-    fn pick(&mut self, fleet: &Fleet, dice: &mut Rng) -> Option<Action> {
+    fn pick(&mut self, fleet: &Fleet, rng: &mut Rng) -> Option<Action> {
         if fleet.packet_count() > CROWDED {
-            return Some(Action::Lose { packet: dice.usize(..fleet.packet_count()) });
+            return Some(Action::Lose { packet: rng.usize(..fleet.packet_count()) });
         }
-        if dice.u32(..1_000) < LEADERS_CHANGE {
-            self.change_leader(dice);
+        if rng.u32(..1_000) < LEADERS_CHANGE {
+            self.change_leader(rng);
         }
         if let Some(packet) = self.frozen.and_then(|frozen| fleet.packet_for(frozen)) {
             return Some(Action::Lose { packet });
         }
         let (ordinary, rare): (Vec<Action>, Vec<Action>) =
             fleet.actions().into_iter().partition(Action::is_ordinary);
-        let is_rare = ordinary.is_empty() || dice.u32(..1_000) < self.rare_share;
+        let is_rare = ordinary.is_empty() || rng.u32(..1_000) < self.rare_share;
         let (mut picked, other) = if is_rare { (rare, ordinary) } else { (ordinary, rare) };
         let is_frozen = |action: &Action| self.frozen.is_some() && action.owner() == self.frozen;
         picked.retain(|action| self.weights[action.kind()] > 0 && !is_frozen(action));
         let picked = if picked.is_empty() { other } else { picked };
-        self.pick_of(&picked, dice)
+        self.pick_of(&picked, rng)
     }
 
-    fn change_leader(&mut self, dice: &mut Rng) {
-        self.leader = dice.usize(..self.owners);
+    fn change_leader(&mut self, rng: &mut Rng) {
+        self.leader = rng.usize(..self.owners);
         match self.frozen.take() {
             Some(woken) => self.leader = woken,
-            None if dice.bool() => self.frozen = Some(dice.usize(..self.owners)),
+            None if rng.bool() => self.frozen = Some(rng.usize(..self.owners)),
             None => {}
         }
     }
 
     /// A kind by its weight, however many places it has; then a place.
-    fn pick_of(&self, picked: &[Action], dice: &mut Rng) -> Option<Action> {
+    fn pick_of(&self, picked: &[Action], rng: &mut Rng) -> Option<Action> {
         let mut kinds: Vec<usize> = picked.iter().map(Action::kind).collect();
         kinds.sort_unstable();
         kinds.dedup();
         let total: u32 = kinds.iter().map(|kind| self.weights[*kind].max(1)).sum();
-        let mut drawn = dice.u32(..total.max(1));
+        let mut random = rng.u32(..total.max(1));
         let kind = kinds.into_iter().find(|kind| {
             let weight = self.weights[*kind].max(1);
-            let is_drawn = drawn < weight;
-            drawn = drawn.saturating_sub(weight);
-            is_drawn
+            let is_chosen = random < weight;
+            random = random.saturating_sub(weight);
+            is_chosen
         })?;
         let of_kind: Vec<&Action> = picked.iter().filter(|action| action.kind() == kind).collect();
         let at_leader: Vec<&Action> =
             of_kind.iter().filter(|action| action.owner() == Some(self.leader)).copied().collect();
-        let places = if at_leader.is_empty() || dice.u8(..10) == 0 { of_kind } else { at_leader };
-        dice.choice(places).copied()
+        let places = if at_leader.is_empty() || rng.u8(..10) == 0 { of_kind } else { at_leader };
+        rng.choice(places).copied()
     }
 }
--- a/packages/control_model/src/fleet.rs
+++ b/packages/control_model/src/fleet.rs
@@ -1,14 +1,14 @@
-use crate::history::{Acknowledged, Breach, Counts, History, Mark};
+use crate::history::{Acknowledged, Counts, History, Mark, Violation};
 use crate::limits::{Limits, Operation};
-use crate::machine::{Ask, Machine, Packet, Purpose, Receiver, TakenSet, Unsynced};
+use crate::machine::{Machine, Packet, PendingRequest, Purpose, Receiver, StoredSet, Unsynced};
 use crate::{Action, PlantedFault};
 use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
 use control_registers::{
-    CONFIGURATION_KEY, ChosenSet, DIFFERS, DISKS_KEY, DiskRegisters, OwnerAct, SetCopy, VoterSet, WRITTEN,
+    CONFIGURATION_KEY, ChosenSet, DIFFERS, DISKS_KEY, DiskRegisters, OwnerAction, SetCopy, VoterSet, WRITTEN,
 };
 use monotonic_clock::Micros;
 use peer_messages::{
-    Bytes, List, Message, NewsItem, StoreEntry, StoredEntry, Text, WriteEntry, WriteOutcome,
+    Bytes, GossipItem, List, Message, StoreEntry, StoredEntry, Text, WriteEntry, WriteOutcome,
 };
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -32,17 +32,17 @@
     crashes: u32,
     wipes: u32,
     repeats: u32,
-    late_answers: u32,
+    late_responses: u32,
     resends: u32,
     give_ups: u32,
     changes: u32,
     set_reads: u32,
-    lives: u64,
+    incarnations: u64,
     disks: u64,
 }
 
 /// One state of the model: machines with real registers and owners, messages on their way, and what was
-/// acknowledged so far. Example: `Fleet::founded(&Arc::new(Limits::three_disks()))`.
+/// acknowledged so far. Example: `Fleet::bootstrapped(&Arc::new(Limits::three_disks()))`.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     limits: Arc<Limits>,
@@ -64,24 +64,24 @@
 
 impl Fleet {
     /// Machines whose first disks took and synced the founding set.
-    /// Example: `Fleet::founded(&Arc::new(Limits::racing_writes())).actions().len()`.
-    pub fn founded(limits: &Arc<Limits>) -> Fleet {
+    /// Example: `Fleet::bootstrapped(&Arc::new(Limits::racing_writes())).actions().len()`.
+    pub fn bootstrapped(limits: &Arc<Limits>) -> Fleet {
         let disks: Vec<u64> = (1..=limits.machines as u64).collect();
-        let founding_set = ChosenSet::founding(&disks[..limits.founding]);
+        let bootstrap_set = ChosenSet::bootstrap(&disks[..limits.bootstrap]);
         let machine = |disk: &u64| {
             let mut registers = DiskRegisters::default();
-            if founding_set.disks.0.contains(disk) {
-                registers.found(&founding_set).expect("a blank disk takes the first set");
+            if bootstrap_set.disks.0.contains(disk) {
+                registers.bootstrap(&bootstrap_set).expect("a blank disk takes the first set");
             }
             Arc::new(Machine::new(*disk, (disk - 1) * PROCESSES_A_MACHINE + 1, registers))
         };
         Fleet {
             machines: disks.iter().map(machine).collect(),
             packets: Vec::new(),
-            history: History::founded(&founding_set),
+            history: History::bootstrapped(&bootstrap_set),
             used: Used {
                 operations: vec![false; limits.operations.len()],
-                lives: 1,
+                incarnations: 1,
                 disks: disks.len() as u64,
                 ..Used::default()
             },
@@ -91,8 +91,8 @@
         }
     }
 
-    /// The state's mark among visited ones. Example: `visited.insert(fleet.mark())`.
-    pub fn mark(&self) -> u64 {
+    /// The state's mark among visited ones. Example: `visited.insert(fleet.fingerprint())`.
+    pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
@@ -126,7 +126,10 @@
         for packet in 0..self.packets.len() {
             actions.push(Action::Deliver { packet });
             let is_asking = matches!(self.packets[packet].to, Receiver::Disk(_));
-            if is_asking && !self.limits.separate_sync && self.used.late_answers < self.limits.late_answers {
+            if is_asking
+                && !self.limits.separate_sync
+                && self.used.late_responses < self.limits.late_responses
+            {
                 actions.push(Action::DeliverAlone { packet });
             }
             if self.used.repeats < self.limits.repeats {
@@ -196,17 +199,18 @@
     }
 
     fn has_copy_work(&self, own: &Machine) -> bool {
-        let is_asked = |ask: &Ask| ask.key == DISKS_KEY && ask.purpose == Purpose::Write;
+        let is_requested =
+            |request: &PendingRequest| request.key == DISKS_KEY && request.purpose == Purpose::Write;
         let Some(mut copy) = own.copy.clone() else { return true };
         if copy.is_done() || self.limits.fault == Some(PlantedFault::CopySkipped) {
-            return !own.asks.values().any(is_asked);
+            return !own.requests.values().any(is_requested);
         }
         !copy.due_lists(own.clock).is_empty() || !copy.due_keys(COPY_WINDOW).is_empty()
     }
 
     /// Lets an action happen; a breach if an invariant does not hold after it.
     /// Example: `fleet.apply(&fleet.actions()[0])?`.
-    pub fn apply(&mut self, action: &Action) -> Result<(), Breach> {
+    pub fn apply(&mut self, action: &Action) -> Result<(), Violation> {
         self.counts.steps += 1;
         match *action {
             Action::Deliver { packet } => {
@@ -214,7 +218,7 @@
                 self.deliver(&packet, true)?;
             }
             Action::DeliverAlone { packet } => {
-                self.used.late_answers += 1;
+                self.used.late_responses += 1;
                 let packet = self.packets.remove(packet);
                 self.deliver(&packet, false)?;
             }
@@ -242,10 +246,10 @@
             Action::ContinueChange { machine } => self.continue_change(machine)?,
             Action::ReadSet { machine } => {
                 self.used.set_reads += 1;
-                self.ask_read(machine, DISKS_KEY, Purpose::Read)?;
+                self.request_read(machine, DISKS_KEY, Purpose::Read)?;
             }
         }
-        self.packets.sort_by_key(|packet| packet.mark);
+        self.packets.sort_by_key(|packet| packet.fingerprint);
         if !std::mem::take(&mut self.is_judged_anew) {
             return Ok(());
         }
@@ -258,30 +262,31 @@
         Arc::make_mut(&mut self.machines[machine])
     }
 
-    fn pass_time(&mut self, machine: usize, pause: Micros) -> Result<(), Breach> {
+    fn pass_time(&mut self, machine: usize, pause: Micros) -> Result<(), Violation> {
         let own = self.machine(machine);
         own.clock = own.clock + pause;
         self.flush(machine)
     }
 
-    fn crash(&mut self, machine: usize) -> Result<(), Breach> {
+    fn crash(&mut self, machine: usize) -> Result<(), Violation> {
         self.used.crashes += 1;
-        self.used.lives += 1;
-        let process = machine as u64 * PROCESSES_A_MACHINE + self.used.lives;
+        self.used.incarnations += 1;
+        let process = machine as u64 * PROCESSES_A_MACHINE + self.used.incarnations;
         let own = self.machine(machine);
-        let former_process = own.process;
+        let previous_process = own.process;
         own.restart(process);
         let set = own.set.clone();
-        self.packets.retain(|packet| packet.to != Receiver::Process(former_process));
+        self.packets.retain(|packet| packet.to != Receiver::Process(previous_process));
         if set.generation == 0 { Ok(()) } else { self.history.goes_by(&set) }
     }
 
     fn wipe(&mut self, machine: usize) {
         self.is_judged_anew = true;
         self.used.wipes += 1;
-        self.used.lives += 1;
+        self.used.incarnations += 1;
         self.used.disks += 1;
-        let (disk, process) = (self.used.disks, machine as u64 * PROCESSES_A_MACHINE + self.used.lives);
+        let (disk, process) =
+            (self.used.disks, machine as u64 * PROCESSES_A_MACHINE + self.used.incarnations);
         let lost = self.machines[machine].clone();
         self.machines[machine] = Arc::new(Machine::new(disk, process, DiskRegisters::default()));
         let is_lost = |to| [Receiver::Process(lost.process), Receiver::Disk(lost.disk)].contains(&to);
@@ -290,17 +295,17 @@
 
     // What a disk does.
 
-    fn deliver(&mut self, packet: &Packet, answers_at_once: bool) -> Result<(), Breach> {
+    fn deliver(&mut self, packet: &Packet, responses_at_once: bool) -> Result<(), Violation> {
         let is_receiver = |machine: &Arc<Machine>| match packet.to {
             Receiver::Disk(disk) => machine.disk == disk,
             Receiver::Process(process) => machine.process == process,
         };
         let Some(place) = self.machines.iter().position(is_receiver) else { return Ok(()) };
         match &packet.message {
-            Message::Promise { .. } | Message::Store { .. } | Message::KeysAsk { .. } => {
-                self.disk_asked(place, packet, answers_at_once)
+            Message::Promise { .. } | Message::Store { .. } | Message::KeysRequest { .. } => {
+                self.disk_requested(place, packet, responses_at_once)
             }
-            message => self.process_told(place, message),
+            message => self.process_received(place, message),
         }
     }
 
@@ -314,94 +319,100 @@
         let stored_generation = registers.proposed().map_or(0, |proposed| proposed.generation());
         match stored_generation > registers.chosen().generation {
             true => sender_set.max(stored_generation << 32),
-            false => sender_set.max(registers.chosen().mark()),
+            false => sender_set.max(registers.chosen().digest()),
         }
     }
 
-    fn disk_asked(&mut self, place: usize, packet: &Packet, answers_at_once: bool) -> Result<(), Breach> {
+    fn disk_requested(
+        &mut self,
+        place: usize,
+        packet: &Packet,
+        responses_at_once: bool,
+    ) -> Result<(), Violation> {
         let fault = self.limits.fault;
         let sender_set = sender_set(&packet.message);
         let judged_set = self.judged_set(place, sender_set);
         let own = self.machine(place);
         let (mut records, mut sets) = (Vec::new(), Vec::new());
-        let answer = match &packet.message {
+        let response = match &packet.message {
             Message::Promise { entries, .. } => {
-                let (answers, promised) = own.registers.promise(judged_set, entries);
+                let (responses, promised) = own.registers.promise(judged_set, entries);
                 records = promised;
-                Some(Message::Promised { disk: own.disk, entries: List(answers) })
+                Some(Message::Promised { disk: own.disk, entries: List(responses) })
             }
             Message::Store { entries, .. } => {
-                let (mut answers, stored) = own.registers.store(judged_set, entries);
+                let (mut responses, stored) = own.registers.store(judged_set, entries);
                 records = stored;
-                sets = taken_sets(entries, &answers);
+                sets = stored_sets(entries, &responses);
                 if fault == Some(PlantedFault::PromiseFenceSkipped) {
-                    answers.iter_mut().for_each(|answer| answer.granted = 1);
+                    responses.iter_mut().for_each(|response| response.granted = 1);
                 }
-                Some(Message::Stored { disk: own.disk, entries: List(answers) })
+                Some(Message::Stored { disk: own.disk, entries: List(responses) })
             }
             _ => own.registers.list_keys(sender_set).map(|keys| {
                 let keys = List(keys.into_iter().map(Text).collect());
-                Message::KeysTold { fleet_set: sender_set, disk: own.disk, keys }
+                Message::KeysResponse { fleet_set: sender_set, disk: own.disk, keys }
             }),
         };
         let is_outdated = sender_set >> 32 < own.set.generation;
-        let answer = answer.map(|message| Packet::new(Receiver::Process(packet.from), own.process, message));
-        self.hand_to_disk(place, records, sets, answer, answers_at_once)?;
+        let response =
+            response.map(|message| Packet::new(Receiver::Process(packet.from), own.process, message));
+        self.submit_to_disk(place, records, sets, response, responses_at_once)?;
         if is_outdated {
-            self.tell_set(place, packet.from);
+            self.announce_set(place, packet.from);
         }
         if fault == Some(PlantedFault::SetInForceAtOnce) {
-            self.take_stored_set(place, &packet.message)?;
+            self.apply_stored_set(place, &packet.message)?;
         }
         Ok(())
     }
 
     /// Records wait for the sync, and the answer for them.
-    fn hand_to_disk(
+    fn submit_to_disk(
         &mut self,
         place: usize,
         records: Vec<Vec<u8>>,
-        sets: Vec<TakenSet>,
-        answer: Option<Packet>,
-        answers_at_once: bool,
-    ) -> Result<(), Breach> {
-        let answers_early = self.limits.fault == Some(PlantedFault::AnswerBeforeSync);
-        let (early, waiting) = if answers_early { (answer, None) } else { (None, answer) };
+        sets: Vec<StoredSet>,
+        response: Option<Packet>,
+        responses_at_once: bool,
+    ) -> Result<(), Violation> {
+        let responses_early = self.limits.fault == Some(PlantedFault::AnswerBeforeSync);
+        let (early, waiting) = if responses_early { (response, None) } else { (None, response) };
         if !records.is_empty() || waiting.is_some() {
-            self.machine(place).unsynced.push(Unsynced { records, sets, answer: waiting });
+            self.machine(place).unsynced.push(Unsynced { records, sets, response: waiting });
         }
         self.packets.extend(early.map(Arc::new));
         let is_waiting = !self.machines[place].unsynced.iter().all(|unsynced| unsynced.records.is_empty());
         if self.limits.separate_sync && is_waiting {
             return Ok(());
         }
-        self.sync(place, answers_at_once && !self.limits.separate_sync)
+        self.sync(place, responses_at_once && !self.limits.separate_sync)
     }
 
-    fn sync(&mut self, place: usize, answers_at_once: bool) -> Result<(), Breach> {
+    fn sync(&mut self, place: usize, responses_at_once: bool) -> Result<(), Violation> {
         self.is_judged_anew = true;
         let own = self.machine(place);
         let disk = own.disk;
-        let (sets, answers) = own.sync();
+        let (sets, responses) = own.sync();
         for (epoch, value) in sets {
             if self.history.set_synced(disk, epoch, &value)? {
                 self.counts.sets += 1;
             }
         }
-        for answer in answers {
-            match answers_at_once {
-                true => self.deliver(&answer, true)?,
-                false => self.packets.push(Arc::new(answer)),
+        for response in responses {
+            match responses_at_once {
+                true => self.deliver(&response, true)?,
+                false => self.packets.push(Arc::new(response)),
             }
         }
         Ok(())
     }
 
     /// Planted: what one disk stored is gone by.
-    fn take_stored_set(&mut self, place: usize, message: &Message) -> Result<(), Breach> {
+    fn apply_stored_set(&mut self, place: usize, message: &Message) -> Result<(), Violation> {
         let Message::Store { entries, .. } = message else { return Ok(()) };
         let set_entry = entries.0.iter().find(|entry| entry.key.0 == DISKS_KEY);
-        match set_entry.and_then(|entry| ChosenSet::told(&entry.value)) {
+        match set_entry.and_then(|entry| ChosenSet::received(&entry.value)) {
             Some(set) => self.learn(place, &set),
             None => Ok(()),
         }
@@ -409,19 +420,19 @@
 
     // What a process does.
 
-    fn process_told(&mut self, place: usize, message: &Message) -> Result<(), Breach> {
+    fn process_received(&mut self, place: usize, message: &Message) -> Result<(), Violation> {
         let own = self.machine(place);
         let now = own.clock;
         match message {
             Message::Promised { disk, entries } => own.owner.promised(*disk, entries.clone(), now),
             Message::Stored { disk, entries } => own.owner.stored(*disk, entries.clone(), now),
-            Message::KeysTold { fleet_set, disk, keys } => {
+            Message::KeysResponse { fleet_set, disk, keys } => {
                 if let Some(copy) = &mut own.copy {
                     copy.listed(*disk, *fleet_set, keys.0.iter().map(|key| key.0.clone()));
                 }
             }
-            Message::News { items } => {
-                if let Some(set) = ChosenSet::told(&items.0[0].body) {
+            Message::Gossip { items } => {
+                if let Some(set) = ChosenSet::received(&items.0[0].body) {
                     self.learn(place, &set)?;
                 }
             }
@@ -440,13 +451,13 @@
         own.owner.stored(other.unwrap_or(*disk), entries.clone(), own.clock);
     }
 
-    fn learn(&mut self, place: usize, set: &ChosenSet) -> Result<(), Breach> {
+    fn learn(&mut self, place: usize, set: &ChosenSet) -> Result<(), Violation> {
         self.history.goes_by(set)?;
         let own = self.machine(place);
         if set.generation > own.set.generation {
             own.set = set.clone();
             own.copy = None;
-            own.owner.take_set(set);
+            own.owner.adopt_set(set);
         }
         let is_outsider = own.registers.chosen().generation == 0 && !own.may_own();
         if is_outsider {
@@ -454,73 +465,73 @@
         }
         let set = own.set.clone();
         let records = own.registers.learn_chosen(&set);
-        self.hand_to_disk(place, records, Vec::new(), None, false)
+        self.submit_to_disk(place, records, Vec::new(), None, false)
     }
 
-    fn tell_set(&mut self, place: usize, process: u64) {
+    fn announce_set(&mut self, place: usize, process: u64) {
         let own = &self.machines[place];
         let (origin, sequence) = (own.process, own.set.generation);
-        let item = NewsItem { topic: DISKS_KEY.into(), origin, sequence, body: own.set.encode() };
-        let message = Message::News { items: List(vec![item]) };
+        let item = GossipItem { topic: DISKS_KEY.into(), origin, sequence, body: own.set.encode() };
+        let message = Message::Gossip { items: List(vec![item]) };
         self.packets.push(Arc::new(Packet::new(Receiver::Process(process), origin, message)));
     }
 
-    fn flush(&mut self, place: usize) -> Result<(), Breach> {
+    fn flush(&mut self, place: usize) -> Result<(), Violation> {
         loop {
             let own = self.machine(place);
-            let acts = own.owner.flush(own.clock);
-            if acts.is_empty() {
+            let actions = own.owner.flush(own.clock);
+            if actions.is_empty() {
                 return Ok(());
             }
-            for act in acts {
-                self.carry_out(place, act)?;
+            for action in actions {
+                self.carry_out(place, action)?;
             }
         }
     }
 
-    fn carry_out(&mut self, place: usize, act: OwnerAct) -> Result<(), Breach> {
+    fn carry_out(&mut self, place: usize, action: OwnerAction) -> Result<(), Violation> {
         let from = self.machines[place].process;
-        match act {
-            OwnerAct::Promise { disk, fleet_set, entries } => {
+        match action {
+            OwnerAction::Promise { disk, fleet_set, entries } => {
                 let message = Message::Promise { fleet_set, entries };
                 self.packets.push(Arc::new(Packet::new(Receiver::Disk(disk), from, message)));
             }
-            OwnerAct::Store { disk, fleet_set, entries } => {
+            OwnerAction::Store { disk, fleet_set, entries } => {
                 let epochs = &mut self.machine(place).epochs;
                 epochs.extend(entries.0.iter().map(|entry| (entry.key.0.clone(), entry.epoch.clone())));
                 let message = Message::Store { fleet_set, entries };
                 self.packets.push(Arc::new(Packet::new(Receiver::Disk(disk), from, message)));
             }
-            OwnerAct::Chosen(set) => {
+            OwnerAction::Chosen(set) => {
                 self.learn(place, &set)?;
                 for other in 0..self.machines.len() {
                     if other != place {
                         let process = self.machines[other].process;
-                        self.tell_set(place, process);
+                        self.announce_set(place, process);
                     }
                 }
             }
-            OwnerAct::Answer { outcome, .. } => self.answered(place, &outcome)?,
+            OwnerAction::Response { outcome, .. } => self.answered(place, &outcome)?,
         }
         Ok(())
     }
 
     // What clients and operators do.
 
-    fn begin(&mut self, operation: usize, machine: usize) -> Result<(), Breach> {
+    fn begin(&mut self, operation: usize, machine: usize) -> Result<(), Violation> {
         self.used.operations[operation] = true;
         match self.limits.operations[operation].clone() {
-            Operation::Read { key } => self.ask_read(machine, key, Purpose::Read),
+            Operation::Read { key } => self.request_read(machine, key, Purpose::Read),
             Operation::Write { key, value } => {
                 let expected = self.machines[machine].known.get(key).map_or(0, |(version, _)| *version);
                 let value = Bytes(value.to_le_bytes().to_vec());
-                self.ask_write(machine, key, expected, value, Purpose::Write)
+                self.request_write(machine, key, expected, value, Purpose::Write)
             }
-            Operation::Change { id } => self.ask_change(machine, id, CHANGE_TRIES),
+            Operation::Change { id } => self.request_change(machine, id, CHANGE_TRIES),
         }
     }
 
-    fn ask_change(&mut self, machine: usize, id: u64, tries: u8) -> Result<(), Breach> {
+    fn request_change(&mut self, machine: usize, id: u64, tries: u8) -> Result<(), Violation> {
         let (expected, base) =
             self.machines[machine].known.get(CONFIGURATION_KEY).cloned().unwrap_or_default();
         // Where the model writes plain numbers into the configuration's key, a change has no base.
@@ -531,115 +542,126 @@
             return self.history.accept(id, generation);
         }
         let purpose = Purpose::Change { id, generation, tries };
-        self.ask_write(machine, CONFIGURATION_KEY, expected, Bytes(stored.encode()), purpose)
+        self.request_write(machine, CONFIGURATION_KEY, expected, Bytes(stored.encode()), purpose)
     }
 
-    fn begin_change(&mut self, machine: usize, lost: u64, fresh: u64) -> Result<(), Breach> {
+    fn begin_change(&mut self, machine: usize, lost: u64, fresh: u64) -> Result<(), Violation> {
         self.used.changes += 1;
         let set = self.machines[machine].set.clone();
         let Some(joint_set) = set.begin_change(lost, fresh) else { return Ok(()) };
-        self.ask_write(machine, DISKS_KEY, set.generation, joint_set.encode(), Purpose::Write)
+        self.request_write(machine, DISKS_KEY, set.generation, joint_set.encode(), Purpose::Write)
     }
 
-    fn continue_change(&mut self, machine: usize) -> Result<(), Breach> {
+    fn continue_change(&mut self, machine: usize) -> Result<(), Violation> {
         let is_skipped = self.limits.fault == Some(PlantedFault::CopySkipped);
         let own = self.machine(machine);
         let (set, now, from) = (own.set.clone(), own.clock, own.process);
         let copy = own.copy.get_or_insert_with(|| SetCopy::new(set.clone()));
         if copy.is_done() || is_skipped {
             let Some(final_set) = set.end_change() else { return Ok(()) };
-            return self.ask_write(machine, DISKS_KEY, set.generation, final_set.encode(), Purpose::Write);
+            return self.request_write(
+                machine,
+                DISKS_KEY,
+                set.generation,
+                final_set.encode(),
+                Purpose::Write,
+            );
         }
         let (due_lists, due_keys) = (copy.due_lists(now), copy.due_keys(COPY_WINDOW));
         for disk in due_lists {
-            let message = Message::KeysAsk { fleet_set: set.mark() };
+            let message = Message::KeysRequest { fleet_set: set.digest() };
             self.packets.push(Arc::new(Packet::new(Receiver::Disk(disk), from, message)));
         }
         for key in due_keys {
-            self.ask_read(machine, &key, Purpose::Copy { generation: set.generation })?;
+            self.request_read(machine, &key, Purpose::Copy { generation: set.generation })?;
         }
         Ok(())
     }
 
-    fn new_ask(&mut self, machine: usize, key: &str, value: Bytes, purpose: Purpose) -> u64 {
-        let begun: Mark = self.history.mark(key);
+    fn new_request(&mut self, machine: usize, key: &str, value: Bytes, purpose: Purpose) -> u64 {
+        let begun: Mark = self.history.acknowledged_mark(key);
         let own = self.machine(machine);
-        let ask = own.next_ask;
-        own.next_ask += 1;
-        own.asks.insert(ask, Ask { key: key.to_owned(), purpose, value, begun });
-        ask
+        let request_id = own.next_request_id;
+        own.next_request_id += 1;
+        own.requests.insert(request_id, PendingRequest { key: key.to_owned(), purpose, value, begun });
+        request_id
     }
 
-    fn ask_read(&mut self, machine: usize, key: &str, purpose: Purpose) -> Result<(), Breach> {
-        let ask = self.new_ask(machine, key, Bytes::default(), purpose);
+    fn request_read(&mut self, machine: usize, key: &str, purpose: Purpose) -> Result<(), Violation> {
+        let request_id = self.new_request(machine, key, Bytes::default(), purpose);
         let own = self.machine(machine);
-        own.owner.read_confirmed(own.process, ask, key.into(), own.clock);
+        own.owner.read_confirmed(own.process, request_id, key.into(), own.clock);
         self.flush(machine)
     }
 
-    fn ask_write(
+    fn request_write(
         &mut self,
         machine: usize,
         key: &str,
         expected: u64,
         value: Bytes,
         purpose: Purpose,
-    ) -> Result<(), Breach> {
-        let ask = self.new_ask(machine, key, value.clone(), purpose);
+    ) -> Result<(), Violation> {
+        let request_id = self.new_request(machine, key, value.clone(), purpose);
         let own = self.machine(machine);
-        let entry = WriteEntry { ask, key: key.into(), expected, value, hasty: 1 };
+        let entry = WriteEntry { request_id, key: key.into(), expected, value, urgent: 1 };
         own.owner.write(own.process, entry, own.clock);
         self.flush(machine)
     }
 
-    fn answered(&mut self, place: usize, outcome: &WriteOutcome) -> Result<(), Breach> {
+    fn answered(&mut self, place: usize, outcome: &WriteOutcome) -> Result<(), Violation> {
         self.is_judged_anew = true;
         let own = self.machine(place);
-        let Some(ask) = own.asks.remove(&outcome.ask) else { return Ok(()) };
-        let is_write = matches!(ask.purpose, Purpose::Write | Purpose::Change { .. });
-        let value = if is_write && outcome.outcome == WRITTEN { &ask.value } else { &outcome.value };
-        let is_told = [WRITTEN, DIFFERS].contains(&outcome.outcome);
-        if is_told {
-            own.known.insert(ask.key.clone(), (outcome.version, value.clone()));
-        }
-        if let (Purpose::Copy { generation }, Some(copy)) = (&ask.purpose, &mut own.copy)
+        let Some(request) = own.requests.remove(&outcome.request_id) else { return Ok(()) };
+        let is_write = matches!(request.purpose, Purpose::Write | Purpose::Change { .. });
+        let value = if is_write && outcome.outcome == WRITTEN { &request.value } else { &outcome.value };
+        let is_reported = [WRITTEN, DIFFERS].contains(&outcome.outcome);
+        if is_reported {
+            own.known.insert(request.key.clone(), (outcome.version, value.clone()));
+        }
+        if let (Purpose::Copy { generation }, Some(copy)) = (&request.purpose, &mut own.copy)
             && copy.generation() == *generation
         {
-            copy.answered(&ask.key, outcome.outcome == WRITTEN);
+            copy.answered(&request.key, outcome.outcome == WRITTEN);
         }
         if outcome.outcome == WRITTEN {
             let acknowledged = Acknowledged {
-                key: &ask.key,
+                key: &request.key,
                 version: outcome.version,
                 value,
-                epoch: own.epochs.get(&ask.key).map_or((0, 0), |epoch| epoch.rank()),
+                epoch: own.epochs.get(&request.key).map_or((0, 0), |epoch| epoch.rank()),
                 generation: own.set.generation,
-                begun: &ask.begun,
-                write: is_write.then_some((own.process, outcome.ask)),
+                begun: &request.begun,
+                write: is_write.then_some((own.process, outcome.request_id)),
             };
             self.history.acknowledge(&acknowledged)?;
             let count = if is_write { &mut self.counts.writes } else { &mut self.counts.reads };
             *count += 1;
-        } else if is_told {
-            self.history.shown(&ask.key, outcome.version, value)?;
+        } else if is_reported {
+            self.history.shown(&request.key, outcome.version, value)?;
         }
-        if is_told
-            && ask.key == DISKS_KEY
-            && let Some(set) = ChosenSet::told(value)
+        if is_reported
+            && request.key == DISKS_KEY
+            && let Some(set) = ChosenSet::received(value)
         {
             self.learn(place, &set)?;
         }
-        self.change_answered(place, &ask, outcome.outcome)
+        self.change_answered(place, &request, outcome.outcome)
     }
 
-    fn change_answered(&mut self, place: usize, ask: &Ask, outcome: u8) -> Result<(), Breach> {
-        let Purpose::Change { id, generation, tries } = ask.purpose else { return Ok(()) };
+    fn change_answered(
+        &mut self,
+        place: usize,
+        request: &PendingRequest,
+        outcome: u8,
+    ) -> Result<(), Violation> {
+        let Purpose::Change { id, generation, tries } = request.purpose else { return Ok(()) };
         match outcome {
             WRITTEN => {
                 self.counts.changes += 1;
                 self.history.accept(id, generation)
             }
-            DIFFERS if tries > 0 => self.ask_change(place, id, tries - 1),
+            DIFFERS if tries > 0 => self.request_change(place, id, tries - 1),
             _ => Ok(()),
         }
     }
@@ -649,14 +671,14 @@
     match message {
         Message::Promise { fleet_set, .. }
         | Message::Store { fleet_set, .. }
-        | Message::KeysAsk { fleet_set } => *fleet_set,
+        | Message::KeysRequest { fleet_set } => *fleet_set,
         _ => 0,
     }
 }
 
 /// The voter sets among what a disk took to store.
-fn taken_sets(entries: &List<StoreEntry>, answers: &[StoredEntry]) -> Vec<TakenSet> {
-    let taken = entries.0.iter().zip(answers).filter(|(_, answer)| answer.granted == 1);
+fn stored_sets(entries: &List<StoreEntry>, responses: &[StoredEntry]) -> Vec<StoredSet> {
+    let taken = entries.0.iter().zip(responses).filter(|(_, response)| response.granted == 1);
     let sets = taken.filter(|(entry, _)| entry.key.0 == DISKS_KEY);
     sets.filter(|(entry, _)| VoterSet::decode(&entry.value).is_some())
         .map(|(entry, _)| (entry.epoch.rank(), entry.value.clone()))
--- a/packages/control_model/src/history.rs
+++ b/packages/control_model/src/history.rs
@@ -2,7 +2,7 @@
 use peer_messages::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold after each step. Example: `breach.invariant == Invariant::OneChosenSet`.
+/// What must hold after each step. Example: `violation.invariant == Invariant::OneChosenSet`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
     /// 1: a generation of the voter set has one chosen set at the most.
@@ -27,7 +27,7 @@
 
 /// A broken invariant. Example: `panic!("{breach:?}")`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// Which one.
     pub invariant: Invariant,
     /// What was seen.
@@ -98,17 +98,17 @@
     accepted: BTreeMap<u64, u64>,
 }
 
-fn broken(invariant: Invariant, seen: String) -> Result<(), Breach> {
-    Err(Breach { invariant, seen })
+fn broken(invariant: Invariant, seen: String) -> Result<(), Violation> {
+    Err(Violation { invariant, seen })
 }
 
 impl History {
-    pub(crate) fn founded(founding_set: &VoterSet) -> History {
-        let chosen = BTreeMap::from([(founding_set.generation, founding_set.clone())]);
+    pub(crate) fn bootstrapped(bootstrap_set: &VoterSet) -> History {
+        let chosen = BTreeMap::from([(bootstrap_set.generation, bootstrap_set.clone())]);
         History { chosen, ..History::default() }
     }
 
-    pub(crate) fn mark(&self, key: &str) -> Mark {
+    pub(crate) fn acknowledged_mark(&self, key: &str) -> Mark {
         self.keys.get(key).map(|key_history| key_history.newest.clone()).unwrap_or_default()
     }
 
@@ -116,7 +116,7 @@
         self.chosen.values().next_back().expect("the founding set at least")
     }
 
-    pub(crate) fn acknowledge(&mut self, acknowledged: &Acknowledged) -> Result<(), Breach> {
+    pub(crate) fn acknowledge(&mut self, acknowledged: &Acknowledged) -> Result<(), Violation> {
         let Acknowledged { key, version, value, epoch, generation, begun, write } = acknowledged;
         let (version, epoch, generation) = (*version, *epoch, *generation);
         let key_history = self.keys.entry((*key).to_owned()).or_default();
@@ -143,7 +143,7 @@
     }
 
     /// A value that an owner tells to stand.
-    pub(crate) fn shown(&mut self, key: &str, version: u64, value: &Bytes) -> Result<(), Breach> {
+    pub(crate) fn shown(&mut self, key: &str, version: u64, value: &Bytes) -> Result<(), Violation> {
         let key_history = self.keys.entry(key.to_owned()).or_default();
         let known = key_history.values.entry(version).or_insert_with(|| value.clone());
         if known != value {
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    pub(crate) fn accept(&mut self, change: u64, generation: u64) -> Result<(), Breach> {
+    pub(crate) fn accept(&mut self, change: u64, generation: u64) -> Result<(), Violation> {
         let other_generation = self.accepted.iter().find(|(_, known)| **known == change).map(|(at, _)| *at);
         let other_change = self.accepted.insert(generation, change);
         if other_generation.is_some_and(|other| other != generation)
@@ -166,7 +166,12 @@
     }
 
     /// A disk synced a voter set under an epoch; true if that made it the chosen one.
-    pub(crate) fn set_synced(&mut self, disk: u64, epoch: (u64, u64), value: &Bytes) -> Result<bool, Breach> {
+    pub(crate) fn set_synced(
+        &mut self,
+        disk: u64,
+        epoch: (u64, u64),
+        value: &Bytes,
+    ) -> Result<bool, Violation> {
         let Some(set) = VoterSet::decode(value) else { return Ok(false) };
         let disks = self.stored_sets.entry((set.generation, epoch, value.clone())).or_default();
         disks.insert(disk);
@@ -183,7 +188,7 @@
         Ok(is_new)
     }
 
-    pub(crate) fn goes_by(&self, set: &ChosenSet) -> Result<(), Breach> {
+    pub(crate) fn goes_by(&self, set: &ChosenSet) -> Result<(), Violation> {
         if self.chosen.get(&set.generation) == Some(&**set) {
             return Ok(());
         }
@@ -192,7 +197,7 @@
 
     /// Whether any quorum of the newest chosen set would show something older than was acknowledged:
     /// a read takes the value of the highest epoch that it meets.
-    pub(crate) fn check_quorums(&self, disks: &BTreeMap<u64, &DiskRegisters>) -> Result<(), Breach> {
+    pub(crate) fn check_quorums(&self, disks: &BTreeMap<u64, &DiskRegisters>) -> Result<(), Violation> {
         let set = self.newest_set();
         for (key, key_history) in self.keys.iter().filter(|(key, _)| *key != DISKS_KEY) {
             let Some(value) = key_history.values.get(&key_history.newest.version) else { continue };
--- a/packages/control_model/src/history/tests.rs
+++ b/packages/control_model/src/history/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-fn founded() -> (History, VoterSet) {
-    let set = VoterSet::founding(&[1, 2, 3]);
-    (History::founded(&set), set)
+fn bootstrapped() -> (History, VoterSet) {
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
+    (History::bootstrapped(&set), set)
 }
 
-fn broken_rule(outcome: Result<(), Breach>) -> Option<Invariant> {
-    outcome.err().map(|breach| breach.invariant)
+fn broken_rule(outcome: Result<(), Violation>) -> Option<Invariant> {
+    outcome.err().map(|violation| violation.invariant)
 }
 
 #[test]
 fn two_chosen_sets_of_a_generation_are_seen() {
-    let (mut history, set) = founded();
+    let (mut history, set) = bootstrapped();
     let first = set.begin_change(3, 8).expect("no change under way").encode();
     let second = set.begin_change(1, 9).expect("no change under way").encode();
     let synced =
@@ -20,13 +20,13 @@
     assert_eq!(synced(&mut history, 2, 2, &second), Ok(false), "one disk each");
     assert_eq!(synced(&mut history, 3, 1, &first), Ok(true));
     assert_eq!(synced(&mut history, 2, 3, &first), Ok(false), "the same set under another epoch");
-    let breach = synced(&mut history, 3, 2, &second).expect_err("a second quorum");
-    assert_eq!(breach.invariant, Invariant::OneChosenSet);
+    let violation = synced(&mut history, 3, 2, &second).expect_err("a second quorum");
+    assert_eq!(violation.invariant, Invariant::OneChosenSet);
 }
 
 #[test]
 fn a_version_with_two_values_is_seen() {
-    let (mut history, _) = founded();
+    let (mut history, _) = bootstrapped();
     assert_eq!(broken_rule(history.shown("a", 1, &Bytes(vec![1]))), None);
     assert_eq!(broken_rule(history.shown("a", 2, &Bytes(vec![2]))), None);
     let other = history.shown("a", 1, &Bytes(vec![2]));
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_change_in_two_generations_and_two_changes_in_one_are_seen() {
-    let (mut history, _) = founded();
+    let (mut history, _) = bootstrapped();
     assert_eq!(broken_rule(history.accept(1, 1)), None);
     assert_eq!(broken_rule(history.accept(1, 1)), None, "told again");
     assert_eq!(broken_rule(history.clone().accept(1, 2)), Some(Invariant::OneChangeAGeneration));
--- a/packages/control_model/src/lib.rs
+++ b/packages/control_model/src/lib.rs
@@ -19,5 +19,5 @@
 pub use explore::{Exploration, Failure, Walks, explore, walk};
 pub use fault::PlantedFault;
 pub use fleet::Fleet;
-pub use history::{Breach, Counts, Invariant};
+pub use history::{Counts, Invariant, Violation};
 pub use limits::{Limits, Operation};
--- a/packages/control_model/src/limits.rs
+++ b/packages/control_model/src/limits.rs
@@ -16,10 +16,10 @@
 /// What may happen in an exploration, and how often. Example: `Limits::three_disks()`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Machines, each with one disk; the first `founding` ones vote at the start.
+    /// Machines, each with one disk; the first `bootstrap` ones vote at the start.
     pub machines: usize,
     /// Voters of the founding set.
-    pub founding: usize,
+    pub bootstrap: usize,
     /// Machines at which operations begin.
     pub owners: usize,
     /// What clients ask for.
@@ -31,7 +31,7 @@
     /// Messages that arrive and stay on their way to arrive again.
     pub repeats: u32,
     /// Answers that do not arrive at once but in any order later.
-    pub late_answers: u32,
+    pub late_responses: u32,
     /// Owners that send again what was not answered.
     pub resends: u32,
     /// Owners that give up what was not answered.
@@ -52,13 +52,13 @@
     pub fn three_disks() -> Limits {
         Limits {
             machines: 3,
-            founding: 3,
+            bootstrap: 3,
             owners: 2,
             operations: Vec::new(),
             crashes: 0,
             wipes: 0,
             repeats: 0,
-            late_answers: 0,
+            late_responses: 0,
             resends: 0,
             give_ups: 0,
             changes: 0,
@@ -74,7 +74,7 @@
         let write = |value| Operation::Write { key: "steward/a", value };
         Limits {
             operations: vec![write(1), write(2), Operation::Read { key: "steward/a" }],
-            late_answers: 1,
+            late_responses: 1,
             ..Limits::three_disks()
         }
     }
@@ -121,7 +121,7 @@
             wipes: 0,
             repeats: 0,
             separate_sync: false,
-            late_answers: 20,
+            late_responses: 20,
             ..Limits::everything()
         }
     }
@@ -140,13 +140,13 @@
         }
         Limits {
             machines: 6,
-            founding: 3,
+            bootstrap: 3,
             owners: 6,
             operations,
             crashes: 12,
             wipes: 4,
             repeats: 40,
-            late_answers: u32::MAX,
+            late_responses: u32::MAX,
             resends: 80,
             give_ups: 40,
             changes: 12,
--- a/packages/control_model/src/machine.rs
+++ b/packages/control_model/src/machine.rs
@@ -21,32 +21,32 @@
     pub(crate) from: u64,
     pub(crate) message: Message,
     /// Reckoned once: states are compared by it.
-    pub(crate) mark: u64,
+    pub(crate) fingerprint: u64,
 }
 
 impl Packet {
     pub(crate) fn new(to: Receiver, from: u64, message: Message) -> Packet {
         let mut hasher = DefaultHasher::new();
         (to, from, &message).hash(&mut hasher);
-        Packet { to, from, message, mark: hasher.finish() }
+        Packet { to, from, message, fingerprint: hasher.finish() }
     }
 }
 
 impl Hash for Packet {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.mark.hash(hasher);
+        self.fingerprint.hash(hasher);
     }
 }
 
 /// A voter set that a disk took and has yet to sync: its epoch and bytes.
-pub(crate) type TakenSet = ((u64, u64), Bytes);
+pub(crate) type StoredSet = ((u64, u64), Bytes);
 
 /// Records that are not synced, and the answer that waits for them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Unsynced {
     pub(crate) records: Vec<Vec<u8>>,
-    pub(crate) sets: Vec<TakenSet>,
-    pub(crate) answer: Option<Packet>,
+    pub(crate) sets: Vec<StoredSet>,
+    pub(crate) response: Option<Packet>,
 }
 
 /// What an ask of this machine's owner is for.
@@ -66,7 +66,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Ask {
+pub(crate) struct PendingRequest {
     pub(crate) key: String,
     pub(crate) purpose: Purpose,
     pub(crate) value: Bytes,
@@ -87,8 +87,8 @@
     pub(crate) set: ChosenSet,
     pub(crate) copy: Option<SetCopy>,
     pub(crate) clock: Micros,
-    pub(crate) asks: BTreeMap<u64, Ask>,
-    pub(crate) next_ask: u64,
+    pub(crate) requests: BTreeMap<u64, PendingRequest>,
+    pub(crate) next_request_id: u64,
     /// The epoch under which the owner last stored a key.
     pub(crate) epochs: BTreeMap<String, Epoch>,
     /// Versions and values that answers told.
@@ -99,7 +99,7 @@
     pub(crate) fn new(disk: u64, process: u64, durable: DiskRegisters) -> Machine {
         let set = durable.chosen().clone();
         let mut owner = KeyOwner::new(process);
-        owner.take_set(&set);
+        owner.adopt_set(&set);
         Machine {
             disk,
             registers: durable.clone(),
@@ -110,8 +110,8 @@
             set,
             copy: None,
             clock: Micros(0),
-            asks: BTreeMap::new(),
-            next_ask: 1,
+            requests: BTreeMap::new(),
+            next_request_id: 1,
             epochs: BTreeMap::new(),
             known: BTreeMap::new(),
         }
@@ -127,18 +127,18 @@
     }
 
     /// All that waits is synced, through the records themselves; sets and answers that this sets free.
-    pub(crate) fn sync(&mut self) -> (Vec<TakenSet>, Vec<Packet>) {
-        let (mut records, mut sets, mut answers) = (Vec::new(), Vec::new(), Vec::new());
+    pub(crate) fn sync(&mut self) -> (Vec<StoredSet>, Vec<Packet>) {
+        let (mut records, mut sets, mut responses) = (Vec::new(), Vec::new(), Vec::new());
         for unsynced in self.unsynced.drain(..) {
             records.extend(unsynced.records);
             sets.extend(unsynced.sets);
-            answers.extend(unsynced.answer);
+            responses.extend(unsynced.response);
         }
         if records.is_empty() {
-            return (sets, answers);
+            return (sets, responses);
         }
         records.splice(0..0, self.durable.live_records());
         self.durable = DiskRegisters::restore(&records).expect("records of a disk's own");
-        (sets, answers)
+        (sets, responses)
     }
 }
--- a/packages/control_model/src/main.rs
+++ b/packages/control_model/src/main.rs
@@ -44,7 +44,7 @@
             found.depth,
             began.elapsed().as_secs_f64()
         );
-        is_sound &= found.failure.as_ref().is_none_or(tell);
+        is_sound &= found.failure.as_ref().is_none_or(report);
     }
     let walks = command_line.walks.unwrap_or(10_000);
     let length = command_line.length.unwrap_or(1_500);
@@ -52,8 +52,8 @@
     if is_sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn tell(failure: &Failure) -> bool {
-    println!("  {:?}: {}", failure.breach.invariant, failure.breach.seen);
+fn report(failure: &Failure) -> bool {
+    println!("  {:?}: {}", failure.violation.invariant, failure.violation.seen);
     for action in &failure.path {
         println!("    {action:?}");
     }
@@ -93,7 +93,7 @@
     println!("{} walks broken", failures.len());
     if let Some((seed, failure)) = failures.first() {
         println!("seed {seed}:");
-        tell(failure);
+        report(failure);
     }
     failures.is_empty()
 }
--- a/packages/control_model/tests/model.rs
+++ b/packages/control_model/tests/model.rs
@@ -57,14 +57,14 @@
     let limits = Limits { fault: Some(fault), ..limits };
     let found_seed = FAULT_WALKS.into_iter().find(|seed| {
         let failure = walk(&limits, *seed, WALK_LENGTH).failure;
-        failure.is_some_and(|(_, failure)| failure.breach.invariant == invariant)
+        failure.is_some_and(|(_, failure)| failure.violation.invariant == invariant)
     });
     println!("{fault:?} breaks {invariant:?} with seed {found_seed:?}");
     assert!(found_seed.is_some(), "{fault:?} never broke {invariant:?}");
 }
 
 #[test]
-fn an_answer_before_the_sync_is_found() {
+fn a_response_before_the_sync_is_found() {
     let fault = PlantedFault::AnswerBeforeSync;
     must_break(fault, Limits::everything(), Invariant::AcknowledgedOnQuorums);
 }
--- a/packages/control_registers/src/chosen_set.rs
+++ b/packages/control_registers/src/chosen_set.rs
@@ -6,19 +6,19 @@
 ///
 /// Only a chosen set is in force. There is one for each generation, so learning it from anybody is safe.
 /// Generation zero stands for "none is known".
-/// Example: `ChosenSet::founding(&[1, 2, 3]).quorum(&[1, 3].into())`.
+/// Example: `ChosenSet::bootstrap(&[1, 2, 3]).quorum(&[1, 3].into())`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChosenSet(VoterSet);
 
 impl ChosenSet {
-    /// The first set: it rests on the one founder. Example: `ChosenSet::founding(&[1]).generation == 1`.
-    pub fn founding(disks: &[u64]) -> ChosenSet {
-        ChosenSet(VoterSet::founding(disks))
+    /// The first set: it rests on the one founder. Example: `ChosenSet::bootstrap(&[1]).generation == 1`.
+    pub fn bootstrap(disks: &[u64]) -> ChosenSet {
+        ChosenSet(VoterSet::bootstrap(disks))
     }
 
     /// A set that another node or a record tells to be chosen; `None` for bytes that are no set.
-    /// Example: `ChosenSet::told(news.body(DISKS_KEY)?)`.
-    pub fn told(set_bytes: &Bytes) -> Option<ChosenSet> {
+    /// Example: `ChosenSet::received(gossip.body(DISKS_KEY)?)`.
+    pub fn received(set_bytes: &Bytes) -> Option<ChosenSet> {
         VoterSet::decode(set_bytes).filter(|set| set.generation > 0).map(ChosenSet)
     }
 
--- a/packages/control_registers/src/disk_registers.rs
+++ b/packages/control_registers/src/disk_registers.rs
@@ -69,9 +69,9 @@
 
     fn apply(&mut self, disk_record: DiskRecord) {
         if disk_record.kind == KIND_CHOSEN {
-            let told_set = ChosenSet::told(&disk_record.value).unwrap_or_default();
-            if told_set.generation > self.chosen.generation {
-                self.chosen = told_set;
+            let received_set = ChosenSet::received(&disk_record.value).unwrap_or_default();
+            if received_set.generation > self.chosen.generation {
+                self.chosen = received_set;
             }
             return;
         }
@@ -137,15 +137,15 @@
     /// Accepts the founding set if this disk is blank or already took the very same set.
     ///
     /// A disk takes one founding set in its life, so two halves can never found two states.
-    /// Example: `blank.found(&ChosenSet::founding(&[1, 2, 3])).is_some()`.
-    pub fn found(&mut self, founding_set: &ChosenSet) -> Option<Vec<Vec<u8>>> {
-        if self.chosen == *founding_set {
+    /// Example: `blank.bootstrap(&ChosenSet::bootstrap(&[1, 2, 3])).is_some()`.
+    pub fn bootstrap(&mut self, bootstrap_set: &ChosenSet) -> Option<Vec<Vec<u8>>> {
+        if self.chosen == *bootstrap_set {
             return Some(Vec::new());
         }
-        if self.chosen.generation != 0 || founding_set.generation != 1 {
+        if self.chosen.generation != 0 || bootstrap_set.generation != 1 {
             return None;
         }
-        Some(self.learn_chosen(founding_set))
+        Some(self.learn_chosen(bootstrap_set))
     }
 
     /// The oldest generation under which a sender may use a key. For ordinary keys a proposed set counts
@@ -165,12 +165,12 @@
         if self.chosen.generation == 0 || sender_generation < self.fence(key) {
             return false;
         }
-        sender_generation != self.chosen.generation || sender_set == self.chosen.mark()
+        sender_generation != self.chosen.generation || sender_set == self.chosen.digest()
     }
 
     /// Every key this disk knows, for a sender under a joint set; `None` while this disk would still admit
     /// owners under an older set, or the sender's set is outdated: a list must not miss what is stored later.
-    /// Example: `registers.list_keys(joint_set.mark())`.
+    /// Example: `registers.list_keys(joint_set.digest())`.
     pub fn list_keys(&self, sender_set: u64) -> Option<Vec<String>> {
         let key = CONFIGURATION_KEY;
         let is_exact = self.admits(sender_set, key) && self.fence(key) == sender_set >> 32;
@@ -178,9 +178,9 @@
     }
 
     /// Promises each key to the epoch unless a higher one stands or the sender's set is outdated.
-    /// Example: `registers.promise(set.mark(), &entries)`.
+    /// Example: `registers.promise(set.digest(), &entries)`.
     pub fn promise(&mut self, sender_set: u64, entries: &List<PromiseEntry>) -> Answered<PromisedEntry> {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let mut records = Vec::new();
         for entry in &entries.0 {
             let standing = self.registers.get(&entry.key.0).cloned().unwrap_or_default();
@@ -197,7 +197,7 @@
                 records.push(disk_record.to_bytes().unwrap_or_default());
                 self.apply(disk_record);
             }
-            answers.push(PromisedEntry {
+            responses.push(PromisedEntry {
                 key: entry.key.clone(),
                 granted: u8::from(granted),
                 promised: if granted { entry.epoch.clone() } else { standing.promised },
@@ -206,13 +206,13 @@
                 value: if granted { standing.value } else { Bytes::default() },
             });
         }
-        (answers, records)
+        (responses, records)
     }
 
     /// Stores each value unless a higher epoch was promised or the sender's set is outdated.
-    /// Example: `registers.store(set.mark(), &entries)`.
+    /// Example: `registers.store(set.digest(), &entries)`.
     pub fn store(&mut self, sender_set: u64, entries: &List<StoreEntry>) -> Answered<StoredEntry> {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let mut records = Vec::new();
         for entry in &entries.0 {
             let promised =
@@ -235,16 +235,16 @@
                 records.push(disk_record.to_bytes().unwrap_or_default());
                 self.apply(disk_record);
             }
-            answers.push(StoredEntry {
+            responses.push(StoredEntry {
                 key: entry.key.clone(),
                 epoch: entry.epoch.clone(),
-                flight: entry.flight,
+                attempt: entry.attempt,
                 version: entry.version,
                 granted,
                 promised,
             });
         }
-        (answers, records)
+        (responses, records)
     }
 
     /// The value that an entry stores: its own, or the one this disk holds where the entry tells its digest.
--- a/packages/control_registers/src/key_owner.rs
+++ b/packages/control_registers/src/key_owner.rs
@@ -20,8 +20,8 @@
 pub const AS_KNOWN: u8 = 4;
 
 const RESEND_AFTER: Micros = Micros::from_millis(250);
-const GIVE_UP_AFTER: Micros = Micros::from_millis(2_000);
-const WAITLIST_LIMIT: usize = 64;
+const ABANDON_AFTER: Micros = Micros::from_millis(2_000);
+const WAITING_LIMIT: usize = 64;
 /// Four thousand functions may be configured; more keys than this are nobody's mistake but a fault.
 const KEYS_LIMIT: usize = 16_384;
 /// Shorter values are stored whole; of longer ones a disk that has them is told the digest.
@@ -30,16 +30,16 @@
 /// Sets of polled keys that are remembered by their mark: askers with one view share one.
 const KEY_SETS_LIMIT: usize = 16;
 
-/// The mark of a set of polled keys. Example: `keys_mark(&keys) != keys_mark(&other_keys)`.
-pub fn keys_mark(keys: &[Text]) -> u64 {
-    keys.iter().fold(keys.len() as u64, |mark, key| {
-        stable_hash(&[mark.to_le_bytes(), stable_hash(key.0.as_bytes()).to_le_bytes()].concat())
+/// The mark of a set of polled keys. Example: `keys_digest(&keys) != keys_digest(&other_keys)`.
+pub fn keys_digest(keys: &[Text]) -> u64 {
+    keys.iter().fold(keys.len() as u64, |keys_digest, key| {
+        stable_hash(&[keys_digest.to_le_bytes(), stable_hash(key.0.as_bytes()).to_le_bytes()].concat())
     })
 }
 
-/// What changed for an asker since its last poll. Example: `owner.poll(mark, since, &[], now)?.change`.
+/// What changed for an asker since its last poll. Example: `owner.poll(keys_digest, since, &[], now)?.change`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PollAnswer {
+pub struct PollResponse {
     /// The change number to ask from next time.
     pub change: u64,
     /// Records that changed otherwise than by renewal.
@@ -50,7 +50,7 @@
 
 /// What the owner wants done.
 #[derive(Clone, Debug, PartialEq, Hash)]
-pub enum OwnerAct {
+pub enum OwnerAction {
     /// Ask these disks for promises.
     Promise { disk: u64, fleet_set: u64, entries: List<PromiseEntry> },
     /// Ask these disks to store.
@@ -58,7 +58,7 @@
     /// A newer voter set is chosen: to be gone by and told. The owner itself goes by it already.
     Chosen(ChosenSet),
     /// Answer the node that asked.
-    Answer { node: NodeId, outcome: WriteOutcome },
+    Response { node: NodeId, outcome: WriteOutcome },
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -74,7 +74,7 @@
 }
 
 #[derive(Clone, Debug, Hash)]
-struct StoreFlight {
+struct StoreAttempt {
     number: u64,
     version: u64,
     value: Bytes,
@@ -87,35 +87,35 @@
     write: Option<WaitingWrite>,
     sent_at: Option<Micros>,
     begun_at: Micros,
-    hasty: bool,
+    urgent: bool,
 }
 
-impl StoreFlight {
+impl StoreAttempt {
     /// What one disk is told: a disk that may hold the value is told its digest alone.
     fn entry(&self, key: &str, epoch: &Epoch, disk: u64) -> StoreEntry {
-        let is_told_whole = self.digest == 0 || self.lacking.contains(&disk);
+        let is_sent_whole = self.digest == 0 || self.lacking.contains(&disk);
         StoreEntry {
             key: key.into(),
             epoch: epoch.clone(),
-            flight: self.number,
+            attempt: self.number,
             version: self.version,
-            digest: if is_told_whole { 0 } else { self.digest },
-            value: if is_told_whole { self.value.clone() } else { Bytes::default() },
+            digest: if is_sent_whole { 0 } else { self.digest },
+            value: if is_sent_whole { self.value.clone() } else { Bytes::default() },
         }
     }
 }
 
 #[derive(Clone, Debug, Hash)]
-enum Standing {
+enum KeyState {
     Acquiring { promised: BTreeSet<u64>, newest: (Epoch, u64, Bytes), sent_at: Option<Micros> },
-    Owned { version: u64, value: Bytes, flight: Option<StoreFlight> },
+    Owned { version: u64, value: Bytes, attempt: Option<StoreAttempt> },
 }
 
 #[derive(Clone, Debug, Hash)]
 struct OwnedKey {
     epoch: Epoch,
-    standing: Standing,
-    waitlist: VecDeque<WaitingWrite>,
+    state: KeyState,
+    queue: VecDeque<WaitingWrite>,
     begun_at: Micros,
     /// The owner's change number when the record last changed, and when it last did otherwise than by
     /// a renewal; zero before the record is known to stand.
@@ -128,10 +128,10 @@
 pub struct KeyOwner {
     own: NodeId,
     highest_counter: u64,
-    flight_count: u64,
+    attempt_count: u64,
     keys: BTreeMap<String, OwnedKey>,
     set: ChosenSet,
-    answers: Vec<OwnerAct>,
+    responses: Vec<OwnerAction>,
     group_due: Option<Micros>,
     /// Rises with each change of a record that stands here, and never falls in this process's life.
     change_count: u64,
@@ -144,10 +144,10 @@
         KeyOwner {
             own,
             highest_counter: 0,
-            flight_count: 0,
+            attempt_count: 0,
             keys: BTreeMap::new(),
             set: ChosenSet::default(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             group_due: None,
             change_count: 0,
             key_sets: VecDeque::new(),
@@ -155,8 +155,8 @@
     }
 
     /// Tells which disks vote; a newer set makes every key start over under a higher epoch.
-    /// Example: `owner.take_set(registers.chosen())`.
-    pub fn take_set(&mut self, known_set: &ChosenSet) {
+    /// Example: `owner.adopt_set(registers.chosen())`.
+    pub fn adopt_set(&mut self, known_set: &ChosenSet) {
         if known_set.generation <= self.set.generation {
             return;
         }
@@ -173,8 +173,8 @@
     }
 
     /// Lets go of all keys that `keeps` refuses: the hand-over to another disk node.
-    /// Example: `owner.keep_only(|key| choice(key) == own)`.
-    pub fn keep_only(&mut self, keeps: impl Fn(&str) -> bool) {
+    /// Example: `owner.retain_keys(|key| choice(key) == own)`.
+    pub fn retain_keys(&mut self, keeps: impl Fn(&str) -> bool) {
         let lost_keys: Vec<String> = self.keys.keys().filter(|key| !keeps(key)).cloned().collect();
         for key in lost_keys {
             self.lose(&key);
@@ -182,21 +182,21 @@
     }
 
     /// Takes a conditional write, acquiring the key first if need be.
-    /// Example: `owner.write(asker, entry, now); for act in owner.flush(now) { .. }`.
+    /// Example: `owner.write(requester, entry, now); for action in owner.flush(now) { .. }`.
     pub fn write(&mut self, node: NodeId, entry: WriteEntry, now: Micros) {
         self.wait(WaitingWrite { node, entry, confirms: false, known_digest: 0, has_renewed: false }, now);
     }
 
     /// Reads a key in a way that is confirmed by a majority.
-    /// Example: `owner.read_confirmed(asker, 1, "configuration".into(), now)`.
-    pub fn read_confirmed(&mut self, node: NodeId, ask: u64, key: Text, now: Micros) {
-        self.confirm(node, ask, key, 0, now);
+    /// Example: `owner.read_confirmed(requester, 1, "configuration".into(), now)`.
+    pub fn read_confirmed(&mut self, node: NodeId, request_id: u64, key: Text, now: Micros) {
+        self.confirm(node, request_id, key, 0, now);
     }
 
     /// As [`KeyOwner::read_confirmed`] for an asker that has a value of this digest: if that one stands
-    /// it is not sent. Example: `owner.confirm(asker, 1, key, value_digest(&known), now)`.
-    pub fn confirm(&mut self, node: NodeId, ask: u64, key: Text, known_digest: u64, now: Micros) {
-        let entry = WriteEntry { ask, key, expected: 0, value: Bytes::default(), hasty: 1 };
+    /// it is not sent. Example: `owner.confirm(requester, 1, key, value_digest(&known), now)`.
+    pub fn confirm(&mut self, node: NodeId, request_id: u64, key: Text, known_digest: u64, now: Micros) {
+        let entry = WriteEntry { request_id, key, expected: 0, value: Bytes::default(), urgent: 1 };
         self.wait(WaitingWrite { node, entry, confirms: true, known_digest, has_renewed: false }, now);
     }
 
@@ -205,15 +205,15 @@
         let key = entry.key.0.clone();
         self.acquire(&key, now);
         let Some(owned_key) = self.keys.get_mut(&key) else {
-            self.answer(node, entry, NOT_OWNER, 0, Bytes::default());
+            self.respond(node, entry, NOT_OWNER, 0, Bytes::default());
             return;
         };
-        if owned_key.waitlist.len() >= WAITLIST_LIMIT {
-            self.answer(node, entry, NOT_OWNER, 0, Bytes::default());
+        if owned_key.queue.len() >= WAITING_LIMIT {
+            self.respond(node, entry, NOT_OWNER, 0, Bytes::default());
             return;
         }
-        owned_key.waitlist.push_back(write);
-        self.next_flight(&key, now);
+        owned_key.queue.push_back(write);
+        self.next_attempt(&key, now);
     }
 
     /// Starts to own a key. Example: a poll for a key nobody owns calls `owner.acquire(key, now)`.
@@ -224,12 +224,12 @@
         self.highest_counter += 1;
         let owned_key = OwnedKey {
             epoch: Epoch { counter: self.highest_counter, owner: self.own },
-            standing: Standing::Acquiring {
+            state: KeyState::Acquiring {
                 promised: BTreeSet::new(),
                 newest: (Epoch::none(), 0, Bytes::default()),
                 sent_at: None,
             },
-            waitlist: VecDeque::new(),
+            queue: VecDeque::new(),
             begun_at: now,
             changed_at: 0,
             anew_at: 0,
@@ -244,17 +244,18 @@
 
     /// What changed of owned keys since the asker's last poll, as followers poll them; others begin to be
     /// acquired where this node is to own them. A set of keys is told once and named by its mark from then on; `None` asks
-    /// for the set. Example: `owner.poll(keys_mark(&keys), 0, &keys, |_| true, now)`.
+    /// for the set. Example: `owner.poll(keys_digest(&keys), 0, &keys, |_| true, now)`.
     pub fn poll(
         &mut self,
-        mark: u64,
+        keys_digest: u64,
         since: u64,
-        told_keys: &[Text],
+        received_keys: &[Text],
         is_to_own: impl Fn(&str) -> bool,
         now: Micros,
-    ) -> Option<PollAnswer> {
-        let polled_keys = self.key_set(mark, told_keys)?;
-        let mut answer = PollAnswer { change: self.change_count, records: Vec::new(), renewed: Vec::new() };
+    ) -> Option<PollResponse> {
+        let polled_keys = self.key_set(keys_digest, received_keys)?;
+        let mut response =
+            PollResponse { change: self.change_count, records: Vec::new(), renewed: Vec::new() };
         for (place, polled_key) in polled_keys.iter().enumerate() {
             let Some(owned_key) = self.keys.get(&polled_key.0) else {
                 if is_to_own(&polled_key.0) {
@@ -262,33 +263,37 @@
                 }
                 continue;
             };
-            let Standing::Owned { version, value, flight } = &owned_key.standing else { continue };
+            let KeyState::Owned { version, value, attempt } = &owned_key.state else { continue };
             // Before the opening store stands on a majority, what was read may still be lost.
-            let is_opening = flight.as_ref().is_some_and(|open_flight| open_flight.write.is_none());
+            let is_opening = attempt.as_ref().is_some_and(|open_attempt| open_attempt.write.is_none());
             if is_opening || owned_key.changed_at <= since {
                 continue;
             }
             match owned_key.anew_at > since {
-                true => answer.records.push(PolledRecord {
+                true => response.records.push(PolledRecord {
                     key: polled_key.clone(),
                     version: *version,
                     value: value.clone(),
                 }),
-                false => answer.renewed.push(RenewedRecord { place: place as u16, version: *version }),
+                false => response.renewed.push(RenewedRecord { place: place as u16, version: *version }),
             }
         }
-        Some(answer)
+        Some(response)
     }
 
-    fn key_set(&mut self, mark: u64, told_keys: &[Text]) -> Option<Arc<[Text]>> {
-        if let Some((_, known_keys)) = self.key_sets.iter().find(|(known_mark, _)| *known_mark == mark) {
+    fn key_set(&mut self, digest: u64, received_keys: &[Text]) -> Option<Arc<[Text]>> {
+        if let Some((_, known_keys)) = self.key_sets.iter().find(|(known_digest, _)| *known_digest == digest)
+        {
             return Some(known_keys.clone());
         }
-        if told_keys.is_empty() || told_keys.len() > KEYS_LIMIT || keys_mark(told_keys) != mark {
+        if received_keys.is_empty()
+            || received_keys.len() > KEYS_LIMIT
+            || keys_digest(received_keys) != digest
+        {
             return None;
         }
-        let key_set: Arc<[Text]> = told_keys.into();
-        self.key_sets.push_back((mark, key_set.clone()));
+        let key_set: Arc<[Text]> = received_keys.into();
+        self.key_sets.push_back((digest, key_set.clone()));
         if self.key_sets.len() > KEY_SETS_LIMIT {
             self.key_sets.pop_front();
         }
@@ -301,7 +306,7 @@
             let key = entry.key.0;
             self.highest_counter = self.highest_counter.max(entry.promised.counter);
             let Some(owned_key) = self.keys.get_mut(&key) else { continue };
-            let Standing::Acquiring { promised, newest, .. } = &mut owned_key.standing else { continue };
+            let KeyState::Acquiring { promised, newest, .. } = &mut owned_key.state else { continue };
             if entry.granted == 0 {
                 if entry.promised.rank() > owned_key.epoch.rank() {
                     self.restart(&key, now);
@@ -323,9 +328,9 @@
                 // The set in force is chosen, so it stands, also where no register holds it: the founding.
                 (version, value) = (self.set.generation, self.set.encode());
             }
-            self.flight_count += 1;
-            let number = self.flight_count;
-            let opening_flight = (version > 0).then(|| StoreFlight {
+            self.attempt_count += 1;
+            let number = self.attempt_count;
+            let opening_attempt = (version > 0).then(|| StoreAttempt {
                 number,
                 version,
                 digest: large_digest(&value),
@@ -335,14 +340,14 @@
                 write: None,
                 sent_at: None,
                 begun_at: now,
-                hasty: true,
+                urgent: true,
             });
-            if opening_flight.is_none() {
+            if opening_attempt.is_none() {
                 self.change_count += 1;
                 (owned_key.changed_at, owned_key.anew_at) = (self.change_count, self.change_count);
             }
-            owned_key.standing = Standing::Owned { version, value, flight: opening_flight };
-            self.next_flight(&key, now);
+            owned_key.state = KeyState::Owned { version, value, attempt: opening_attempt };
+            self.next_attempt(&key, now);
         }
     }
 
@@ -355,54 +360,54 @@
             if entry.epoch != owned_key.epoch {
                 continue;
             }
-            let Standing::Owned { version, value, flight } = &mut owned_key.standing else { continue };
+            let KeyState::Owned { version, value, attempt } = &mut owned_key.state else { continue };
             if entry.granted == LACKS && entry.version == *version {
                 // Also when a majority has it already: the disk catches up.
-                if let Some(open_flight) = flight.as_mut().filter(|open| open.number == entry.flight) {
-                    open_flight.lacking.insert(disk);
+                if let Some(open_attempt) = attempt.as_mut().filter(|open| open.number == entry.attempt) {
+                    open_attempt.lacking.insert(disk);
                 }
                 let whole_entry = StoreEntry {
                     key: key.as_str().into(),
                     epoch: owned_key.epoch.clone(),
-                    flight: entry.flight,
+                    attempt: entry.attempt,
                     version: *version,
                     digest: 0,
                     value: value.clone(),
                 };
-                let (fleet_set, entries) = (self.set.mark(), List(vec![whole_entry]));
-                self.answers.push(OwnerAct::Store { disk, fleet_set, entries });
+                let (fleet_set, entries) = (self.set.digest(), List(vec![whole_entry]));
+                self.responses.push(OwnerAction::Store { disk, fleet_set, entries });
             }
             if entry.granted == LACKS {
                 continue;
             }
-            let Some(open_flight) = flight else { continue };
+            let Some(open_attempt) = attempt else { continue };
             if entry.granted == 0 {
                 if entry.promised.rank() > owned_key.epoch.rank() {
                     self.lose(&key);
                 }
                 continue;
             }
-            if open_flight.number != entry.flight {
+            if open_attempt.number != entry.attempt {
                 continue;
             }
-            open_flight.stored.insert(disk);
-            if !self.set.quorum(&open_flight.stored) {
+            open_attempt.stored.insert(disk);
+            if !self.set.quorum(&open_attempt.stored) {
                 continue;
             }
-            let is_opening = open_flight.write.is_none();
-            if is_opening || *version != open_flight.version {
+            let is_opening = open_attempt.write.is_none();
+            if is_opening || *version != open_attempt.version {
                 self.change_count += 1;
                 owned_key.changed_at = self.change_count;
-                if is_opening || !is_renewal(value, &open_flight.value) {
+                if is_opening || !is_renewal(value, &open_attempt.value) {
                     owned_key.anew_at = self.change_count;
                 }
             }
-            *version = open_flight.version;
-            *value = std::mem::take(&mut open_flight.value);
-            let finished_write = flight.take().and_then(|done_flight| done_flight.write);
+            *version = open_attempt.version;
+            *value = std::mem::take(&mut open_attempt.value);
+            let finished_write = attempt.take().and_then(|done_attempt| done_attempt.write);
             let (done_version, done_value) = (*version, value.clone());
             let is_newer_set = key == DISKS_KEY && done_version > self.set.generation;
-            let chosen_set = is_newer_set.then(|| ChosenSet::told(&done_value)).flatten();
+            let chosen_set = is_newer_set.then(|| ChosenSet::received(&done_value)).flatten();
             if let Some(write) = finished_write {
                 let is_known = write.known_digest != 0 && value_digest(&done_value.0) == write.known_digest;
                 let (outcome, answered_value) = match (write.confirms, is_known) {
@@ -410,11 +415,11 @@
                     (true, false) => (WRITTEN, done_value),
                     (false, _) => (WRITTEN, Bytes::default()),
                 };
-                self.answer(write.node, &write.entry, outcome, done_version, answered_value);
+                self.respond(write.node, &write.entry, outcome, done_version, answered_value);
             }
             match chosen_set {
                 Some(chosen_set) => self.choose(chosen_set),
-                None => self.next_flight(&key, now),
+                None => self.next_attempt(&key, now),
             }
         }
     }
@@ -422,48 +427,48 @@
     /// The quorum that stored a voter set has made it the chosen one: nothing more is done under the set
     /// before it.
     fn choose(&mut self, chosen_set: ChosenSet) {
-        self.answers.push(OwnerAct::Chosen(chosen_set.clone()));
-        self.take_set(&chosen_set);
+        self.responses.push(OwnerAction::Chosen(chosen_set.clone()));
+        self.adopt_set(&chosen_set);
     }
 
     /// Puts the next fitting write of a key in flight and answers those whose condition fails.
-    fn next_flight(&mut self, key: &str, now: Micros) {
+    fn next_attempt(&mut self, key: &str, now: Micros) {
         while let Some(owned_key) = self.keys.get_mut(key) {
-            let Standing::Owned { version, value, flight: flight @ None } = &mut owned_key.standing else {
+            let KeyState::Owned { version, value, attempt: attempt @ None } = &mut owned_key.state else {
                 return;
             };
-            let Some(mut write) = owned_key.waitlist.pop_front() else { return };
+            let Some(mut write) = owned_key.queue.pop_front() else { return };
             if !write.confirms && write.entry.expected > *version && !write.has_renewed {
                 // The asker has seen a newer version: this node was deposed without noticing, perhaps
                 // in a sleep. It answers nothing more from memory and acquires the key anew.
                 write.has_renewed = true;
-                owned_key.waitlist.push_front(write);
+                owned_key.queue.push_front(write);
                 self.restart(key, now);
                 return;
             }
-            let hasty = write.entry.hasty == 1;
+            let urgent = write.entry.urgent == 1;
             let is_foreign_set = key == DISKS_KEY && !follows(&self.set, *version, &write.entry.value);
             if !write.confirms && (write.entry.expected != *version || is_foreign_set) {
                 let (standing_version, standing_value) = (*version, value.clone());
-                self.answer(write.node, &write.entry, DIFFERS, standing_version, standing_value);
+                self.respond(write.node, &write.entry, DIFFERS, standing_version, standing_value);
                 continue;
             }
-            let (flight_version, flight_value) = match write.confirms {
+            let (attempt_version, attempt_value) = match write.confirms {
                 true => (*version, value.clone()),
                 false => (*version + 1, write.entry.value.clone()),
             };
-            self.flight_count += 1;
-            *flight = Some(StoreFlight {
-                number: self.flight_count,
-                version: flight_version,
-                digest: if write.confirms { large_digest(&flight_value) } else { 0 },
-                value: flight_value,
+            self.attempt_count += 1;
+            *attempt = Some(StoreAttempt {
+                number: self.attempt_count,
+                version: attempt_version,
+                digest: if write.confirms { large_digest(&attempt_value) } else { 0 },
+                value: attempt_value,
                 lacking: BTreeSet::new(),
                 stored: BTreeSet::new(),
                 write: Some(write),
                 sent_at: None,
                 begun_at: now,
-                hasty,
+                urgent,
             });
             return;
         }
@@ -471,86 +476,86 @@
 
     /// Everything to send now: promises and stores grouped by disk, and answers. Hasty writes leave
     /// at once and take the waiting group along; renewals alone wait a little for company.
-    /// Example: `for act in owner.flush(now) { carry(act) }`.
-    pub fn flush(&mut self, now: Micros) -> Vec<OwnerAct> {
-        self.give_up(now);
+    /// Example: `for action in owner.flush(now) { carry(action) }`.
+    pub fn flush(&mut self, now: Micros) -> Vec<OwnerAction> {
+        self.expire_waiting(now);
         // Each time later: what is unanswered because the disks are behind must not put them further behind.
         let resend_due = |sent_at: Option<Micros>, begun_at: Micros| {
             sent_at.is_none_or(|sent| now >= sent + RESEND_AFTER.max(sent - begun_at))
         };
-        let mut hasty_count = 0;
-        let mut patient_count = 0;
+        let mut urgent_count = 0;
+        let mut deferrable_count = 0;
         for owned_key in self.keys.values() {
-            match &owned_key.standing {
-                Standing::Acquiring { sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
-                    hasty_count += 1
+            match &owned_key.state {
+                KeyState::Acquiring { sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
+                    urgent_count += 1
                 }
-                Standing::Owned { flight: Some(open_flight), .. }
-                    if resend_due(open_flight.sent_at, open_flight.begun_at) =>
+                KeyState::Owned { attempt: Some(open_attempt), .. }
+                    if resend_due(open_attempt.sent_at, open_attempt.begun_at) =>
                 {
-                    match open_flight.hasty || open_flight.sent_at.is_some() {
-                        true => hasty_count += 1,
-                        false => patient_count += 1,
+                    match open_attempt.urgent || open_attempt.sent_at.is_some() {
+                        true => urgent_count += 1,
+                        false => deferrable_count += 1,
                     }
                 }
                 _ => {}
             }
         }
-        let group_due = patient_count > 0 && *self.group_due.get_or_insert(now + GROUP_AFTER) <= now;
-        if hasty_count == 0 && !group_due {
-            return std::mem::take(&mut self.answers);
+        let group_due = deferrable_count > 0 && *self.group_due.get_or_insert(now + GROUP_AFTER) <= now;
+        if urgent_count == 0 && !group_due {
+            return std::mem::take(&mut self.responses);
         }
         self.group_due = None;
         let mut promise_groups: BTreeMap<u64, Vec<PromiseEntry>> = BTreeMap::new();
         let mut store_groups: BTreeMap<u64, Vec<StoreEntry>> = BTreeMap::new();
         let voters = self.set.all();
         for (key, owned_key) in &mut self.keys {
-            match &mut owned_key.standing {
-                Standing::Acquiring { promised, sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
+            match &mut owned_key.state {
+                KeyState::Acquiring { promised, sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
                     *sent_at = Some(now);
                     for disk in voters.difference(promised) {
                         let entry = PromiseEntry { key: key.as_str().into(), epoch: owned_key.epoch.clone() };
                         promise_groups.entry(*disk).or_default().push(entry);
                     }
                 }
-                Standing::Owned { flight: Some(open_flight), .. }
-                    if resend_due(open_flight.sent_at, open_flight.begun_at) =>
+                KeyState::Owned { attempt: Some(open_attempt), .. }
+                    if resend_due(open_attempt.sent_at, open_attempt.begun_at) =>
                 {
-                    open_flight.sent_at = Some(now);
-                    for disk in voters.difference(&open_flight.stored) {
-                        let entry = open_flight.entry(key, &owned_key.epoch, *disk);
+                    open_attempt.sent_at = Some(now);
+                    for disk in voters.difference(&open_attempt.stored) {
+                        let entry = open_attempt.entry(key, &owned_key.epoch, *disk);
                         store_groups.entry(*disk).or_default().push(entry);
                     }
                 }
                 _ => {}
             }
         }
-        let fleet_set = self.set.mark();
-        let mut acts = std::mem::take(&mut self.answers);
-        acts.extend(promise_groups.into_iter().map(|(disk, entries)| OwnerAct::Promise {
+        let fleet_set = self.set.digest();
+        let mut actions = std::mem::take(&mut self.responses);
+        actions.extend(promise_groups.into_iter().map(|(disk, entries)| OwnerAction::Promise {
             disk,
             fleet_set,
             entries: List(entries),
         }));
-        acts.extend(store_groups.into_iter().map(|(disk, entries)| OwnerAct::Store {
+        actions.extend(store_groups.into_iter().map(|(disk, entries)| OwnerAction::Store {
             disk,
             fleet_set,
             entries: List(entries),
         }));
-        acts
+        actions
     }
 
     /// Answers what waited too long: writes in flight are of unknown fate, the others did not happen.
-    fn give_up(&mut self, now: Micros) {
+    fn expire_waiting(&mut self, now: Micros) {
         let stuck_keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, owned_key)| match &owned_key.standing {
-                Standing::Acquiring { .. } => now >= owned_key.begun_at + GIVE_UP_AFTER,
-                Standing::Owned { flight: Some(open_flight), .. } => {
-                    now >= open_flight.begun_at + GIVE_UP_AFTER
+            .filter(|(_, owned_key)| match &owned_key.state {
+                KeyState::Acquiring { .. } => now >= owned_key.begun_at + ABANDON_AFTER,
+                KeyState::Owned { attempt: Some(open_attempt), .. } => {
+                    now >= open_attempt.begun_at + ABANDON_AFTER
                 }
-                Standing::Owned { .. } => false,
+                KeyState::Owned { .. } => false,
             })
             .map(|(key, _)| key.clone())
             .collect();
@@ -560,28 +565,28 @@
     }
 
     fn restart(&mut self, key: &str, now: Micros) {
-        let waitlist = self.keys.remove(key).map(|owned_key| owned_key.waitlist).unwrap_or_default();
+        let queue = self.keys.remove(key).map(|owned_key| owned_key.queue).unwrap_or_default();
         self.acquire(key, now);
         if let Some(owned_key) = self.keys.get_mut(key) {
-            owned_key.waitlist = waitlist;
+            owned_key.queue = queue;
         }
     }
 
     fn lose(&mut self, key: &str) {
         let Some(lost_key) = self.keys.remove(key) else { return };
-        if let Standing::Owned { flight: Some(StoreFlight { write: Some(write), .. }), .. } =
-            lost_key.standing
+        if let KeyState::Owned { attempt: Some(StoreAttempt { write: Some(write), .. }), .. } = lost_key.state
         {
-            self.answer(write.node, &write.entry, UNKNOWN, 0, Bytes::default());
+            self.respond(write.node, &write.entry, UNKNOWN, 0, Bytes::default());
         }
-        for write in lost_key.waitlist {
-            self.answer(write.node, &write.entry, NOT_OWNER, 0, Bytes::default());
+        for write in lost_key.queue {
+            self.respond(write.node, &write.entry, NOT_OWNER, 0, Bytes::default());
         }
     }
 
-    fn answer(&mut self, node: NodeId, entry: &WriteEntry, outcome: u8, version: u64, value: Bytes) {
-        let write_outcome = WriteOutcome { ask: entry.ask, key: entry.key.clone(), outcome, version, value };
-        self.answers.push(OwnerAct::Answer { node, outcome: write_outcome });
+    fn respond(&mut self, node: NodeId, entry: &WriteEntry, outcome: u8, version: u64, value: Bytes) {
+        let write_outcome =
+            WriteOutcome { request_id: entry.request_id, key: entry.key.clone(), outcome, version, value };
+        self.responses.push(OwnerAction::Response { node, outcome: write_outcome });
     }
 }
 
--- a/packages/control_registers/src/lib.rs
+++ b/packages/control_registers/src/lib.rs
@@ -49,7 +49,7 @@
 pub use chosen_set::{ChosenSet, ProposedSet};
 pub use disk_registers::DiskRegisters;
 pub use key_owner::{
-    AS_KNOWN, DIFFERS, KeyOwner, NOT_OWNER, OwnerAct, PollAnswer, UNKNOWN, WRITTEN, keys_mark,
+    AS_KNOWN, DIFFERS, KeyOwner, NOT_OWNER, OwnerAction, PollResponse, UNKNOWN, WRITTEN, keys_digest,
 };
 pub use set_copy::SetCopy;
 pub use voter_set::VoterSet;
@@ -61,8 +61,8 @@
 /// The key that holds the decided reports of usage, and who sends them.
 pub const USAGE_KEY: &str = "usage";
 
-/// The key of a function's leader record. Example: `steward_key("proof") == "steward/proof"`.
-pub fn steward_key(function: &str) -> String {
+/// The key of a function's leader record. Example: `leader_key("proof") == "steward/proof"`.
+pub fn leader_key(function: &str) -> String {
     format!("steward/{function}")
 }
 
--- a/packages/control_registers/src/set_copy.rs
+++ b/packages/control_registers/src/set_copy.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SetCopy {
     joint_set: ChosenSet,
-    asked_at: Option<Micros>,
+    requested_at: Option<Micros>,
     listed: BTreeSet<u64>,
     known: BTreeSet<String>,
-    asked: BTreeSet<String>,
+    requested: BTreeSet<String>,
     copied: BTreeSet<String>,
 }
 
@@ -25,10 +25,10 @@
     pub fn new(joint_set: ChosenSet) -> SetCopy {
         SetCopy {
             joint_set,
-            asked_at: None,
+            requested_at: None,
             listed: BTreeSet::new(),
             known: BTreeSet::new(),
-            asked: BTreeSet::new(),
+            requested: BTreeSet::new(),
             copied: BTreeSet::new(),
         }
     }
@@ -38,19 +38,19 @@
         self.joint_set.generation
     }
 
-    /// Disks to be asked for their keys now. Example: `for disk in copy.due_lists(now) { ask(disk) }`.
+    /// Disks to be asked for their keys now. Example: `for disk in copy.due_lists(now) { request(disk) }`.
     pub fn due_lists(&mut self, now: Micros) -> Vec<u64> {
-        if self.asked_at.is_some_and(|asked_at| now < asked_at + LIST_AGAIN_AFTER) {
+        if self.requested_at.is_some_and(|requested_at| now < requested_at + LIST_AGAIN_AFTER) {
             return Vec::new();
         }
-        self.asked_at = Some(now);
+        self.requested_at = Some(now);
         self.joint_set.all().difference(&self.listed).copied().collect()
     }
 
     /// Takes the keys that a disk listed for a sender under this joint set
-    /// ([`crate::DiskRegisters::list_keys`]). Example: `copy.listed(disk, mark, keys)`.
+    /// ([`crate::DiskRegisters::list_keys`]). Example: `copy.listed(disk, digest, keys)`.
     pub fn listed(&mut self, disk: u64, sender_set: u64, keys: impl IntoIterator<Item = String>) {
-        if sender_set != self.joint_set.mark() {
+        if sender_set != self.joint_set.digest() {
             return;
         }
         self.listed.insert(disk);
@@ -58,19 +58,19 @@
     }
 
     /// Keys to be read in a confirmed way now, which stores them anew; `window` at a time.
-    /// Example: `for key in copy.due_keys(256) { owner.read_confirmed(own, ask, key, now) }`.
+    /// Example: `for key in copy.due_keys(256) { owner.read_confirmed(own, request, key, now) }`.
     pub fn due_keys(&mut self, window: usize) -> Vec<String> {
-        let room = window.saturating_sub(self.asked.len());
-        let is_due = |key: &&String| !self.copied.contains(*key) && !self.asked.contains(*key);
+        let room = window.saturating_sub(self.requested.len());
+        let is_due = |key: &&String| !self.copied.contains(*key) && !self.requested.contains(*key);
         let due_keys: Vec<String> = self.known.iter().filter(is_due).take(room).cloned().collect();
-        self.asked.extend(due_keys.iter().cloned());
+        self.requested.extend(due_keys.iter().cloned());
         due_keys
     }
 
     /// Takes what became of a key: one that was not stored anew is due again.
     /// Example: `copy.answered("configuration", true)`.
     pub fn answered(&mut self, key: &str, is_copied: bool) {
-        self.asked.remove(key);
+        self.requested.remove(key);
         if is_copied {
             self.copied.insert(key.to_owned());
         }
--- a/packages/control_registers/src/tests.rs
+++ b/packages/control_registers/src/tests.rs
@@ -9,11 +9,11 @@
 /// Disks that answer at once; a disk out of the map is down.
 type Disks = BTreeMap<u64, DiskRegisters>;
 
-fn founded_disks() -> (Disks, ChosenSet) {
-    let set = ChosenSet::founding(&[1, 2, 3]);
+fn bootstrapped_disks() -> (Disks, ChosenSet) {
+    let set = ChosenSet::bootstrap(&[1, 2, 3]);
     let mut disks = Disks::new();
     for disk in [1, 2, 3] {
-        disks.entry(disk).or_default().found(&set).expect("a blank disk takes the first set");
+        disks.entry(disk).or_default().bootstrap(&set).expect("a blank disk takes the first set");
     }
     (disks, set)
 }
@@ -21,36 +21,36 @@
 fn settle(owner: &mut KeyOwner, disks: &mut Disks, now: Micros) -> Vec<WriteOutcome> {
     let mut outcomes = Vec::new();
     loop {
-        let acts = owner.flush(now);
-        if acts.is_empty() {
+        let actions = owner.flush(now);
+        if actions.is_empty() {
             return outcomes;
         }
-        for act in acts {
-            match act {
-                OwnerAct::Promise { disk, fleet_set, entries } => {
+        for action in actions {
+            match action {
+                OwnerAction::Promise { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
-                    let (answers, _) = registers.promise(fleet_set, &entries);
-                    owner.promised(disk, peer_messages::List(answers), now);
+                    let (responses, _) = registers.promise(fleet_set, &entries);
+                    owner.promised(disk, peer_messages::List(responses), now);
                 }
-                OwnerAct::Store { disk, fleet_set, entries } => {
+                OwnerAction::Store { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
-                    let (answers, _) = registers.store(fleet_set, &entries);
-                    owner.stored(disk, peer_messages::List(answers), now);
+                    let (responses, _) = registers.store(fleet_set, &entries);
+                    owner.stored(disk, peer_messages::List(responses), now);
                 }
-                OwnerAct::Chosen(chosen_set) => {
+                OwnerAction::Chosen(chosen_set) => {
                     for registers in disks.values_mut() {
                         registers.learn_chosen(&chosen_set);
                     }
                 }
-                OwnerAct::Answer { outcome, .. } => outcomes.push(outcome),
+                OwnerAction::Response { outcome, .. } => outcomes.push(outcome),
             }
         }
     }
 }
 
-fn set_entry(ask: u64, next_set: &VoterSet) -> WriteEntry {
+fn set_entry(request_id: u64, next_set: &VoterSet) -> WriteEntry {
     let expected = next_set.generation - 1;
-    WriteEntry { ask, key: DISKS_KEY.into(), expected, value: next_set.encode(), hasty: 1 }
+    WriteEntry { request_id, key: DISKS_KEY.into(), expected, value: next_set.encode(), urgent: 1 }
 }
 
 /// What a disk that learned it tells to be chosen.
@@ -58,13 +58,13 @@
     disks[&disk].chosen().clone()
 }
 
-fn entry(ask: u64, expected: u64, value: &str) -> WriteEntry {
+fn entry(request_id: u64, expected: u64, value: &str) -> WriteEntry {
     WriteEntry {
-        ask,
+        request_id,
         key: CONFIGURATION_KEY.into(),
         expected,
         value: Bytes(value.as_bytes().to_vec()),
-        hasty: 1,
+        urgent: 1,
     }
 }
 
@@ -75,11 +75,11 @@
 
 #[test]
 fn one_writer_wins_and_a_deposed_owner_fails_by_itself() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
     let mut second_owner = KeyOwner::new(11);
-    first_owner.take_set(&set);
-    second_owner.take_set(&set);
+    first_owner.adopt_set(&set);
+    second_owner.adopt_set(&set);
     first_owner.write(5, entry(1, 0, "a"), Micros(0));
     assert_eq!(outcome_of(settle(&mut first_owner, &mut disks, Micros(0))).0, WRITTEN);
     first_owner.write(5, entry(2, 0, "late"), Micros(0));
@@ -97,11 +97,11 @@
 
 #[test]
 fn a_deposed_owner_confirms_no_read_even_of_a_key_it_saw_empty() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut old_owner = KeyOwner::new(10);
     let mut new_owner = KeyOwner::new(11);
-    old_owner.take_set(&set);
-    new_owner.take_set(&set);
+    old_owner.adopt_set(&set);
+    new_owner.adopt_set(&set);
     old_owner.read_confirmed(5, 1, CONFIGURATION_KEY.into(), Micros(0));
     let empty_read = outcome_of(settle(&mut old_owner, &mut disks, Micros(0)));
     assert_eq!((empty_read.0, empty_read.1), (WRITTEN, 0));
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn an_owner_that_slept_learns_from_an_asker_that_has_seen_more() {
-    let (mut disks, set) = founded_disks();
+fn an_owner_that_slept_learns_from_a_requester_that_has_seen_more() {
+    let (mut disks, set) = bootstrapped_disks();
     let mut sleeper = KeyOwner::new(10);
     let mut other = KeyOwner::new(11);
-    sleeper.take_set(&set);
-    other.take_set(&set);
+    sleeper.adopt_set(&set);
+    other.adopt_set(&set);
     sleeper.write(5, entry(1, 0, "a"), Micros(0));
     settle(&mut sleeper, &mut disks, Micros(0));
     other.write(5, entry(2, 1, "b"), Micros(0));
@@ -132,42 +132,42 @@
 }
 
 #[test]
-fn late_answers_to_one_read_never_confirm_the_next() {
-    let (mut disks, set) = founded_disks();
+fn late_responses_to_one_read_never_confirm_the_next() {
+    let (mut disks, set) = bootstrapped_disks();
     let mut old_owner = KeyOwner::new(10);
-    old_owner.take_set(&set);
+    old_owner.adopt_set(&set);
     old_owner.read_confirmed(5, 1, CONFIGURATION_KEY.into(), Micros(0));
     settle(&mut old_owner, &mut disks, Micros(0));
     // The first read's stores are answered once more, late, after another owner took over.
     old_owner.read_confirmed(5, 2, CONFIGURATION_KEY.into(), Micros(0));
-    let mut late_answers = Vec::new();
-    for act in old_owner.flush(Micros(0)) {
-        let OwnerAct::Store { disk, fleet_set, entries } = act else { continue };
+    let mut late_responses = Vec::new();
+    for action in old_owner.flush(Micros(0)) {
+        let OwnerAction::Store { disk, fleet_set, entries } = action else { continue };
         let registers = disks.get_mut(&disk).expect("a disk");
-        late_answers.push((disk, registers.store(fleet_set, &entries).0));
+        late_responses.push((disk, registers.store(fleet_set, &entries).0));
     }
-    for (disk, answers) in late_answers.clone() {
-        old_owner.stored(disk, peer_messages::List(answers), Micros(0));
+    for (disk, responses) in late_responses.clone() {
+        old_owner.stored(disk, peer_messages::List(responses), Micros(0));
     }
     old_owner.flush(Micros(0));
     let mut new_owner = KeyOwner::new(11);
-    new_owner.take_set(&set);
+    new_owner.adopt_set(&set);
     new_owner.write(6, entry(3, 0, "a"), Micros(0));
     assert_eq!(outcome_of(settle(&mut new_owner, &mut disks, Micros(0))).0, WRITTEN);
     old_owner.read_confirmed(5, 4, CONFIGURATION_KEY.into(), Micros(0));
-    for (disk, answers) in late_answers {
-        old_owner.stored(disk, peer_messages::List(answers), Micros(0));
+    for (disk, responses) in late_responses {
+        old_owner.stored(disk, peer_messages::List(responses), Micros(0));
     }
     assert_eq!(outcome_of(settle(&mut old_owner, &mut disks, Micros(0))).0, UNKNOWN);
 }
 
 #[test]
 fn without_a_majority_nothing_is_acknowledged() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     disks.remove(&1);
     disks.remove(&2);
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(5, entry(1, 0, "a"), Micros(0));
     assert!(settle(&mut owner, &mut disks, Micros(0)).is_empty());
     let refused = outcome_of(settle(&mut owner, &mut disks, Micros::from_secs(3)));
@@ -176,9 +176,9 @@
 
 #[test]
 fn a_restored_disk_keeps_promises_and_values_through_a_rewrite() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(5, entry(1, 0, "a"), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let restored = DiskRegisters::restore(&disks[&2].live_records()).expect("own records");
@@ -187,8 +187,8 @@
     let low_epoch = peer_messages::Epoch { counter: 0, owner: 99 };
     let low_entry = peer_messages::PromiseEntry { key: CONFIGURATION_KEY.into(), epoch: low_epoch };
     let mut restored = restored;
-    let (answers, _) = restored.promise(set.mark(), &peer_messages::List(vec![low_entry]));
-    assert_eq!(answers[0].granted, 0);
+    let (responses, _) = restored.promise(set.digest(), &peer_messages::List(vec![low_entry]));
+    assert_eq!(responses[0].granted, 0);
 }
 
 #[test]
@@ -206,16 +206,16 @@
 
 #[test]
 fn a_lost_disk_is_replaced_and_an_outdated_set_is_refused() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut old_owner = KeyOwner::new(10);
-    old_owner.take_set(&set);
+    old_owner.adopt_set(&set);
     old_owner.write(5, entry(1, 0, "a"), Micros(0));
     settle(&mut old_owner, &mut disks, Micros(0));
     disks.remove(&3);
     disks.insert(9, DiskRegisters::default());
     let joint_set = set.begin_change(3, 9).expect("no change under way");
     let mut changer = KeyOwner::new(11);
-    changer.take_set(&set);
+    changer.adopt_set(&set);
     changer.write(7, set_entry(1, &joint_set), Micros(0));
     assert_eq!(outcome_of(settle(&mut changer, &mut disks, Micros(0))).0, WRITTEN);
     assert_eq!(*chosen_at(&disks, 9), joint_set, "the owner tells the chosen set");
@@ -231,81 +231,82 @@
     assert_eq!(outcome_of(settle(&mut old_owner, &mut disks, Micros(0))).0, UNKNOWN);
 }
 
-fn leader_write(ask: u64, expected: u64, holder: u64, renew_count: u64) -> WriteEntry {
+fn leader_write(request_id: u64, expected: u64, holder: u64, renew_count: u64) -> WriteEntry {
     let record =
-        peer_messages::LeaderRecord { holder, renew_count, lease_micros: 3_000_000, steward_epoch: holder };
-    WriteEntry { ask, key: "steward/a".into(), expected, value: record.encode(), hasty: 1 }
+        peer_messages::LeaderRecord { holder, renew_count, lease_micros: 3_000_000, leader_epoch: holder };
+    WriteEntry { request_id, key: "steward/a".into(), expected, value: record.encode(), urgent: 1 }
 }
 
 #[test]
-fn a_poll_is_answered_with_what_changed_since_the_askers_last_one() {
-    let (mut disks, set) = founded_disks();
+fn a_poll_is_answered_with_what_changed_since_the_requesters_last_one() {
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     let keys: Vec<peer_messages::Text> = vec!["steward/a".into(), "steward/b".into()];
-    let mark = keys_mark(&keys);
-    assert_eq!(owner.poll(mark, 0, &[], |_| true, Micros(0)), None, "keys that were never told");
-    assert_eq!(owner.poll(mark + 1, 0, &keys, |_| true, Micros(0)), None, "a mark of other keys");
-    let acquiring = owner.poll(mark, 0, &keys, |_| true, Micros(0)).expect("told keys");
+    let keys_digest = keys_digest(&keys);
+    assert_eq!(owner.poll(keys_digest, 0, &[], |_| true, Micros(0)), None, "keys that were never told");
+    assert_eq!(owner.poll(keys_digest + 1, 0, &keys, |_| true, Micros(0)), None, "a mark of other keys");
+    let acquiring = owner.poll(keys_digest, 0, &keys, |_| true, Micros(0)).expect("told keys");
     assert!(acquiring.records.is_empty(), "nothing is said of a key before it is owned");
     settle(&mut owner, &mut disks, Micros(0));
-    let first = owner.poll(mark, acquiring.change, &[], |_| true, Micros(0)).expect("known keys");
+    let first = owner.poll(keys_digest, acquiring.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(first.records.iter().map(|record| record.version).collect::<Vec<_>>(), [0, 0]);
-    let unchanged = owner.poll(mark, first.change, &[], |_| true, Micros(0)).expect("known keys");
+    let unchanged = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert!(unchanged.records.is_empty() && unchanged.renewed.is_empty());
     owner.write(5, leader_write(1, 0, 7, 1), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
-    let claimed = owner.poll(mark, first.change, &[], |_| true, Micros(0)).expect("known keys");
+    let claimed = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(claimed.records.len(), 1, "a claim is told whole");
     owner.write(5, leader_write(2, 1, 7, 2), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
-    let renewed = owner.poll(mark, claimed.change, &[], |_| true, Micros(0)).expect("known keys");
+    let renewed = owner.poll(keys_digest, claimed.change, &[], |_| true, Micros(0)).expect("known keys");
     assert!(renewed.records.is_empty());
     assert_eq!(renewed.renewed, [peer_messages::RenewedRecord { place: 0, version: 2 }]);
     // Who missed the claim's answer gets the record whole, renewals or not.
-    let late = owner.poll(mark, first.change, &[], |_| true, Micros(0)).expect("known keys");
+    let late = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(late.records.iter().map(|record| record.version).collect::<Vec<_>>(), [2]);
     owner.write(5, leader_write(3, 2, 8, 3), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
-    let taken = owner.poll(mark, renewed.change, &[], |_| true, Micros(0)).expect("known keys");
+    let taken = owner.poll(keys_digest, renewed.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(taken.records.len(), 1, "another holder is no renewal");
     // A key that was let go and is acquired anew is told whole again.
-    owner.keep_only(|key| key != "steward/a");
-    owner.poll(mark, taken.change, &[], |_| true, Micros(0));
+    owner.retain_keys(|key| key != "steward/a");
+    owner.poll(keys_digest, taken.change, &[], |_| true, Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
-    let again = owner.poll(mark, taken.change, &[], |_| true, Micros(0)).expect("known keys");
+    let again = owner.poll(keys_digest, taken.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(again.records.iter().map(|record| record.version).collect::<Vec<_>>(), [3]);
 }
 
 #[test]
 fn what_an_opening_store_has_not_brought_to_a_majority_is_not_told() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
-    first_owner.take_set(&set);
+    first_owner.adopt_set(&set);
     first_owner.write(5, leader_write(1, 0, 7, 1), Micros(0));
     settle(&mut first_owner, &mut disks, Micros(0));
     let mut next_owner = KeyOwner::new(11);
-    next_owner.take_set(&set);
+    next_owner.adopt_set(&set);
     let keys: Vec<peer_messages::Text> = vec!["steward/a".into()];
-    let mark = keys_mark(&keys);
-    next_owner.poll(mark, 0, &keys, |_| true, Micros(0));
-    for act in next_owner.flush(Micros(0)) {
-        if let OwnerAct::Promise { disk, fleet_set, entries } = act {
-            let answers = disks.get_mut(&disk).expect("all are up").promise(fleet_set, &entries).0;
-            next_owner.promised(disk, peer_messages::List(answers), Micros(0));
+    let keys_digest = keys_digest(&keys);
+    next_owner.poll(keys_digest, 0, &keys, |_| true, Micros(0));
+    for action in next_owner.flush(Micros(0)) {
+        if let OwnerAction::Promise { disk, fleet_set, entries } = action {
+            let responses = disks.get_mut(&disk).expect("all are up").promise(fleet_set, &entries).0;
+            next_owner.promised(disk, peer_messages::List(responses), Micros(0));
         }
     }
-    let opening = next_owner.poll(mark, 0, &[], |_| true, Micros(0)).expect("known keys");
+    let opening = next_owner.poll(keys_digest, 0, &[], |_| true, Micros(0)).expect("known keys");
     assert!(opening.records.is_empty());
     settle(&mut next_owner, &mut disks, Micros::from_secs(1));
-    let opened =
-        next_owner.poll(mark, opening.change, &[], |_| true, Micros::from_secs(1)).expect("known keys");
+    let opened = next_owner
+        .poll(keys_digest, opening.change, &[], |_| true, Micros::from_secs(1))
+        .expect("known keys");
     assert_eq!(opened.records.len(), 1);
 }
 
 #[test]
 fn two_voters_are_replaced_in_one_change() {
-    let set = VoterSet::founding(&[1, 2, 3, 4, 5]);
+    let set = VoterSet::bootstrap(&[1, 2, 3, 4, 5]);
     let joint_set = set.begin_changes(&[(5, 8), (2, 9)]).expect("no change under way");
     assert_eq!(joint_set.joining.0, [1, 9, 3, 4, 8]);
     // A majority of both: what stays is one of the set before and one of the set after.
@@ -322,21 +323,21 @@
 fn store_on(owner: &mut KeyOwner, disks: &mut Disks, reached: &[u64]) {
     let mut is_stored = false;
     while !is_stored {
-        for act in owner.flush(Micros(0)) {
-            match act {
-                OwnerAct::Promise { disk, fleet_set, entries } => {
-                    let (answers, _) = disks.get_mut(&disk).expect("a disk").promise(fleet_set, &entries);
-                    owner.promised(disk, peer_messages::List(answers), Micros(0));
+        for action in owner.flush(Micros(0)) {
+            match action {
+                OwnerAction::Promise { disk, fleet_set, entries } => {
+                    let (responses, _) = disks.get_mut(&disk).expect("a disk").promise(fleet_set, &entries);
+                    owner.promised(disk, peer_messages::List(responses), Micros(0));
                 }
-                OwnerAct::Store { disk, fleet_set, entries } => {
+                OwnerAction::Store { disk, fleet_set, entries } => {
                     let is_opening = entries.0[0].version == 1;
                     if is_opening || reached.contains(&disk) {
-                        let (answers, _) = disks.get_mut(&disk).expect("a disk").store(fleet_set, &entries);
-                        owner.stored(disk, peer_messages::List(answers), Micros(0));
+                        let (responses, _) = disks.get_mut(&disk).expect("a disk").store(fleet_set, &entries);
+                        owner.stored(disk, peer_messages::List(responses), Micros(0));
                     }
                     is_stored |= !is_opening;
                 }
-                OwnerAct::Chosen(_) | OwnerAct::Answer { .. } => panic!("one disk is no majority"),
+                OwnerAction::Chosen(_) | OwnerAction::Response { .. } => panic!("one disk is no majority"),
             }
         }
     }
@@ -346,41 +347,41 @@
 /// Another owner that does not meet it brings another set of that generation, and that one is chosen.
 #[test]
 fn of_two_joint_sets_of_one_generation_one_is_chosen() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     disks.insert(8, DiskRegisters::default());
     disks.insert(9, DiskRegisters::default());
     let lone_set = set.begin_change(3, 8).expect("no change under way");
     let mut lone_owner = KeyOwner::new(10);
-    lone_owner.take_set(&set);
+    lone_owner.adopt_set(&set);
     lone_owner.write(7, set_entry(1, &lone_set), Micros(0));
     store_on(&mut lone_owner, &mut disks, &[1]);
     assert_eq!(disks[&1].chosen(), &set, "one disk is no quorum");
     assert_eq!(disks[&1].proposed().map(|proposed| proposed.generation()), Some(2));
     let first_disk = disks.remove(&1).expect("a disk");
-    let standing_set = set.begin_change(1, 9).expect("no change under way");
+    let current_set = set.begin_change(1, 9).expect("no change under way");
     let mut owner = KeyOwner::new(11);
-    owner.take_set(&set);
-    owner.write(7, set_entry(2, &standing_set), Micros(0));
+    owner.adopt_set(&set);
+    owner.write(7, set_entry(2, &current_set), Micros(0));
     assert_eq!(outcome_of(settle(&mut owner, &mut disks, Micros(0))).0, WRITTEN);
     disks.insert(1, first_disk);
     assert_eq!(disks[&1].chosen(), &set, "it was away");
     // Whoever still goes by the founding set stores nothing more, and learns what was chosen.
     let mut late_owner = KeyOwner::new(12);
-    late_owner.take_set(&set);
+    late_owner.adopt_set(&set);
     late_owner.write(5, entry(3, 0, "a"), Micros(0));
     assert!(settle(&mut late_owner, &mut disks, Micros(0)).is_empty());
     late_owner.read_confirmed(5, 4, DISKS_KEY.into(), Micros(0));
     settle(&mut late_owner, &mut disks, Micros(0));
     late_owner.read_confirmed(5, 4, DISKS_KEY.into(), Micros::from_secs(3));
     settle(&mut late_owner, &mut disks, Micros::from_secs(3));
-    assert_eq!(*chosen_at(&disks, 2), standing_set);
-    late_owner.take_set(&chosen_at(&disks, 2));
+    assert_eq!(*chosen_at(&disks, 2), current_set);
+    late_owner.adopt_set(&chosen_at(&disks, 2));
     late_owner.read_confirmed(5, 5, DISKS_KEY.into(), Micros::from_secs(3));
-    let told = settle(&mut late_owner, &mut disks, Micros::from_secs(3));
-    assert!(told.iter().any(|outcome| VoterSet::decode(&outcome.value) == Some(standing_set.clone())));
+    let reported = settle(&mut late_owner, &mut disks, Micros::from_secs(3));
+    assert!(reported.iter().any(|outcome| VoterSet::decode(&outcome.value) == Some(current_set.clone())));
     let chosen_set = chosen_at(&disks, 2);
     disks.get_mut(&1).expect("a disk").learn_chosen(&chosen_set);
-    assert_eq!(*chosen_at(&disks, 1), standing_set, "the proposal gives way to the chosen set");
+    assert_eq!(*chosen_at(&disks, 1), current_set, "the proposal gives way to the chosen set");
     assert_eq!(disks[&1].proposed(), None);
 }
 
@@ -388,16 +389,16 @@
 /// be written in its generation.
 #[test]
 fn a_proposal_that_is_met_is_finished() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     disks.insert(8, DiskRegisters::default());
     let begun_set = set.begin_change(3, 8).expect("no change under way");
     let mut first_owner = KeyOwner::new(10);
-    first_owner.take_set(&set);
+    first_owner.adopt_set(&set);
     first_owner.write(7, set_entry(1, &begun_set), Micros(0));
     store_on(&mut first_owner, &mut disks, &[1]);
     disks.remove(&3);
     let mut next_owner = KeyOwner::new(11);
-    next_owner.take_set(&set);
+    next_owner.adopt_set(&set);
     let other_set = set.begin_change(2, 9).expect("no change under way");
     next_owner.write(7, set_entry(2, &other_set), Micros(0));
     let refused = settle(&mut next_owner, &mut disks, Micros(0));
@@ -407,29 +408,29 @@
 
 #[test]
 fn an_owner_writes_only_the_successor_of_its_set() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     let joint_set = set.begin_change(3, 9).expect("no change under way");
     let final_set = joint_set.end_change().expect("a change is under way");
-    let foreign_set = VoterSet::founding(&[4, 5, 6]).begin_change(4, 9).expect("no change under way");
+    let foreign_set = VoterSet::bootstrap(&[4, 5, 6]).begin_change(4, 9).expect("no change under way");
     for (expected, refused_set) in [(1, &final_set), (1, &foreign_set), (1, &*set)] {
         let value = refused_set.encode();
-        let entry = WriteEntry { ask: 1, key: DISKS_KEY.into(), expected, value, hasty: 1 };
+        let entry = WriteEntry { request_id: 1, key: DISKS_KEY.into(), expected, value, urgent: 1 };
         owner.write(7, entry, Micros(0));
         let outcome = settle(&mut owner, &mut disks, Micros(0));
-        assert_eq!(outcome.iter().map(|told| told.outcome).collect::<Vec<_>>(), [DIFFERS]);
+        assert_eq!(outcome.iter().map(|reported| reported.outcome).collect::<Vec<_>>(), [DIFFERS]);
     }
     assert_eq!(chosen_at(&disks, 1), set);
 }
 
 #[test]
 fn a_disk_without_a_chosen_set_promises_and_stores_nothing() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     disks.insert(2, DiskRegisters::default());
     disks.insert(3, DiskRegisters::default());
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(5, entry(1, 0, "a"), Micros(0));
     assert!(settle(&mut owner, &mut disks, Micros(0)).is_empty());
     assert_eq!(disks[&2].keys(), Vec::<String>::new());
@@ -440,11 +441,11 @@
 /// A sender two generations back would not see that the set in between was followed.
 #[test]
 fn the_sets_own_key_is_open_to_the_generation_before_the_stored_one_only() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     disks.insert(9, DiskRegisters::default());
     let joint_set = set.begin_change(3, 9).expect("no change under way");
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(7, set_entry(1, &joint_set), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let chosen_joint = chosen_at(&disks, 1);
@@ -455,8 +456,8 @@
     let grants = |registers: &DiskRegisters, sender: &VoterSet, key: &str| {
         let epoch = peer_messages::Epoch { counter: 99, owner: 99 };
         let entry = peer_messages::PromiseEntry { key: key.into(), epoch };
-        let (answers, _) = registers.clone().promise(sender.mark(), &peer_messages::List(vec![entry]));
-        answers[0].granted == 1
+        let (responses, _) = registers.clone().promise(sender.digest(), &peer_messages::List(vec![entry]));
+        responses[0].granted == 1
     };
     assert!(grants(&stale_disk, &chosen_joint, DISKS_KEY) && !grants(&stale_disk, &set, DISKS_KEY));
     assert!(grants(&stale_disk, &chosen_joint, CONFIGURATION_KEY));
@@ -467,9 +468,9 @@
 /// Keys are listed only where nothing more is stored under the set before.
 #[test]
 fn a_change_ends_only_after_every_key_on_a_quorum_was_copied() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(5, leader_write(1, 0, 7, 1), Micros(0));
     let owner_disk = disks.remove(&1).expect("a disk");
     settle(&mut owner, &mut disks, Micros(0));
@@ -477,7 +478,7 @@
     disks.insert(1, owner_disk);
     disks.insert(9, DiskRegisters::default());
     let joint_set = set.begin_change(3, 9).expect("no change under way");
-    assert_eq!(disks[&2].list_keys(joint_set.mark()), None, "it would still admit the set before");
+    assert_eq!(disks[&2].list_keys(joint_set.digest()), None, "it would still admit the set before");
     owner.write(7, set_entry(2, &joint_set), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let chosen_joint = chosen_at(&disks, 1);
@@ -485,12 +486,12 @@
     assert_eq!(copy.due_lists(Micros(0)), [1, 2, 3, 9]);
     assert!(copy.due_lists(Micros(0)).is_empty(), "asked a moment ago");
     for disk in [1, 9] {
-        let keys = disks[&disk].list_keys(chosen_joint.mark()).expect("it knows the joint set");
-        copy.listed(disk, chosen_joint.mark(), keys);
+        let keys = disks[&disk].list_keys(chosen_joint.digest()).expect("it knows the joint set");
+        copy.listed(disk, chosen_joint.digest(), keys);
     }
     assert!(!copy.is_done(), "one disk is no majority of the set before");
-    let keys = disks[&2].list_keys(chosen_joint.mark()).expect("it knows the joint set");
-    copy.listed(2, chosen_joint.mark(), keys);
+    let keys = disks[&2].list_keys(chosen_joint.digest()).expect("it knows the joint set");
+    copy.listed(2, chosen_joint.digest(), keys);
     assert_eq!(copy.due_keys(256), ["steward/a"]);
     assert!(!copy.is_done() && copy.due_keys(256).is_empty());
     copy.answered("steward/a", false);
@@ -501,9 +502,9 @@
 
 #[test]
 fn files_of_the_former_format_go_by_the_set_they_stored() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.read_confirmed(5, 1, DISKS_KEY.into(), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let records = disks[&1].live_records();
@@ -512,34 +513,34 @@
     assert_eq!(restored.proposed(), None);
 }
 
-fn large_entry(ask: u64, expected: u64, byte: u8) -> WriteEntry {
-    WriteEntry { value: Bytes(vec![byte; 100_000]), ..entry(ask, expected, "") }
+fn large_entry(request_id: u64, expected: u64, byte: u8) -> WriteEntry {
+    WriteEntry { value: Bytes(vec![byte; 100_000]), ..entry(request_id, expected, "") }
 }
 
 /// As `settle`, with the bytes of values that went to disks and the records that these wrote.
 fn settle_counted(owner: &mut KeyOwner, disks: &mut Disks) -> (Vec<WriteOutcome>, usize, usize) {
     let (mut outcomes, mut value_bytes, mut record_count) = (Vec::new(), 0, 0);
     loop {
-        let acts = owner.flush(Micros(0));
-        if acts.is_empty() {
+        let actions = owner.flush(Micros(0));
+        if actions.is_empty() {
             return (outcomes, value_bytes, record_count);
         }
-        for act in acts {
-            match act {
-                OwnerAct::Promise { disk, fleet_set, entries } => {
+        for action in actions {
+            match action {
+                OwnerAction::Promise { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
-                    let (answers, _) = registers.promise(fleet_set, &entries);
-                    owner.promised(disk, peer_messages::List(answers), Micros(0));
+                    let (responses, _) = registers.promise(fleet_set, &entries);
+                    owner.promised(disk, peer_messages::List(responses), Micros(0));
                 }
-                OwnerAct::Store { disk, fleet_set, entries } => {
+                OwnerAction::Store { disk, fleet_set, entries } => {
                     let Some(registers) = disks.get_mut(&disk) else { continue };
                     value_bytes += entries.0.iter().map(|entry| entry.value.0.len()).sum::<usize>();
-                    let (answers, records) = registers.store(fleet_set, &entries);
+                    let (responses, records) = registers.store(fleet_set, &entries);
                     record_count += records.len();
-                    owner.stored(disk, peer_messages::List(answers), Micros(0));
+                    owner.stored(disk, peer_messages::List(responses), Micros(0));
                 }
-                OwnerAct::Chosen(_) => panic!("no voter set is written here"),
-                OwnerAct::Answer { outcome, .. } => outcomes.push(outcome),
+                OwnerAction::Chosen(_) => panic!("no voter set is written here"),
+                OwnerAction::Response { outcome, .. } => outcomes.push(outcome),
             }
         }
     }
@@ -547,9 +548,9 @@
 
 #[test]
 fn a_read_of_a_large_value_sends_it_neither_to_disks_nor_to_a_reader_that_has_it() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
-    owner.take_set(&set);
+    owner.adopt_set(&set);
     owner.write(5, large_entry(1, 0, 7), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let digest = peer_messages::value_digest(&[7; 100_000]);
@@ -565,16 +566,16 @@
 
 #[test]
 fn a_new_owner_stores_a_large_value_anew_from_the_disks_own_copies() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
-    first_owner.take_set(&set);
+    first_owner.adopt_set(&set);
     // The third disk misses the write.
     let away = disks.remove(&3).expect("a disk");
     first_owner.write(5, large_entry(1, 0, 7), Micros(0));
     settle(&mut first_owner, &mut disks, Micros(0));
     disks.insert(3, away);
     let mut next_owner = KeyOwner::new(11);
-    next_owner.take_set(&set);
+    next_owner.adopt_set(&set);
     next_owner.read_confirmed(6, 2, CONFIGURATION_KEY.into(), Micros(0));
     let (outcomes, value_bytes, _) = settle_counted(&mut next_owner, &mut disks);
     assert_eq!((outcomes[0].outcome, outcomes[0].version), (WRITTEN, 1));
@@ -590,11 +591,11 @@
 
 #[test]
 fn a_deposed_owner_confirms_nothing_by_digest() {
-    let (mut disks, set) = founded_disks();
+    let (mut disks, set) = bootstrapped_disks();
     let mut old_owner = KeyOwner::new(10);
     let mut new_owner = KeyOwner::new(11);
-    old_owner.take_set(&set);
-    new_owner.take_set(&set);
+    old_owner.adopt_set(&set);
+    new_owner.adopt_set(&set);
     old_owner.write(5, large_entry(1, 0, 7), Micros(0));
     settle(&mut old_owner, &mut disks, Micros(0));
     new_owner.write(5, large_entry(2, 1, 8), Micros(0));
--- a/packages/control_registers/src/voter_set.rs
+++ b/packages/control_registers/src/voter_set.rs
@@ -4,7 +4,7 @@
 
 /// Which disks vote, and while a change is under way, which will.
 ///
-/// Example: `VoterSet::founding(&[1, 2, 3]).quorum(&[1, 3].into()) == true`.
+/// Example: `VoterSet::bootstrap(&[1, 2, 3]).quorum(&[1, 3].into()) == true`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 pub struct VoterSet {
     /// Zero before the set was founded; each change raises it.
@@ -16,13 +16,13 @@
 }
 
 impl VoterSet {
-    /// The first set. Example: `VoterSet::founding(&[1]).generation == 1`.
-    pub fn founding(disks: &[u64]) -> VoterSet {
+    /// The first set. Example: `VoterSet::bootstrap(&[1]).generation == 1`.
+    pub fn bootstrap(disks: &[u64]) -> VoterSet {
         VoterSet { generation: 1, disks: List(disks.to_vec()), joining: List(Vec::new()) }
     }
 
     /// Whether `answered` holds a majority, of the joining set too during a change.
-    /// Example: `!VoterSet::founding(&[1, 2, 3]).quorum(&[1].into())`.
+    /// Example: `!VoterSet::bootstrap(&[1, 2, 3]).quorum(&[1].into())`.
     pub fn quorum(&self, answered: &BTreeSet<u64>) -> bool {
         let majority = |voters: &[u64]| {
             voters.iter().filter(|voter| answered.contains(voter)).count() * 2 > voters.len()
@@ -86,8 +86,8 @@
     }
 
     /// The generation, and below it a mark that tells sets of one generation apart.
-    /// Example: `set.mark() >> 32 == set.generation`.
-    pub fn mark(&self) -> u64 {
+    /// Example: `set.digest() >> 32 == set.generation`.
+    pub fn digest(&self) -> u64 {
         (self.generation << 32) | (stable_hash(&self.encode().0) & 0xffff_ffff)
     }
 
--- a/packages/fleet_simulator/benches/configuration_change.rs
+++ b/packages/fleet_simulator/benches/configuration_change.rs
@@ -7,8 +7,8 @@
 use configuration_schema::{Configuration, ConfigurationDelta, StoredConfiguration};
 use criterion::measurement::WallTime;
 use criterion::{BatchSize, BenchmarkGroup, BenchmarkId, Criterion, criterion_group, criterion_main};
-use gateway::LaneTable;
-use gossip::{Neighbours, NewsSpread};
+use gateway::RouteTable;
+use gossip::{Gossip, Neighbours};
 use monotonic_clock::Micros;
 use peer_messages::{Bytes, Message};
 use serde_json::{Map, Value, json};
@@ -28,21 +28,21 @@
     delta: ConfigurationDelta,
 }
 
-fn document(lanes: usize) -> Value {
+fn document(routes: usize) -> Value {
     let mut functions = Map::new();
     let mut rows = Map::new();
-    for number in 0..lanes {
+    for number in 0..routes {
         let name = format!("function-{number}");
         let function = json!({
             "allowance": "all", "cell_memory_mb": 128, "calls_at_once": 1, "boot_millis": 900,
             "connection_limit": 95, "annotations": {"healthPath": null, "protocol": "h1", "tls": false},
         });
-        let lane = json!({
+        let route = json!({
             "function": &name, "host": "traders.example", "path_prefix": format!("/{name}/"),
             "patience_millis": 4_000, "target_millis": 200, "rank": 2, "dispatch_limit": 2, "repeatable": true,
         });
         functions.insert(name.clone(), function);
-        rows.insert(format!("lane-{number}"), lane);
+        rows.insert(format!("lane-{number}"), route);
     }
     json!({"allowances": {"all": {"weight": 1}}, "functions": functions, "lanes": rows})
 }
@@ -53,10 +53,10 @@
     StoredConfiguration::decode(text.as_bytes()).expect("a stored configuration")
 }
 
-fn generations(lanes: usize) -> Generations {
-    let mut document = document(lanes);
+fn generations(routes: usize) -> Generations {
+    let mut document = document(routes);
     let old_stored = stored(1, &document);
-    document["lanes"][format!("lane-{}", lanes / 2)]["patience_millis"] = json!(3_000);
+    document["lanes"][format!("lane-{}", routes / 2)]["patience_millis"] = json!(3_000);
     let new_stored = stored(2, &document);
     let (old, new) = (old_stored.trusted().expect("sound"), new_stored.trusted().expect("sound"));
     let delta = ConfigurationDelta::between((1, &old), (2, &new));
@@ -82,17 +82,17 @@
 }
 
 /// The message that tells a colleague of the change, and that colleague's news before it.
-fn told(generations: &Generations) -> (Message, NewsSpread) {
-    let mut owner = NewsSpread::new(7);
-    owner.take_neighbours(OWNER, Neighbours::of_one_zone(vec![READER]));
+fn reported(generations: &Generations) -> (Message, Gossip) {
+    let mut owner = Gossip::new(7);
+    owner.set_neighbours(OWNER, Neighbours::of_one_zone(vec![READER]));
     let body = |stored: &StoredConfiguration| Bytes(stored.encode());
     owner.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
     let meaning = Bytes(generations.delta.encode());
     owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), meaning);
-    let known = peer_messages::List(vec![peer_messages::NewsMark { topic: TOPIC.into(), sequence: 1 }]);
-    let (_, sends) = owner.received(READER, Message::NewsAsk { known });
+    let known = peer_messages::List(vec![peer_messages::GossipVersion { topic: TOPIC.into(), sequence: 1 }]);
+    let (_, sends) = owner.received(READER, Message::GossipRequest { known });
     let message = sends.into_iter().map(|(_, message)| message).next().expect("an answer");
-    let mut reader = NewsSpread::new(8);
+    let mut reader = Gossip::new(8);
     reader.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
     (message, reader)
 }
@@ -100,12 +100,12 @@
 fn by_item(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("by_item");
     for size in SIZES {
-        let lanes = generations(size);
+        let routes = generations(size);
         bench_by_item(
             &mut group,
             BenchmarkId::new("configuration and table", size),
-            &lanes.old,
-            &lanes.delta,
+            &routes.old,
+            &routes.delta,
         );
         let (old, delta) = generations_of_tenants(size);
         bench_by_item(&mut group, BenchmarkId::new("a key of one tenant", size), &old, &delta);
@@ -119,7 +119,7 @@
     old: &Configuration,
     delta: &ConfigurationDelta,
 ) {
-    let table = LaneTable::new(1, old);
+    let table = RouteTable::new(1, old);
     let meaning = delta.encode();
     let mut configuration = old.clone();
     group.bench_function(name, |bencher| {
@@ -127,20 +127,20 @@
             let delta = ConfigurationDelta::decode(black_box(&meaning)).expect("a delta");
             delta.apply(&mut configuration);
             let mut next = table.clone();
-            next.take_changed(2, &configuration, std::slice::from_ref(&delta));
+            next.apply_changes(2, &configuration, std::slice::from_ref(&delta));
             next
         });
     });
 }
 
-fn news(criterion: &mut Criterion) {
+fn gossip(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("news");
-    for lanes in SIZES {
-        let generations = generations(lanes);
-        let (message, _) = told(&generations);
-        group.bench_function(BenchmarkId::new("the body", lanes), |bencher| {
+    for routes in SIZES {
+        let generations = generations(routes);
+        let (message, _) = reported(&generations);
+        group.bench_function(BenchmarkId::new("the body", routes), |bencher| {
             bencher.iter_batched(
-                || (message.clone(), told(&generations).1),
+                || (message.clone(), reported(&generations).1),
                 |(message, mut reader)| {
                     let (newer, _) = reader.received(OWNER, message);
                     assert_eq!(newer, [TOPIC]);
@@ -155,13 +155,13 @@
 
 fn whole(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("whole");
-    for lanes in SIZES {
-        let stored_bytes = generations(lanes).new_stored.encode();
-        group.bench_function(BenchmarkId::new("configuration and table", lanes), |bencher| {
+    for routes in SIZES {
+        let stored_bytes = generations(routes).new_stored.encode();
+        group.bench_function(BenchmarkId::new("configuration and table", routes), |bencher| {
             bencher.iter(|| {
                 let stored = StoredConfiguration::decode(black_box(&stored_bytes)).expect("stored");
                 let configuration = stored.trusted().expect("checked");
-                LaneTable::new(stored.generation, &configuration)
+                RouteTable::new(stored.generation, &configuration)
             });
         });
     }
@@ -175,5 +175,5 @@
         .measurement_time(Micros::from_millis(1_500).duration())
 }
 
-criterion_group! { name = changes; config = bounded(); targets = by_item, news, whole }
+criterion_group! { name = changes; config = bounded(); targets = by_item, gossip, whole }
 criterion_main!(changes);
--- a/packages/fleet_simulator/src/bin/grown_loss.rs
+++ b/packages/fleet_simulator/src/bin/grown_loss.rs
@@ -2,7 +2,7 @@
 //! all of those with disks, are killed at once and start again after a second: second by second, how many functions have no steward, how many calls were answered,
 //! and what a node sends by kind of message.
 
-use fleet_simulator::{LinkRates, Processors, World, WorldSettings};
+use fleet_simulator::{LinkRates, Processors, Simulation, SimulationSettings};
 use std::collections::BTreeMap;
 
 const NODES: usize = 77;
@@ -11,54 +11,54 @@
 const CALLS_A_SECOND: f64 = 800.0;
 
 fn main() {
-    let settings = WorldSettings {
+    let settings = SimulationSettings {
         node_count: NODES,
         disks: DISKS,
-        founding_disks: 5,
+        bootstrap_disks: 5,
         busy: 30,
         rare: 1_000,
         workers: (40, 6_332),
         processors: Some(Processors { with_disk: 260, others: 62 }),
         link_rates: Some(LinkRates { with_disk: 12.5e6, others: 250e3 }),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut world = World::new(settings, 1);
-    println!("founded and settled: {}", world.found());
-    world.call_rate = CALLS_A_SECOND;
-    world.run_for(5.0);
-    second(&mut world, "before");
+    let mut simulation = Simulation::new(settings, 1);
+    println!("founded and settled: {}", simulation.bootstrap());
+    simulation.call_rate = CALLS_A_SECOND;
+    simulation.run_for(5.0);
+    second(&mut simulation, "before");
     let is_disks = std::env::args().any(|argument| argument == "disks");
     let killed = |number: &usize| if is_disks { *number < DISKS } else { number % 8 < 5 };
     for number in (0..NODES).filter(killed) {
-        world.kill(number);
+        simulation.kill(number);
     }
-    world.run_for(1.0);
+    simulation.run_for(1.0);
     for number in (0..NODES).filter(killed) {
-        world.start(number);
+        simulation.start(number);
     }
     for number in 0..SECONDS {
-        second(&mut world, &format!("second {number}"));
+        second(&mut simulation, &format!("second {number}"));
     }
 }
 
 /// Lets a second pass and tells what was seen in it.
-fn second(world: &mut World, name: &str) {
-    let outcomes_before = world.outcomes;
-    world.traffic = Some(BTreeMap::new());
-    world.run_for(1.0);
-    let traffic = world.traffic.take().unwrap_or_default();
-    let statuses: Vec<_> = (0..NODES).filter_map(|number| world.status(number)).collect();
+fn second(simulation: &mut Simulation, name: &str) {
+    let outcomes_before = simulation.outcomes;
+    simulation.traffic = Some(BTreeMap::new());
+    simulation.run_for(1.0);
+    let traffic = simulation.traffic.take().unwrap_or_default();
+    let statuses: Vec<_> = (0..NODES).filter_map(|number| simulation.status(number)).collect();
     let mean = |value: &dyn Fn(&node_protocol::NodeStatus) -> usize| {
         statuses.iter().map(value).sum::<usize>() as f64 / statuses.len() as f64
     };
-    let ended: Vec<u64> = (0..4).map(|place| world.outcomes[place] - outcomes_before[place]).collect();
+    let ended: Vec<u64> = (0..4).map(|place| simulation.outcomes[place] - outcomes_before[place]).collect();
     println!(
         "{name}: unheld {:.0}, ready {:.0} of a hundred, members {:.1}; calls ran, refused, unknown, silent {ended:?}",
         mean(&|status| status.unheld),
         mean(&|status| usize::from(status.is_ready)) * 100.0,
         mean(&|status| status.members.len()),
     );
-    let queues: Vec<usize> = (0..NODES).map(|number| world.waiting_events(number)).collect();
+    let queues: Vec<usize> = (0..NODES).map(|number| simulation.waiting_events(number)).collect();
     let most = queues.iter().max().copied().unwrap_or(0);
     let sum: usize = queues.iter().sum();
     println!("    events that wait: {sum}, most at one node {most}, of disk nodes {:?}", &queues[..DISKS]);
--- a/packages/fleet_simulator/src/bin/grown_traffic.rs
+++ b/packages/fleet_simulator/src/bin/grown_traffic.rs
@@ -1,6 +1,6 @@
 //! What the nodes of a grown fleet say to each other a second, by kind of message.
 
-use fleet_simulator::{World, WorldSettings};
+use fleet_simulator::{Simulation, SimulationSettings};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -8,28 +8,28 @@
 const SECONDS: f64 = 5.0;
 
 fn main() {
-    let settings = WorldSettings {
+    let settings = SimulationSettings {
         node_count: NODES,
         disks: 8,
         busy: 30,
         rare: 1_000,
         workers: (40, 6_332),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut world = World::new(settings, 1);
+    let mut simulation = Simulation::new(settings, 1);
     let begun = Instant::now();
     println!(
         "founded and settled: {} after {:.1} s of this machine",
-        world.found(),
+        simulation.bootstrap(),
         begun.elapsed().as_secs_f64()
     );
     for calls_a_second in [0.0, 300.0, 800.0] {
-        world.call_rate = calls_a_second;
-        world.run_for(3.0);
-        world.traffic = Some(BTreeMap::new());
+        simulation.call_rate = calls_a_second;
+        simulation.run_for(3.0);
+        simulation.traffic = Some(BTreeMap::new());
         let begun = Instant::now();
-        world.run_for(SECONDS);
-        let traffic = world.traffic.take().unwrap_or_default();
+        simulation.run_for(SECONDS);
+        let traffic = simulation.traffic.take().unwrap_or_default();
         let spent = begun.elapsed().as_secs_f64() / SECONDS / NODES as f64;
         println!("{calls_a_second} calls a second; {spent:.4} s of this machine a node and second");
         println!("{:<18}{:>14}{:>14}", "a node and second", "messages", "bytes");
--- a/packages/fleet_simulator/src/bin/simulate.rs
+++ b/packages/fleet_simulator/src/bin/simulate.rs
@@ -95,19 +95,20 @@
                     None => figures.push((figure, vec![value])),
                 }
             }
-            if !verdict.breaches.is_empty() {
+            if !verdict.violations.is_empty() {
                 broken_count += 1;
                 is_sound = false;
-                let mut told: BTreeSet<&str> = BTreeSet::new();
-                for breach in verdict.breaches.iter().filter(|breach| told.insert(breach.rule)) {
-                    *broken_rules.entry(breach.rule).or_default() += 1;
-                    println!("  {name} seed {seed}: {}: {}", breach.rule, breach.seen);
+                let mut reported: BTreeSet<&str> = BTreeSet::new();
+                for violation in verdict.violations.iter().filter(|violation| reported.insert(violation.rule))
+                {
+                    *broken_rules.entry(violation.rule).or_default() += 1;
+                    println!("  {name} seed {seed}: {}: {}", violation.rule, violation.seen);
                 }
             }
         }
-        let [ran, not_run, unknown, no_answer] = outcomes;
+        let [ran, not_run, unknown, no_response] = outcomes;
         let mut line = format!(
-            "{name}: {broken_count} of {seeds} broken; ran {ran}, refused {not_run}, unknown {unknown}, no answer {no_answer}"
+            "{name}: {broken_count} of {seeds} broken; ran {ran}, refused {not_run}, unknown {unknown}, no answer {no_response}"
         );
         for (figure, mut values) in figures {
             values.sort_by(f64::total_cmp);
--- a/packages/fleet_simulator/src/control_scenarios.rs
+++ b/packages/fleet_simulator/src/control_scenarios.rs
@@ -1,12 +1,12 @@
 //! Control machines that are cut off, stand still or return, while operators go on ordering and
 //! reading at them all the while.
 
-use crate::operator_desk::Desk;
+use crate::operator_clients::OperatorClients;
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::{OrderPlan, Repeat};
-use crate::{World, WorldSettings};
+use crate::{Simulation, SimulationSettings};
 use fastrand::Rng;
-use history_checker::OrderAnswer;
+use history_checker::OrderResponse;
 use monotonic_clock::Micros;
 
 /// How long a control machine is cut off.
@@ -49,25 +49,27 @@
         kinds[(seed % kinds.len() as u64) as usize]
     }
 
-    fn begin(self, world: &mut World, victim: usize) {
+    fn begin(self, simulation: &mut Simulation, victim: usize) {
         let others = other_disk_nodes(victim);
         match self {
-            CutKind::OneWayOut => others.iter().for_each(|other| world.cut_one_way(victim, *other)),
-            CutKind::OneWayIn => others.iter().for_each(|other| world.cut_one_way(*other, victim)),
+            CutKind::OneWayOut => others.iter().for_each(|other| simulation.cut_one_way(victim, *other)),
+            CutKind::OneWayIn => others.iter().for_each(|other| simulation.cut_one_way(*other, victim)),
             CutKind::FromEveryone => {
                 let everyone: Vec<usize> = (0..10).filter(|number| *number != victim).collect();
-                world.cut(&[victim], &everyone);
+                simulation.cut(&[victim], &everyone);
+            }
+            CutKind::Full | CutKind::SeedsNameIt | CutKind::BothRestarted => {
+                simulation.cut(&[victim], &others)
             }
-            CutKind::Full | CutKind::SeedsNameIt | CutKind::BothRestarted => world.cut(&[victim], &others),
         }
     }
 }
 
 /// A node is killed and started again half a second later, while the operators work.
-fn restart(trial: &mut Trial, desk: &mut Desk, number: usize) {
-    trial.world.kill_either_way(number);
-    desk.work(&mut trial.world, 0.5);
-    trial.world.start(number);
+fn restart(trial: &mut Trial, operator_clients: &mut OperatorClients, number: usize) {
+    trial.simulation.kill_either_way(number);
+    operator_clients.work(&mut trial.simulation, 0.5);
+    trial.simulation.start(number);
 }
 
 /// One disk node is cut off from the other disk nodes for twenty seconds; orders and reads go to it and
@@ -76,42 +78,41 @@
     let mut trial = Trial::default(seed);
     let kind = CutKind::of(seed);
     let victim = (seed / 6 % 3) as usize;
-    let mut desk = Desk::new(seed).with_operators(2).with_operator_at(victim).reading_at(&[
-        victim,
-        (victim + 1) % 3,
-        3 + (seed % 7) as usize,
-    ]);
+    let mut operator_clients = OperatorClients::new(seed)
+        .with_operators(2)
+        .with_operator_at(victim)
+        .reading_at(&[victim, (victim + 1) % 3, 3 + (seed % 7) as usize]);
     // Nodes that restart without hearing a majority refuse what they get: told as a figure.
     trial.checks.count_refusals = false;
-    desk.work(&mut trial.world, 3.0);
-    kind.begin(&mut trial.world, victim);
+    operator_clients.work(&mut trial.simulation, 3.0);
+    kind.begin(&mut trial.simulation, victim);
     match kind {
         CutKind::SeedsNameIt => {
-            trial.world.take_seeds(&[victim]);
-            desk.work(&mut trial.world, 6.0);
+            trial.simulation.set_seeds(&[victim]);
+            operator_clients.work(&mut trial.simulation, 6.0);
             for number in [4, 7] {
-                restart(&mut trial, &mut desk, number);
+                restart(&mut trial, &mut operator_clients, number);
             }
-            desk.work(&mut trial.world, CUT_SECONDS - 7.0);
+            operator_clients.work(&mut trial.simulation, CUT_SECONDS - 7.0);
         }
         CutKind::BothRestarted => {
-            desk.work(&mut trial.world, 5.0);
-            restart(&mut trial, &mut desk, victim);
-            desk.work(&mut trial.world, 4.0);
+            operator_clients.work(&mut trial.simulation, 5.0);
+            restart(&mut trial, &mut operator_clients, victim);
+            operator_clients.work(&mut trial.simulation, 4.0);
             for number in other_disk_nodes(victim) {
-                restart(&mut trial, &mut desk, number);
-                desk.work(&mut trial.world, 4.0);
+                restart(&mut trial, &mut operator_clients, number);
+                operator_clients.work(&mut trial.simulation, 4.0);
             }
-            desk.work(&mut trial.world, CUT_SECONDS - 18.5);
+            operator_clients.work(&mut trial.simulation, CUT_SECONDS - 18.5);
         }
-        _ => desk.work(&mut trial.world, CUT_SECONDS),
+        _ => operator_clients.work(&mut trial.simulation, CUT_SECONDS),
     }
-    trial.world.heal();
-    trial.world.take_seeds(&DISK_NODES);
-    desk.work(&mut trial.world, 3.0);
-    desk.close(&mut trial);
+    trial.simulation.heal();
+    trial.simulation.set_seeds(&DISK_NODES);
+    operator_clients.work(&mut trial.simulation, 3.0);
+    operator_clients.close(&mut trial);
     trial.must_settle();
-    trial.must_spread();
+    trial.must_propagate();
     trial.verdict()
 }
 
@@ -119,60 +120,60 @@
 /// it wakes its old writes take no effect, and nobody is told that they did.
 pub(crate) fn owner_frozen_amid_orders(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0xf0e2);
-    let mut desk = Desk::new(seed).with_operators(4).reading_at(&[0, 1, 2]);
+    let mut rng = Rng::with_seed(seed ^ 0xf0e2);
+    let mut operator_clients = OperatorClients::new(seed).with_operators(4).reading_at(&[0, 1, 2]);
     trial.checks.count_refusals = false;
-    desk.work(&mut trial.world, 2.0);
+    operator_clients.work(&mut trial.simulation, 2.0);
     for _ in 0..4 {
-        let Some(owner) = trial.world.configuration_owner() else {
-            desk.work(&mut trial.world, 1.0);
+        let Some(owner) = trial.simulation.configuration_owner() else {
+            operator_clients.work(&mut trial.simulation, 1.0);
             continue;
         };
-        match dice.bool() {
+        match rng.bool() {
             true => {
-                let seconds = 0.3 + dice.f64() * 6.0;
-                trial.world.freeze(owner, seconds);
-                desk.work(&mut trial.world, seconds);
+                let seconds = 0.3 + rng.f64() * 6.0;
+                trial.simulation.freeze(owner, seconds);
+                operator_clients.work(&mut trial.simulation, seconds);
             }
             false => {
                 for _ in 0..12 {
-                    trial.world.freeze(owner, 0.3);
-                    desk.work(&mut trial.world, 0.33);
+                    trial.simulation.freeze(owner, 0.3);
+                    operator_clients.work(&mut trial.simulation, 0.33);
                 }
             }
         }
-        desk.work(&mut trial.world, dice.f64() * 2.0);
+        operator_clients.work(&mut trial.simulation, rng.f64() * 2.0);
     }
-    desk.close(&mut trial);
+    operator_clients.close(&mut trial);
     trial.must_settle();
-    trial.must_spread();
+    trial.must_propagate();
     trial.verdict()
 }
 
 /// Orders race on one version at both sides of a cut between the disk nodes, at the owner's above all.
 pub(crate) fn orders_race_during_a_cut(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0xacc);
+    let mut rng = Rng::with_seed(seed ^ 0xacc);
     trial.checks.count_refusals = false;
     for version in 0..5 {
-        let victim = trial.world.configuration_owner().filter(|_| dice.bool());
-        let victim = victim.unwrap_or(dice.usize(..3));
-        let (left, right) = sides_of_a_cut(victim, &mut dice);
-        trial.world.cut(&left, &right);
-        trial.world.run_for(dice.f64() * 1.5);
+        let victim = trial.simulation.configuration_owner().filter(|_| rng.bool());
+        let victim = victim.unwrap_or(rng.usize(..3));
+        let (left, right) = sides_of_a_cut(victim, &mut rng);
+        trial.simulation.cut(&left, &right);
+        trial.simulation.run_for(rng.f64() * 1.5);
         let mut names = Vec::new();
         for racer in 0..4 {
             let side = if racer % 2 == 0 { &left } else { &right };
-            let node = dice.choice(side.iter().copied()).unwrap_or(victim);
+            let node = rng.choice(side.iter().copied()).unwrap_or(victim);
             let name = format!("cut-{version}-{racer}");
             let mut plan = OrderPlan::new(name.clone(), node, Some(version), version + 1);
             plan.wanted_for = Micros::from_secs(40);
-            plan.repeat = if dice.bool() { Repeat::SameNode } else { Repeat::OtherNode };
-            trial.world.send_order(plan);
+            plan.repeat = if rng.bool() { Repeat::SameNode } else { Repeat::OtherNode };
+            trial.simulation.send_order(plan);
             names.push(name);
         }
-        trial.world.run_for(0.5 + dice.f64() * 5.0);
-        trial.world.heal();
+        trial.simulation.run_for(0.5 + rng.f64() * 5.0);
+        trial.simulation.heal();
         trial.must_have_one_winner(&names);
     }
     trial.must_settle();
@@ -180,9 +181,9 @@
 }
 
 /// A disk node with one half of the others, and the rest.
-fn sides_of_a_cut(victim: usize, dice: &mut Rng) -> (Vec<usize>, Vec<usize>) {
+fn sides_of_a_cut(victim: usize, rng: &mut Rng) -> (Vec<usize>, Vec<usize>) {
     let mut left = vec![victim];
-    left.extend((3..10).filter(|_| dice.bool()));
+    left.extend((3..10).filter(|_| rng.bool()));
     let right = (0..10).filter(|number| !left.contains(number)).collect();
     (left, right)
 }
@@ -190,9 +191,12 @@
 impl Trial {
     /// Of orders on one version exactly one is accepted in the end, and the others are refused.
     pub(crate) fn must_have_one_winner(&mut self, names: &[String]) {
-        let is_over = self.world.run_until(8.0, |world| names.iter().all(|name| world.is_order_over(name)));
+        let is_over = self
+            .simulation
+            .run_until(8.0, |simulation| names.iter().all(|name| simulation.is_order_over(name)));
         self.must(is_over, "orders are answered clearly", &format!("{names:?} are not answered after 8 s"));
-        let accepted: Vec<&String> = names.iter().filter(|name| self.world.is_order_accepted(name)).collect();
+        let accepted: Vec<&String> =
+            names.iter().filter(|name| self.simulation.is_order_accepted(name)).collect();
         let seen = format!("of {names:?} these were accepted: {accepted:?}");
         let is_one = accepted.len() == 1;
         self.must(is_one, "one of the orders on a version is taken", &seen);
@@ -201,9 +205,10 @@
     /// An order is accepted within some seconds.
     pub(crate) fn must_take(&mut self, plan: OrderPlan, seconds: f64) {
         let name = plan.order.clone();
-        self.world.send_order(plan);
-        let is_accepted = self.world.run_until(seconds, |world| world.is_order_accepted(&name));
-        let seen = format!("{name}: {:?} after {seconds} s", self.world.order_answer(&name));
+        self.simulation.send_order(plan);
+        let is_accepted =
+            self.simulation.run_until(seconds, |simulation| simulation.is_order_accepted(&name));
+        let seen = format!("{name}: {:?} after {seconds} s", self.simulation.order_response(&name));
         self.must(is_accepted, "orders are answered clearly", &seen);
     }
 }
@@ -212,29 +217,29 @@
 /// before it on, and are sent to it alone until it answers.
 pub(crate) fn orders_meet_a_returning_machine(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0x3ee7);
+    let mut rng = Rng::with_seed(seed ^ 0x3ee7);
     trial.checks.count_refusals = false;
     let mut version = 0;
     for round in 0..4 {
-        let victim = dice.usize(..3);
-        let away = 1.0 + dice.f64() * 7.0;
-        let kind = dice.u8(..3);
+        let victim = rng.usize(..3);
+        let away = 1.0 + rng.f64() * 7.0;
+        let kind = rng.u8(..3);
         match kind {
-            0 => trial.world.kill_either_way(victim),
-            1 => trial.world.cut(&[victim], &other_disk_nodes(victim)),
-            _ => trial.world.freeze(victim, away),
+            0 => trial.simulation.kill_either_way(victim),
+            1 => trial.simulation.cut(&[victim], &other_disk_nodes(victim)),
+            _ => trial.simulation.freeze(victim, away),
         }
-        trial.world.run_for(away / 2.0);
+        trial.simulation.run_for(away / 2.0);
         // Others order meanwhile, so that it returns with an older configuration.
         let meanwhile = OrderPlan::new(format!("away-{round}"), 5, Some(version), version + 1);
         trial.must_take(meanwhile, 10.0);
         version += 1;
-        trial.world.run_for(away / 2.0 - 0.1);
-        let meeting = trial.meet(round, victim, version, &mut dice);
-        trial.world.run_for(0.1);
+        trial.simulation.run_for(away / 2.0 - 0.1);
+        let meeting = trial.meet(round, victim, version, &mut rng);
+        trial.simulation.run_for(0.1);
         match kind {
-            0 => trial.world.start(victim),
-            1 => trial.world.heal(),
+            0 => trial.simulation.start(victim),
+            1 => trial.simulation.heal(),
             _ => {}
         }
         trial.must_be_met(&meeting);
@@ -246,23 +251,23 @@
 
 impl Trial {
     /// Two orders on one version go to a node that is not back yet, and go on until it answers.
-    fn meet(&mut self, round: usize, victim: usize, version: u64, dice: &mut Rng) -> Vec<String> {
+    fn meet(&mut self, round: usize, victim: usize, version: u64, rng: &mut Rng) -> Vec<String> {
         let names: Vec<String> = (0..2).map(|number| format!("meet-{round}-{number}")).collect();
         for name in &names {
             let mut plan = OrderPlan::new(name.clone(), victim, Some(version), version + 1);
             plan.repeat = Repeat::SameNode;
-            plan.silence = Micros::from_millis(50 + dice.u64(..300));
+            plan.silence = Micros::from_millis(50 + rng.u64(..300));
             plan.wanted_for = Micros::from_secs(40);
-            self.world.send_order(plan);
+            self.simulation.send_order(plan);
         }
         names
     }
 
     fn must_be_met(&mut self, names: &[String]) {
         self.must_have_one_winner(names);
-        let refused = names
-            .iter()
-            .filter(|name| matches!(self.world.order_answer(name), Some(OrderAnswer::RefusedVersion)));
+        let refused = names.iter().filter(|name| {
+            matches!(self.simulation.order_response(name), Some(OrderResponse::RefusedVersion))
+        });
         let is_one_refused = refused.count() == 1;
         self.must(is_one_refused, "one of the orders on a version is taken", "none was refused");
     }
@@ -270,58 +275,58 @@
 
 /// Five disks, two of them cut off with a third of the nodes; orders go to both sides.
 pub(crate) fn two_control_machines_cut_off(seed: u64) -> Verdict {
-    let settings = WorldSettings { disks: 5, founding_disks: 5, ..WorldSettings::default() };
-    let mut trial = Trial::founded(settings, seed);
-    let mut dice = Rng::with_seed(seed ^ 0x25c0);
+    let settings = SimulationSettings { disks: 5, bootstrap_disks: 5, ..SimulationSettings::default() };
+    let mut trial = Trial::bootstrapped(settings, seed);
+    let mut rng = Rng::with_seed(seed ^ 0x25c0);
     trial.checks.count_refusals = false;
     let mut disk_nodes: Vec<usize> = (0..5).collect();
-    dice.shuffle(&mut disk_nodes);
+    rng.shuffle(&mut disk_nodes);
     let small: Vec<usize> = disk_nodes[..2].iter().copied().chain([7, 8]).collect();
     let large: Vec<usize> = (0..10).filter(|number| !small.contains(number)).collect();
-    let mut desk = Desk::new(seed)
+    let mut operator_clients = OperatorClients::new(seed)
         .with_operators(2)
         .with_operator_at(small[0])
         .with_operator_at(small[2])
         .reading_at(&[small[0], small[1], small[3], large[0]]);
-    desk.work(&mut trial.world, 2.0);
-    trial.world.cut(&small, &large);
-    desk.work(&mut trial.world, CUT_SECONDS / 2.0);
+    operator_clients.work(&mut trial.simulation, 2.0);
+    trial.simulation.cut(&small, &large);
+    operator_clients.work(&mut trial.simulation, CUT_SECONDS / 2.0);
     // One on the small side restarts without a majority and must not go by what it remembers alone.
-    restart(&mut trial, &mut desk, small[1]);
-    desk.work(&mut trial.world, CUT_SECONDS / 2.0);
-    trial.world.heal();
-    desk.work(&mut trial.world, 3.0);
-    desk.close(&mut trial);
+    restart(&mut trial, &mut operator_clients, small[1]);
+    operator_clients.work(&mut trial.simulation, CUT_SECONDS / 2.0);
+    trial.simulation.heal();
+    operator_clients.work(&mut trial.simulation, 3.0);
+    operator_clients.close(&mut trial);
     trial.must_settle();
-    trial.must_spread();
+    trial.must_propagate();
     trial.verdict()
 }
 
 /// Orders that meet one machine which no colleague reaches; more than it keeps waiting.
-const CROWD: u64 = 300;
+const SPIKE: u64 = 300;
 
 /// A disk machine is cut off from everyone, and 300 orders come to it at once: none of them is refused
 /// for that, and none is taken before it is back.
 pub(crate) fn orders_crowd_at_a_cut_off_machine(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0xc0ffee);
+    let mut rng = Rng::with_seed(seed ^ 0xc0ffee);
     trial.checks.count_refusals = false;
     let victim = (seed % 3) as usize;
-    CutKind::FromEveryone.begin(&mut trial.world, victim);
-    trial.world.run_for(dice.f64() * 4.0);
-    let names: Vec<String> = (1..=CROWD).map(|version| format!("crowd-{version}")).collect();
+    CutKind::FromEveryone.begin(&mut trial.simulation, victim);
+    trial.simulation.run_for(rng.f64() * 4.0);
+    let names: Vec<String> = (1..=SPIKE).map(|version| format!("crowd-{version}")).collect();
     for (number, name) in names.iter().enumerate() {
         let mut plan = OrderPlan::new(name.clone(), victim, None, number as u64 + 1);
         plan.repeat = Repeat::SameNode;
         plan.silence = Micros::from_secs(3);
         plan.wanted_for = Micros::from_secs(4);
-        trial.world.send_order(plan);
+        trial.simulation.send_order(plan);
     }
-    trial.world.run_for(4.0);
-    let is_any_taken = names.iter().any(|name| trial.world.is_order_accepted(name));
+    trial.simulation.run_for(4.0);
+    let is_any_taken = names.iter().any(|name| trial.simulation.is_order_accepted(name));
     trial.must(!is_any_taken, "no second state", "a machine took an order by itself");
-    trial.world.heal();
+    trial.simulation.heal();
     trial.must_settle();
-    trial.must_take(OrderPlan::new("after", victim, None, CROWD + 1), 6.0);
+    trial.must_take(OrderPlan::new("after", victim, None, SPIKE + 1), 6.0);
     trial.verdict()
 }
