--- a/packages/fleet_simulator/src/late_news_scenarios.rs
+++ b/packages/fleet_simulator/src/late_gossip_scenarios.rs
@@ -2,7 +2,7 @@
 //! in time.
 
 use crate::scenarios::{Trial, Verdict};
-use crate::{LinkRates, World, WorldSettings};
+use crate::{LinkRates, Simulation, SimulationSettings};
 use fastrand::Rng;
 use history_checker::Line;
 use serde_json::{Value, json};
@@ -11,8 +11,8 @@
 const NODES: usize = 79;
 const DISKS: usize = 8;
 /// Lanes that nobody calls, and bytes of each that mean nothing to the fleet: a document of 200 KB.
-const IDLE_LANES: usize = 500;
-const IDLE_LANE_NOTE: usize = 250;
+const IDLE_ROUTES: usize = 500;
+const IDLE_ROUTE_NOTE: usize = 250;
 const CHANGES: usize = 6;
 /// An acknowledged change is in force within so many microseconds.
 const IN_FORCE_WITHIN: u64 = 4_000_000;
@@ -20,50 +20,52 @@
 /// The bodies of changes never come by the news to the machines that have a disk and no vote; marks that tell of
 /// newer ones do.
 pub(crate) fn bodies_of_changes_lost(seed: u64) -> Verdict {
-    let mut dice = Rng::with_seed(seed ^ 0xb0d1);
-    let settings = WorldSettings {
+    let mut rng = Rng::with_seed(seed ^ 0xb0d1);
+    let settings = SimulationSettings {
         node_count: NODES,
         disks: DISKS,
-        founding_disks: 5,
+        bootstrap_disks: 5,
         busy: 4,
         rare: 8,
         link_rates: Some(LinkRates { with_disk: 12.5e6, others: 250e3 }),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
     let mut trial = Trial::unfounded(settings, seed);
-    let is_ready = trial.world.run_until(20.0, World::is_all_ready);
+    let is_ready = trial.simulation.run_until(20.0, Simulation::is_all_ready);
     trial.must(is_ready, "founding", "the nodes were not ready");
-    let document = large_document(&trial.world, &mut dice);
-    trial.world.operator_sends(DISKS + 1, "first", document);
-    let is_settled = trial.world.run_until(20.0, |world| world.is_accepted("first") && world.is_settled());
+    let document = large_document(&trial.simulation, &mut rng);
+    trial.simulation.operator_sends(DISKS + 1, "first", document);
+    let is_settled = trial
+        .simulation
+        .run_until(20.0, |simulation| simulation.is_accepted("first") && simulation.is_settled());
     trial.must(is_settled, "founding", "the first configuration did not reach every node");
-    trial.world.call_rate = 100.0;
-    let voters = trial.world.voter_numbers();
+    trial.simulation.call_rate = 100.0;
+    let voters = trial.simulation.voter_numbers();
     for number in (0..DISKS).filter(|number| !voters.contains(number)) {
         for kind in ["News", "NewsChanges"] {
-            trial.world.lost_kinds.insert((number, kind));
+            trial.simulation.lost_kinds.insert((number, kind));
         }
     }
     for number in 0..CHANGES {
-        let node = dice.usize(..NODES);
-        trial.world.mark(node, &format!("lost-{number}"));
-        trial.world.run_for(1.0 + dice.f64() * 4.0);
+        let node = rng.usize(..NODES);
+        trial.simulation.send_marked_change(node, &format!("lost-{number}"));
+        trial.simulation.run_for(1.0 + rng.f64() * 4.0);
     }
-    trial.world.run_for(IN_FORCE_WITHIN as f64 / 1e6);
+    trial.simulation.run_for(IN_FORCE_WITHIN as f64 / 1e6);
     trial.must_be_in_force_in_time();
     // Nodes that miss the news of cells turn some calls away.
     trial.checks.count_refusals = false;
     trial.verdict()
 }
 
-fn large_document(world: &World, dice: &mut Rng) -> Value {
-    let mut document = world.document();
-    let functions = world.functions();
-    for number in 0..IDLE_LANES {
-        let note: String = (0..IDLE_LANE_NOTE).map(|_| dice.alphanumeric()).collect();
+fn large_document(simulation: &Simulation, rng: &mut Rng) -> Value {
+    let mut document = simulation.document();
+    let functions = simulation.functions();
+    for number in 0..IDLE_ROUTES {
+        let note: String = (0..IDLE_ROUTE_NOTE).map(|_| rng.alphanumeric()).collect();
         document["lanes"][format!("idle-{number}")] = json!({
             "function": functions[number % functions.len()],
-            "path_prefix": format!("/idle/{:016x}", dice.u64(..)),
+            "path_prefix": format!("/idle/{:016x}", rng.u64(..)),
             "annotations": {"note": note},
         });
     }
@@ -75,7 +77,7 @@
     fn must_be_in_force_in_time(&mut self) {
         let mut held: BTreeMap<String, Vec<(u64, u64)>> = BTreeMap::new();
         let mut accepted = Vec::new();
-        for line in self.world.lines() {
+        for line in self.simulation.lines() {
             match line {
                 Line::GenerationHeld { at, node, generation, .. } => {
                     held.entry(node.clone()).or_default().push((*at, *generation));
@@ -84,11 +86,11 @@
                 _ => {}
             }
         }
-        let now = self.world.now();
+        let now = self.simulation.now();
         let due = accepted.into_iter().filter(|(accepted_at, _)| accepted_at + IN_FORCE_WITHIN <= now);
         let due: Vec<(u64, u64)> = due.collect();
         let mut longest = (0, String::new());
-        for number in self.world.up() {
+        for number in self.simulation.up() {
             let node = format!("node-{number}");
             let taken = held.get(&node).map(Vec::as_slice).unwrap_or_default();
             for (accepted_at, generation) in &due {
--- a/packages/fleet_simulator/src/lib.rs
+++ b/packages/fleet_simulator/src/lib.rs
@@ -5,18 +5,18 @@
 //! `history_checker` judges after the fact.
 
 mod acknowledgement_scenarios;
-mod allowance_scenarios;
 mod catch_up_scenarios;
 mod control_scenarios;
 mod disk_scenarios;
 mod grown_scenarios;
-mod lane_scenarios;
-mod late_news_scenarios;
+mod late_gossip_scenarios;
 mod machine_scenarios;
-mod operator_desk;
+mod operator_clients;
 mod order_scenarios;
 mod processor_scenarios;
 mod processors;
+mod quota_scenarios;
+mod route_scenarios;
 pub mod scenarios;
 mod sim_calls;
 mod sim_disk;
@@ -24,9 +24,9 @@
 mod sim_operators;
 mod sim_platform;
 mod sim_usage;
+mod simulation;
 mod stop_scenarios;
 mod usage_scenarios;
-mod world;
 
 pub use processors::Processors;
 pub use sim_disk::SimDisk;
@@ -34,4 +34,4 @@
 pub use sim_operators::{OrderPlan, Repeat};
 pub use sim_platform::SimPlatform;
 pub use sim_usage::SimUsage;
-pub use world::{FreezeIn, World, WorldSettings};
+pub use simulation::{FreezeIn, Simulation, SimulationSettings};
--- a/packages/fleet_simulator/src/machine_scenarios.rs
+++ b/packages/fleet_simulator/src/machine_scenarios.rs
@@ -1,35 +1,36 @@
 //! Machines that freeze in the middle of an act, clocks that run apart, and the brief's full size.
 
 use crate::scenarios::{Trial, Verdict};
-use crate::{FreezeIn, WorldSettings};
+use crate::{FreezeIn, SimulationSettings};
 use fastrand::Rng;
 
 /// Whoever does it next freezes while its start, stop, ticket, store or sync is on its way.
 pub(crate) fn frozen_in_the_act(seed: u64) -> Verdict {
-    let mut trial = Trial::founded(WorldSettings { idle_seconds: 3, ..WorldSettings::default() }, seed);
-    let mut dice = Rng::with_seed(seed ^ 0xf4ee);
+    let mut trial =
+        Trial::bootstrapped(SimulationSettings { idle_seconds: 3, ..SimulationSettings::default() }, seed);
+    let mut rng = Rng::with_seed(seed ^ 0xf4ee);
     let moments = [FreezeIn::Start, FreezeIn::Stop, FreezeIn::Grant, FreezeIn::Store, FreezeIn::Sync];
     let mut frozen_count = 0;
     for round in 0..6 {
-        let moment = moments[dice.usize(..moments.len())];
-        trial.world.freeze_in = Some((moment, 0.5 + dice.f64() * 5.5));
+        let moment = moments[rng.usize(..moments.len())];
+        trial.simulation.freeze_in = Some((moment, 0.5 + rng.f64() * 5.5));
         // A jump of one function fills waitlists and asks for starts.
-        let crowded = format!("busy-{}", dice.usize(..4));
+        let crowded = format!("busy-{}", rng.usize(..4));
         for _ in 0..10 {
             for call in 0..8 {
-                trial.world.send_call((round + call) % 10, &crowded, 0);
+                trial.simulation.send_call((round + call) % 10, &crowded, 0);
             }
-            trial.world.run_for(0.1);
+            trial.simulation.run_for(0.1);
         }
-        trial.world.mark(dice.usize(..10), &format!("frozen-{round}"));
-        trial.world.run_for(1.0 + dice.f64() * 6.0);
-        frozen_count += u32::from(trial.world.freeze_in.take().is_none());
+        trial.simulation.send_marked_change(rng.usize(..10), &format!("frozen-{round}"));
+        trial.simulation.run_for(1.0 + rng.f64() * 6.0);
+        frozen_count += u32::from(trial.simulation.freeze_in.take().is_none());
     }
     trial.figures.push(("frozen", f64::from(frozen_count)));
     trial.must(frozen_count > 0, "the failure came about", "no node was frozen in an act");
     // A crowd meets deputies alone until the frozen steward's lease is over: told as a figure.
     trial.checks.count_refusals = false;
-    trial.world.run_for(6.0);
+    trial.simulation.run_for(6.0);
     trial.must_settle();
     trial.must_accept(4, "thawed", 6.0);
     trial.verdict()
@@ -38,15 +39,16 @@
 /// Clocks run up to one in a hundred fast or slow, and stewards are cut off from the disks, so that
 /// terms end by the clocks alone.
 pub(crate) fn clocks_drift(seed: u64) -> Verdict {
-    let mut trial = Trial::founded(WorldSettings { clock_drift: 0.01, ..WorldSettings::default() }, seed);
-    trial.world.call_rate = 300.0;
-    let mut dice = Rng::with_seed(seed ^ 0xd41f);
+    let mut trial =
+        Trial::bootstrapped(SimulationSettings { clock_drift: 0.01, ..SimulationSettings::default() }, seed);
+    trial.simulation.call_rate = 300.0;
+    let mut rng = Rng::with_seed(seed ^ 0xd41f);
     for _ in 0..5 {
-        let victim = 3 + dice.usize(..7);
-        trial.world.cut(&[victim], &[0, 1, 2]);
-        trial.world.run_for(4.5 + dice.f64());
-        trial.world.heal();
-        trial.world.run_for(0.5 + dice.f64());
+        let victim = 3 + rng.usize(..7);
+        trial.simulation.cut(&[victim], &[0, 1, 2]);
+        trial.simulation.run_for(4.5 + rng.f64());
+        trial.simulation.heal();
+        trial.simulation.run_for(0.5 + rng.f64());
     }
     trial.must_settle();
     trial.verdict()
@@ -56,21 +58,25 @@
 /// and a disk node are killed and started again.
 pub(crate) fn full_size(seed: u64) -> Verdict {
     let worker_memory = if seed.is_multiple_of(2) { 6_500 } else { 5_300 };
-    let settings =
-        WorldSettings { busy: 8, rare: 150, workers: (12, worker_memory), ..WorldSettings::default() };
-    let mut trial = Trial::founded(settings, seed);
-    trial.world.call_rate = 300.0;
-    trial.world.run_for(8.0);
+    let settings = SimulationSettings {
+        busy: 8,
+        rare: 150,
+        workers: (12, worker_memory),
+        ..SimulationSettings::default()
+    };
+    let mut trial = Trial::bootstrapped(settings, seed);
+    trial.simulation.call_rate = 300.0;
+    trial.simulation.run_for(8.0);
     let victims = [(seed % 3) as usize, 3 + (seed % 7) as usize];
     for victim in victims {
-        trial.world.kill_either_way(victim);
-        trial.world.run_for(3.0);
+        trial.simulation.kill_either_way(victim);
+        trial.simulation.run_for(3.0);
     }
     trial.must_accept(3 + ((seed + 1) % 7) as usize, "one-down", 4.0);
     for victim in victims {
-        trial.world.start(victim);
+        trial.simulation.start(victim);
     }
     trial.must_settle();
-    trial.must_spread();
+    trial.must_propagate();
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/operator_desk.rs
+++ b/packages/fleet_simulator/src/operator_clients.rs
@@ -1,14 +1,14 @@
 //! Operators at work: each makes one order after another on the version that it knows of, and reads
 //! the configuration after a refusal; others read at chosen nodes all the while.
 
-use crate::World;
+use crate::Simulation;
 use crate::scenarios::Trial;
 use crate::sim_operators::{OrderPlan, Repeat};
 use fastrand::Rng;
-use history_checker::ReadAnswer;
+use history_checker::ReadResponse;
 
 /// Between two looks of the operators at what was answered.
-const LOOK_SECONDS: f64 = 0.05;
+const CHECK_SECONDS: f64 = 0.05;
 /// Between two orders of one operator.
 const ORDER_PAUSE: u64 = 300_000;
 /// Between two reads at each watched node.
@@ -30,82 +30,82 @@
 }
 
 impl Operator {
-    fn look(&mut self, world: &mut World, dice: &mut Rng, is_closing: bool) {
+    fn poll(&mut self, simulation: &mut Simulation, rng: &mut Rng, is_closing: bool) {
         if let Some(read) = self.reading {
-            match world.read_answer(read) {
+            match simulation.read_response(read) {
                 None => return,
-                Some(ReadAnswer::Confirmed { version, .. }) => {
+                Some(ReadResponse::Confirmed { version, .. }) => {
                     self.known_version = *version;
                     self.reading = None;
                 }
-                Some(ReadAnswer::NoMajority | ReadAnswer::Lost) => {
-                    self.read(world, dice);
+                Some(ReadResponse::NoMajority | ReadResponse::Lost) => {
+                    self.read(simulation, rng);
                     return;
                 }
             }
         }
         if let Some((order, version)) = &self.current {
-            if !world.is_order_over(order) {
+            if !simulation.is_order_over(order) {
                 return;
             }
-            let is_accepted = world.is_order_accepted(order);
+            let is_accepted = simulation.is_order_accepted(order);
             if is_accepted {
                 self.known_version = *version;
             }
             self.current = None;
-            self.next_at = world.now() + dice.u64(0..ORDER_PAUSE * 2);
+            self.next_at = simulation.now() + rng.u64(0..ORDER_PAUSE * 2);
             if !is_accepted {
-                self.read(world, dice);
+                self.read(simulation, rng);
                 return;
             }
         }
-        if !is_closing && world.now() >= self.next_at {
-            self.order(world, dice);
+        if !is_closing && simulation.now() >= self.next_at {
+            self.order(simulation, rng);
         }
     }
 
-    fn node(&self, world: &World, dice: &mut Rng) -> usize {
-        let drawn = || dice.choice(world.up()).unwrap_or(0);
-        self.only_node.unwrap_or_else(drawn)
+    fn node(&self, simulation: &Simulation, rng: &mut Rng) -> usize {
+        let random = || rng.choice(simulation.up()).unwrap_or(0);
+        self.only_node.unwrap_or_else(random)
     }
 
-    fn read(&mut self, world: &mut World, dice: &mut Rng) {
+    fn read(&mut self, simulation: &mut Simulation, rng: &mut Rng) {
         // A version is learnt anywhere, also by who orders at one node.
-        let node = dice.choice(world.up()).unwrap_or(0);
-        self.reading = Some(world.send_read(node));
+        let node = rng.choice(simulation.up()).unwrap_or(0);
+        self.reading = Some(simulation.send_read(node));
     }
 
-    fn order(&mut self, world: &mut World, dice: &mut Rng) {
+    fn order(&mut self, simulation: &mut Simulation, rng: &mut Rng) {
         self.order_count += 1;
         let order = format!("{}-{}", self.name, self.order_count);
         let version = self.known_version + 1;
-        let node = self.node(world, dice);
+        let node = self.node(simulation, rng);
         let mut plan = OrderPlan::new(order.clone(), node, Some(self.known_version), version);
         plan.wanted_for = monotonic_clock::Micros::from_secs(60);
         if self.only_node.is_some() {
             plan.repeat = Repeat::SameNode;
         }
-        world.send_order(plan);
+        simulation.send_order(plan);
         self.current = Some((order, version));
     }
 }
 
-/// All operators of a trial. Example: `Desk::new(seed).with_operators(2).reading_at(&[0, 4])`.
-pub(crate) struct Desk {
+/// All operators of a trial. Example: `OperatorClients::new(seed).with_operators(2).reading_at(&[0, 4])`.
+pub(crate) struct OperatorClients {
     operators: Vec<Operator>,
     read_at: Vec<usize>,
     next_read_at: u64,
-    dice: Rng,
+    rng: Rng,
 }
 
-impl Desk {
-    pub fn new(seed: u64) -> Desk {
-        let dice = Rng::with_seed(seed ^ 0x0de5);
-        Desk { operators: Vec::new(), read_at: Vec::new(), next_read_at: 0, dice }
+impl OperatorClients {
+    pub fn new(seed: u64) -> OperatorClients {
+        let rng = Rng::with_seed(seed ^ 0x0de5);
+        OperatorClients { operators: Vec::new(), read_at: Vec::new(), next_read_at: 0, rng }
     }
 
     /// Operators who send to any node, the next time to another.
-    pub fn with_operators(mut self, count: usize) -> Desk {
+    pub fn with_operators(mut self, count: usize) -> OperatorClients {
         for _ in 0..count {
             self.add(None);
         }
@@ -113,13 +113,13 @@
     }
 
     /// An operator who sends to one node again and again.
-    pub fn with_operator_at(mut self, node: usize) -> Desk {
+    pub fn with_operator_at(mut self, node: usize) -> OperatorClients {
         self.add(Some(node));
         self
     }
 
     /// Nodes that are asked for the configuration all the while.
-    pub fn reading_at(mut self, nodes: &[usize]) -> Desk {
+    pub fn reading_at(mut self, nodes: &[usize]) -> OperatorClients {
         self.read_at = nodes.to_vec();
         self
     }
@@ -137,26 +137,26 @@
         });
     }
 
-    /// Lets the operators work for some seconds. Example: `desk.work(&mut trial.world, 20.0)`.
-    pub fn work(&mut self, world: &mut World, seconds: f64) {
-        let end = world.now() + (seconds * 1e6) as u64;
-        while world.now() < end {
-            self.look(world, false);
-            let left = (end - world.now()) as f64 / 1e6;
-            world.run_for(left.min(LOOK_SECONDS));
+    /// Lets the operators work for some seconds. Example: `operator_clients.work(&mut trial.simulation, 20.0)`.
+    pub fn work(&mut self, simulation: &mut Simulation, seconds: f64) {
+        let end = simulation.now() + (seconds * 1e6) as u64;
+        while simulation.now() < end {
+            self.poll(simulation, false);
+            let left = (end - simulation.now()) as f64 / 1e6;
+            simulation.run_for(left.min(CHECK_SECONDS));
         }
     }
 
-    fn look(&mut self, world: &mut World, is_closing: bool) {
+    fn poll(&mut self, simulation: &mut Simulation, is_closing: bool) {
         for operator in &mut self.operators {
-            operator.look(world, &mut self.dice, is_closing);
+            operator.poll(simulation, &mut self.rng, is_closing);
         }
-        if world.now() < self.next_read_at || is_closing {
+        if simulation.now() < self.next_read_at || is_closing {
             return;
         }
-        self.next_read_at = world.now() + READ_PAUSE;
+        self.next_read_at = simulation.now() + READ_PAUSE;
         for node in &self.read_at {
-            world.send_read(*node);
+            simulation.send_read(*node);
         }
     }
 
@@ -166,10 +166,10 @@
 
     /// No new orders are made; all machines are back, and what is open must be answered clearly soon.
     pub fn close(&mut self, trial: &mut Trial) {
-        let end = trial.world.now() + (CLEAR_WITHIN_SECONDS * 1e6) as u64;
-        while !self.is_idle() && trial.world.now() < end {
-            self.look(&mut trial.world, true);
-            trial.world.run_for(LOOK_SECONDS);
+        let end = trial.simulation.now() + (CLEAR_WITHIN_SECONDS * 1e6) as u64;
+        while !self.is_idle() && trial.simulation.now() < end {
+            self.poll(&mut trial.simulation, true);
+            trial.simulation.run_for(CHECK_SECONDS);
         }
         let open: Vec<&String> =
             self.operators.iter().filter_map(|operator| Some(&operator.current.as_ref()?.0)).collect();
--- a/packages/fleet_simulator/src/order_scenarios.rs
+++ b/packages/fleet_simulator/src/order_scenarios.rs
@@ -15,38 +15,40 @@
 /// started again amid some.
 pub(crate) fn eight_orders_at_once(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0x8a71);
+    let mut rng = Rng::with_seed(seed ^ 0x8a71);
     let mut version = 0;
     for round in 0..10 {
-        let is_race = dice.bool();
+        let is_race = rng.bool();
         let names: Vec<String> = (0..AT_ONCE).map(|number| format!("eight-{round}-{number}")).collect();
         for (number, name) in names.iter().enumerate() {
             let (expected, next) = match is_race {
                 true => (Some(version), version + 1),
                 false => (None, version + 1 + number as u64),
             };
-            let mut plan = OrderPlan::new(name.clone(), dice.usize(..10), expected, next);
+            let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), expected, next);
             // One of the middle now and then has a fault of its own.
-            plan.is_proper = is_race || number != FAULTY || dice.bool();
-            trial.world.send_order(plan);
+            plan.is_proper = is_race || number != FAULTY || rng.bool();
+            trial.simulation.send_order(plan);
         }
-        trial.world.run_for(dice.f64() * 0.02);
-        let victim = (round % 3 == 2).then(|| dice.usize(..10));
+        trial.simulation.run_for(rng.f64() * 0.02);
+        let victim = (round % 3 == 2).then(|| rng.usize(..10));
         if let Some(victim) = victim {
-            trial.world.kill_either_way(victim);
+            trial.simulation.kill_either_way(victim);
         }
-        let is_over = trial.world.run_until(10.0, |world| names.iter().all(|name| world.is_order_over(name)));
+        let is_over = trial
+            .simulation
+            .run_until(10.0, |simulation| names.iter().all(|name| simulation.is_order_over(name)));
         trial.must(is_over, "orders are answered clearly", "eight orders were not answered after 10 s");
         match is_race {
             true => trial.must_have_one_winner(&names),
             false => {
-                let is_highest_taken = trial.world.is_order_accepted(&names[names.len() - 1]);
+                let is_highest_taken = trial.simulation.is_order_accepted(&names[names.len() - 1]);
                 trial.must(is_highest_taken, "proper orders are taken", "the highest version was refused");
             }
         }
         version += if is_race { 1 } else { AT_ONCE };
         if let Some(victim) = victim {
-            trial.world.start(victim);
+            trial.simulation.start(victim);
             trial.must_settle();
         }
     }
@@ -58,22 +60,22 @@
 /// disks that lose their power and answers that are lost now and then.
 pub(crate) fn orders_race_on_one_version(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0x2ace);
+    let mut rng = Rng::with_seed(seed ^ 0x2ace);
     trial.checks.refusals_fixed = 20;
     for version in 0..25 {
-        trial.world.lose_answers(if dice.u8(..3) == 0 { 0.3 } else { 0.0 });
+        trial.simulation.lose_responses(if rng.u8(..3) == 0 { 0.3 } else { 0.0 });
         let names = [format!("race-{version}-a"), format!("race-{version}-b")];
         for name in &names {
-            let mut plan = OrderPlan::new(name.clone(), dice.usize(..10), Some(version), version + 1);
+            let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), Some(version), version + 1);
             plan.wanted_for = Micros::from_secs(40);
-            trial.world.send_order(plan);
-            trial.world.run_for(dice.f64() * 0.004);
+            trial.simulation.send_order(plan);
+            trial.simulation.run_for(rng.f64() * 0.004);
         }
         if version % 8 == 7 {
-            let victim = trial.world.configuration_owner().unwrap_or(dice.usize(..3));
-            trial.world.kill_either_way(victim);
+            let victim = trial.simulation.configuration_owner().unwrap_or(rng.usize(..3));
+            trial.simulation.kill_either_way(victim);
             trial.must_have_one_winner(&names);
-            trial.world.start(victim);
+            trial.simulation.start(victim);
             trial.must_settle();
             continue;
         }
@@ -99,31 +101,31 @@
 /// owner, a restart of everything, and before the first is settled. Older ones are sent again as well.
 pub(crate) fn lost_answers_repeated(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    let mut dice = Rng::with_seed(seed ^ 0x105e);
+    let mut rng = Rng::with_seed(seed ^ 0x105e);
     trial.checks.count_refusals = false;
-    trial.world.lose_answers(0.5);
+    trial.simulation.lose_responses(0.5);
     let kinds = [Between::Nothing, Between::OwnerKilled, Between::AllRestarted, Between::SentAtOnce];
     for version in 0..12 {
         let between = kinds[(seed as usize + version as usize) % kinds.len()];
         let name = format!("lost-{version}");
-        let mut plan = OrderPlan::new(name.clone(), dice.usize(..10), Some(version), version + 1);
+        let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), Some(version), version + 1);
         plan.wanted_for = Micros::from_secs(60);
         if between == Between::SentAtOnce {
-            plan.silence = Micros::from_millis(1 + dice.u64(..12));
+            plan.silence = Micros::from_millis(1 + rng.u64(..12));
         }
-        trial.world.send_order(plan);
-        trial.world.run_for(0.001 + dice.f64() * 0.03);
+        trial.simulation.send_order(plan);
+        trial.simulation.run_for(0.001 + rng.f64() * 0.03);
         trial.interrupt(between);
-        let is_accepted = trial.world.run_until(20.0, |world| world.is_order_accepted(&name));
-        let seen = format!("{name} ({between:?}): {:?}", trial.world.order_answer(&name));
+        let is_accepted = trial.simulation.run_until(20.0, |simulation| simulation.is_order_accepted(&name));
+        let seen = format!("{name} ({between:?}): {:?}", trial.simulation.order_response(&name));
         trial.must(is_accepted, "a proper order is taken", &seen);
         // Another operator repeats what he ordered long ago.
         for _ in 0..2 {
-            let older = format!("lost-{}", dice.u64(..=version));
-            let node = dice.usize(..10);
-            trial.world.repeat_order(&older, node);
+            let older = format!("lost-{}", rng.u64(..=version));
+            let node = rng.usize(..10);
+            trial.simulation.repeat_order(&older, node);
         }
-        trial.world.run_for(1.6);
+        trial.simulation.run_for(1.6);
     }
     trial.must_settle();
     trial.verdict()
@@ -134,18 +136,18 @@
         match between {
             Between::Nothing | Between::SentAtOnce => {}
             Between::OwnerKilled => {
-                let Some(owner) = self.world.configuration_owner() else { return };
-                self.world.kill_either_way(owner);
-                self.world.run_for(2.0);
-                self.world.start(owner);
+                let Some(owner) = self.simulation.configuration_owner() else { return };
+                self.simulation.kill_either_way(owner);
+                self.simulation.run_for(2.0);
+                self.simulation.start(owner);
             }
             Between::AllRestarted => {
                 for number in 0..10 {
-                    self.world.kill_either_way(number);
+                    self.simulation.kill_either_way(number);
                 }
-                self.world.run_for(0.5);
+                self.simulation.run_for(0.5);
                 for number in 0..10 {
-                    self.world.start(number);
+                    self.simulation.start(number);
                 }
             }
         }
--- a/packages/fleet_simulator/src/processor_scenarios.rs
+++ b/packages/fleet_simulator/src/processor_scenarios.rs
@@ -2,34 +2,34 @@
 
 use crate::processors::Processors;
 use crate::scenarios::{Trial, Verdict};
-use crate::{LinkRates, WorldSettings};
+use crate::{LinkRates, SimulationSettings};
 
 const DISKS: usize = 3;
 const SMALL_FLEET: usize = 12;
 /// One function gets nine in ten of these, which is more than a small machine can be steward for.
-const CROWD: f64 = 290.0;
+const SPIKE: f64 = 290.0;
 const PROCESSORS: Processors = Processors { with_disk: 260, others: 62 };
 /// The steward of a function that is called so often is found, and its successor settled, by then.
 const SETTLED_AFTER: f64 = 6.0;
 
 /// One function has most of the calls: wherever the election put it, a machine that can carry it has it soon.
 pub(crate) fn busy_function_on_small_machines(seed: u64) -> Verdict {
-    let settings = WorldSettings {
+    let settings = SimulationSettings {
         node_count: SMALL_FLEET,
         disks: DISKS,
-        founding_disks: DISKS,
+        bootstrap_disks: DISKS,
         busy: 1,
         rare: 12,
         processors: Some(PROCESSORS),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut trial = Trial::founded(settings, seed);
-    trial.world.call_rate = CROWD;
-    trial.world.run_for(SETTLED_AFTER);
-    let before = trial.world.outcomes;
-    trial.world.run_for(5.0);
+    let mut trial = Trial::bootstrapped(settings, seed);
+    trial.simulation.call_rate = SPIKE;
+    trial.simulation.run_for(SETTLED_AFTER);
+    let before = trial.simulation.outcomes;
+    trial.simulation.run_for(5.0);
     let is_carried = (0..DISKS).any(|number| {
-        let held = trial.world.status(number).map(|status| status.held);
+        let held = trial.simulation.status(number).map(|status| status.held);
         held.is_some_and(|held| held.iter().any(|function| function == "busy-0"))
     });
     trial.must(
@@ -46,33 +46,33 @@
 /// The machines that can carry the busy function stop and are back in turn, within a lease: its term goes there and
 /// back while its cells are started and stopped.
 pub(crate) fn busy_term_there_and_back(seed: u64) -> Verdict {
-    let settings = WorldSettings {
+    let settings = SimulationSettings {
         node_count: SMALL_FLEET,
         disks: DISKS,
-        founding_disks: DISKS,
+        bootstrap_disks: DISKS,
         busy: 1,
         rare: 12,
         idle_seconds: 1,
         processors: Some(PROCESSORS),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut trial = Trial::founded(settings, seed);
+    let mut trial = Trial::bootstrapped(settings, seed);
     trial.checks.count_refusals = false;
-    trial.world.call_rate = CROWD;
-    trial.world.run_for(SETTLED_AFTER);
+    trial.simulation.call_rate = SPIKE;
+    trial.simulation.run_for(SETTLED_AFTER);
     for round in 0..12 {
-        trial.world.call_rate = if round % 2 == 0 { CROWD * 1.4 } else { CROWD * 0.6 };
+        trial.simulation.call_rate = if round % 2 == 0 { SPIKE * 1.4 } else { SPIKE * 0.6 };
         let leads = |number: &usize| {
-            let held = trial.world.status(*number).map(|status| status.held);
+            let held = trial.simulation.status(*number).map(|status| status.held);
             held.is_some_and(|held| held.iter().any(|function| function == "busy-0"))
         };
         let leader = (0..DISKS).find(leads).unwrap_or(round % DISKS);
-        trial.world.stop_planned(leader);
-        trial.world.run_for(0.5);
-        trial.world.start(leader);
-        trial.world.run_for(0.5);
+        trial.simulation.stop_planned(leader);
+        trial.simulation.run_for(0.5);
+        trial.simulation.start(leader);
+        trial.simulation.run_for(0.5);
     }
-    trial.world.call_rate = CROWD;
+    trial.simulation.call_rate = SPIKE;
     trial.must_settle();
     trial.verdict()
 }
@@ -87,31 +87,31 @@
 
 /// A grown fleet on small machines loses most of its processes at once and is itself again soon.
 pub(crate) fn grown_herd_killed(seed: u64) -> Verdict {
-    let settings = WorldSettings {
+    let settings = SimulationSettings {
         node_count: GROWN_NODES,
         disks: GROWN_DISKS,
-        founding_disks: 5,
+        bootstrap_disks: 5,
         busy: 30,
         rare: 1_000,
         workers: (40, 6_332),
         link_rates: Some(LinkRates { with_disk: 12.5e6, others: 250e3 }),
         processors: Some(PROCESSORS),
-        ..WorldSettings::default()
+        ..SimulationSettings::default()
     };
-    let mut trial = Trial::founded(settings, seed);
-    trial.world.call_rate = 800.0;
-    trial.world.run_for(6.0);
-    let killed: Vec<usize> = (0..GROWN_NODES).filter(|_| trial.world.dice.f64() < KILLED).collect();
+    let mut trial = Trial::bootstrapped(settings, seed);
+    trial.simulation.call_rate = 800.0;
+    trial.simulation.run_for(6.0);
+    let killed: Vec<usize> = (0..GROWN_NODES).filter(|_| trial.simulation.rng.f64() < KILLED).collect();
     for number in &killed {
-        trial.world.kill(*number);
+        trial.simulation.kill(*number);
     }
-    trial.world.run_for(KILLED_FOR);
+    trial.simulation.run_for(KILLED_FOR);
     for number in &killed {
-        trial.world.start(*number);
+        trial.simulation.start(*number);
     }
-    trial.world.run_for(BACK_WITHIN);
-    let before = trial.world.outcomes;
-    trial.world.run_for(4.0);
+    trial.simulation.run_for(BACK_WITHIN);
+    let before = trial.simulation.outcomes;
+    trial.simulation.run_for(4.0);
     trial.must_have_served(before, 0.9);
     // Most of the fleet is gone for a while: what counts is that it comes back.
     trial.checks.count_refusals = false;
@@ -122,7 +122,7 @@
     /// Of the calls that ended since then, at least this share ran.
     pub(crate) fn must_have_served(&mut self, before: [u64; 4], least: f64) {
         let ended: Vec<u64> =
-            self.world.outcomes.iter().zip(before).map(|(now, before)| now - before).collect();
+            self.simulation.outcomes.iter().zip(before).map(|(now, before)| now - before).collect();
         let all: u64 = ended.iter().sum();
         let share = ended[0] as f64 / all.max(1) as f64;
         self.figures.push(("served_share", share));
--- a/packages/fleet_simulator/src/processors.rs
+++ b/packages/fleet_simulator/src/processors.rs
@@ -1,8 +1,8 @@
 //! Processor time of simulated machines: a node does one piece of work after the other, each takes time by
 //! its kind at the machine's share of a core, and what comes meanwhile waits in order.
 
-use crate::world::{Happening, World};
-use node_protocol::{Act, Event};
+use crate::simulation::{Simulation, SimulationEvent};
+use node_protocol::{Action, Event};
 use peer_messages::Priority;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 /// Microseconds of a whole core, of the order that `local_fleet` measures: 1.15 ms for a call's whole way.
 const CALL: u64 = 700;
-const MESSAGE_HEARD: u64 = 70;
+const MESSAGE_RECEIVED: u64 = 70;
 const MESSAGE_SENT: u64 = 50;
 const TICK: u64 = 60;
 const OTHER: u64 = 50;
@@ -49,7 +49,8 @@
 
     fn put(&mut self, event: Event, now: u64) {
         let is_tick = matches!(event, Event::Tick);
-        let is_bulk = matches!(&event, Event::Heard(heard) if heard.message.priority() == Priority::Bulk);
+        let is_bulk =
+            matches!(&event, Event::Received(received) if received.message.priority() == Priority::Bulk);
         let queue = if is_bulk { &mut self.bulk } else { &mut self.waiting };
         if (is_tick && self.has_tick) || queue.len() >= QUEUE_LIMIT {
             return;
@@ -59,12 +60,12 @@
     }
 
     /// The next event; messages that waited for longer than they are of use are dropped, as by the program.
-    fn take(&mut self, now: u64) -> Option<Event> {
+    fn pop_event(&mut self, now: u64) -> Option<Event> {
         loop {
-            let (came_at, event) = self.waiting.pop_front().or_else(|| self.bulk.pop_front())?;
-            let waited = Duration::from_micros(now - came_at);
+            let (arrived_at, event) = self.waiting.pop_front().or_else(|| self.bulk.pop_front())?;
+            let waited = Duration::from_micros(now - arrived_at);
             match &event {
-                Event::Heard(envelope) if waited > envelope.message.useful_for() => continue,
+                Event::Received(envelope) if waited > envelope.message.valid_for() => continue,
                 Event::Tick => self.has_tick = false,
                 _ => {}
             }
@@ -76,13 +77,13 @@
 fn cost_of(event: &Event) -> u64 {
     match event {
         Event::Tick => TICK,
-        Event::Heard(_) => MESSAGE_HEARD,
-        Event::CallAsks { .. } => CALL,
+        Event::Received(_) => MESSAGE_RECEIVED,
+        Event::CallNeedsPermit { .. } => CALL,
         _ => OTHER,
     }
 }
 
-impl World {
+impl Simulation {
     /// Whether the machine is busy: the event waits then, and is given when its turn comes.
     pub(crate) fn must_wait(&mut self, number: usize, event: Event) -> Option<Event> {
         if self.settings.processors.is_none() || self.now >= self.nodes[number].processor.busy_until {
@@ -93,19 +94,19 @@
         let span = processor.busy_until - self.now;
         processor.put(event, self.now);
         if is_first {
-            let life = self.nodes[number].life;
-            self.after(span, Happening::ProcessorFree { node: number, life });
+            let incarnation = self.nodes[number].incarnation;
+            self.after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
         }
         None
     }
 
     /// The machine was busy with an event and what came of it.
-    pub(crate) fn spend(&mut self, number: usize, event_cost: u64, acts: &[Act]) {
+    pub(crate) fn spend(&mut self, number: usize, event_cost: u64, actions: &[Action]) {
         if self.settings.processors.is_none() {
             return;
         }
         let share = self.processor_millis(number);
-        let sent = acts.iter().filter(|act| matches!(act, Act::Send { .. })).count() as u64;
+        let sent = actions.iter().filter(|action| matches!(action, Action::Send { .. })).count() as u64;
         let work = event_cost + sent * MESSAGE_SENT;
         self.nodes[number].processor.busy_until = self.now + work * 1_000 / u64::from(share.max(1));
     }
@@ -117,20 +118,20 @@
         }
     }
 
-    pub(crate) fn processor_free(&mut self, number: usize, life: u64) {
-        if self.nodes[number].life != life {
+    pub(crate) fn processor_free(&mut self, number: usize, incarnation: u64) {
+        if self.nodes[number].incarnation != incarnation {
             return;
         }
-        let Some(event) = self.nodes[number].processor.take(self.now) else { return };
-        self.give(number, event);
+        let Some(event) = self.nodes[number].processor.pop_event(self.now) else { return };
+        self.deliver_event(number, event);
         let processor = &self.nodes[number].processor;
         if processor.waiting_count() > 0 {
             let span = processor.busy_until.saturating_sub(self.now);
-            self.after(span, Happening::ProcessorFree { node: number, life });
+            self.after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
         }
     }
 
-    /// Events that wait for a machine's processor. Example: `world.waiting_events(3) < 100`.
+    /// Events that wait for a machine's processor. Example: `simulation.waiting_events(3) < 100`.
     pub fn waiting_events(&self, number: usize) -> usize {
         self.nodes[number].processor.waiting_count()
     }
--- a/packages/fleet_simulator/src/sim_calls.rs
+++ b/packages/fleet_simulator/src/sim_calls.rs
@@ -1,12 +1,12 @@
 //! Callers, the fronts' walk over the call chart, and what cells do with dispatches.
 
-use crate::world::{Happening, World};
-use function_scheduler::{TicketWish, UNUSED};
-use gateway::{CallChart, CallState, DispatchEnd, NextStep};
+use crate::simulation::{Simulation, SimulationEvent};
+use function_scheduler::{PermitParameters, UNUSED};
+use gateway::{CallState, CallStateMachine, DispatchEnd, NextStep};
 use history_checker::{Line, Outcome};
 use monotonic_clock::Micros;
 use node_protocol::Event;
-use peer_messages::Ticket;
+use peer_messages::Permit;
 
 const DISPATCH_LIMIT: u32 = 4;
 const CONNECT_WITHIN: u64 = 1_000_000;
@@ -14,21 +14,21 @@
 #[derive(Debug)]
 pub(crate) struct SimCall {
     node: usize,
-    life: u64,
+    incarnation: u64,
     path: String,
     function: String,
     repeatable: bool,
     sent_at: u64,
     ends_at: u64,
-    chart: CallChart,
-    ticket: Option<(Ticket, u64)>,
+    state_machine: CallStateMachine,
+    permit: Option<(Permit, u64)>,
     retries_left: u32,
 }
 
-impl World {
-    /// A caller sends a call to a node, to the path of a function's name; `hasty_retries` are sent at
-    /// once after refusals. Example: `world.send_call(3, "proof", 0)`.
-    pub fn send_call(&mut self, node: usize, name: &str, hasty_retries: u32) {
+impl Simulation {
+    /// A caller sends a call to a node, to the path of a function's name; `immediate_retries` are sent at
+    /// once after refusals. Example: `simulation.send_call(3, "proof", 0)`.
+    pub fn send_call(&mut self, node: usize, name: &str, immediate_retries: u32) {
         self.next_call += 1;
         let call = self.next_call;
         let repeatable = self.settings.repeatable.contains(name);
@@ -40,39 +40,39 @@
             path: path.clone(),
             repeatable,
         });
-        let patience = self.settings.patience.0;
+        let timeout = self.settings.timeout.0;
         let sim_call = SimCall {
             node,
-            life: self.nodes[node].life,
+            incarnation: self.nodes[node].incarnation,
             path,
             function: String::new(),
             repeatable,
             sent_at: self.now,
-            ends_at: self.now + patience,
-            chart: CallChart::begin(),
-            ticket: None,
-            retries_left: hasty_retries,
+            ends_at: self.now + timeout,
+            state_machine: CallStateMachine::begin(),
+            permit: None,
+            retries_left: immediate_retries,
         };
         self.calls.insert(call, sim_call);
         let is_reached = self.nodes[node].is_up() && !self.nodes[node].is_isolated;
         if !is_reached {
-            self.end_call(call, Outcome::NoAnswer);
+            self.end_call(call, Outcome::NoResponse);
             return;
         }
-        self.after(500, Happening::CallArrives { call });
-        self.after(patience + 2_000_000, Happening::CallForgotten { call });
+        self.after(500, SimulationEvent::CallArrives { call });
+        self.after(timeout + 2_000_000, SimulationEvent::CallForgotten { call });
     }
 
     /// The node that has a call, if that process still lives.
-    fn front_of(&self, call: u64) -> Option<usize> {
+    fn gateway_of(&self, call: u64) -> Option<usize> {
         let sim_call = self.calls.get(&call)?;
         let node = &self.nodes[sim_call.node];
-        (node.is_up() && node.life == sim_call.life).then_some(sim_call.node)
+        (node.is_up() && node.incarnation == sim_call.incarnation).then_some(sim_call.node)
     }
 
     pub(crate) fn call_arrives(&mut self, call: u64) {
-        let Some(node) = self.front_of(call) else { return };
-        if self.defer_if_frozen(node, Happening::CallArrives { call }) {
+        let Some(node) = self.gateway_of(call) else { return };
+        if self.defer_if_frozen(node, SimulationEvent::CallArrives { call }) {
             return;
         }
         let is_ready = self.nodes[node].is_ready;
@@ -83,22 +83,22 @@
                 at: self.now,
                 call: call.to_string(),
                 node: format!("node-{node}"),
-                generation: self.nodes[node].lanes.generation,
+                generation: self.nodes[node].routes.generation,
             });
         }
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
         let Some(function) = function.filter(|_| is_ready) else {
-            self.refuse_without_lane(call);
+            self.refuse_without_route(call);
             return;
         };
-        sim_call.chart.step(CallState::Matched);
+        sim_call.state_machine.step(CallState::Matched);
         sim_call.function = function;
-        self.ask_for_ticket(call, String::new());
+        self.request_permit(call, String::new());
     }
 
-    fn refuse_without_lane(&mut self, call: u64) {
+    fn refuse_without_route(&mut self, call: u64) {
         if let Some(sim_call) = self.calls.get_mut(&call) {
-            sim_call.chart.give_up();
+            sim_call.state_machine.give_up();
         }
         *self.refusals.entry("no lane takes this call".to_owned()).or_default() += 1;
         self.end_call(call, Outcome::NotRun);
@@ -107,18 +107,18 @@
     /// Where the node's lanes of now send a call.
     fn function_of(&self, node: usize, call: u64) -> Option<String> {
         let path = &self.calls.get(&call)?.path;
-        self.nodes[node].lanes.find("POST", None, path).map(|row| row.function.clone())
+        self.nodes[node].routes.find("POST", None, path).map(|row| row.function.clone())
     }
 
-    fn ask_for_ticket(&mut self, call: u64, avoid: String) {
+    fn request_permit(&mut self, call: u64, avoid: String) {
         let now = self.now;
         let tenant = self.tenant_of(call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
-        sim_call.chart.step(CallState::TicketAsked);
-        let wish = TicketWish {
+        sim_call.state_machine.step(CallState::PermitRequested);
+        let parameters = PermitParameters {
             function: sim_call.function.clone(),
             time_left: Micros(sim_call.ends_at.saturating_sub(now)),
-            dispatches: sim_call.chart.dispatches(),
+            dispatches: sim_call.state_machine.dispatches(),
             avoid,
             target_left: None,
             rank: 0,
@@ -126,16 +126,16 @@
             is_nested: false,
         };
         let node = sim_call.node;
-        self.give(node, Event::CallAsks { call, wish });
+        self.deliver_event(node, Event::CallNeedsPermit { call, parameters });
     }
 
-    pub(crate) fn call_granted(&mut self, node: usize, call: u64, ticket: Ticket) {
+    pub(crate) fn call_granted(&mut self, node: usize, call: u64, permit: Permit) {
         let now = self.now;
         let is_open = self.calls.get(&call).is_some_and(|sim_call| {
-            sim_call.chart.state() == CallState::TicketAsked && sim_call.node == node
+            sim_call.state_machine.state() == CallState::PermitRequested && sim_call.node == node
         });
-        if !is_open || self.front_of(call).is_none() {
-            self.give(node, Event::TicketDone { ticket, how: UNUSED, latency: Micros(0) });
+        if !is_open || self.gateway_of(call).is_none() {
+            self.deliver_event(node, Event::PermitDone { permit, outcome: UNUSED, latency: Micros(0) });
             return;
         }
         let is_isolated = self.nodes[node].is_isolated;
@@ -143,149 +143,162 @@
         let meant = self.function_of(node, call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
         let is_still_meant = meant.as_ref() == Some(&sim_call.function);
-        let step = sim_call.chart.ticket_came(now < sim_call.ends_at, is_still_meant);
+        let step = sim_call.state_machine.permit_arrived(now < sim_call.ends_at, is_still_meant);
         if step != NextStep::Dispatch {
-            self.give(node, Event::TicketDone { ticket, how: UNUSED, latency: Micros(0) });
+            self.deliver_event(node, Event::PermitDone { permit, outcome: UNUSED, latency: Micros(0) });
             self.go_on(call, step, String::new());
             return;
         }
-        sim_call.ticket = Some((ticket.clone(), now));
-        let dispatch = sim_call.chart.dispatches();
+        sim_call.permit = Some((permit.clone(), now));
+        let dispatch = sim_call.state_machine.dispatches();
         let time_left = sim_call.ends_at.saturating_sub(now);
         if is_isolated {
             let end = DispatchEnd::NotRun;
-            self.after(CONNECT_WITHIN, Happening::AnswerComes { call, dispatch, end });
+            self.after(CONNECT_WITHIN, SimulationEvent::ResponseArrives { call, dispatch, end });
         } else {
-            self.after(travel, Happening::DispatchArrives { call, dispatch, ticket });
+            self.after(travel, SimulationEvent::DispatchArrives { call, dispatch, permit });
         }
         let end = DispatchEnd::TimedOut;
-        self.after(time_left, Happening::AnswerComes { call, dispatch, end });
+        self.after(time_left, SimulationEvent::ResponseArrives { call, dispatch, end });
     }
 
     /// The walk over the chart goes on as the shared decisions say.
     fn go_on(&mut self, call: u64, step: NextStep, avoid: String) {
         match step {
-            NextStep::Answer => self.end_call(call, Outcome::Ran),
-            NextStep::AskAgain => self.ask_for_ticket(call, avoid),
+            NextStep::Response => self.end_call(call, Outcome::Ran),
+            NextStep::RequestAgain => self.request_permit(call, avoid),
             NextStep::GiveUp(CallState::Unknown) => self.end_call(call, Outcome::Unknown),
             NextStep::GiveUp(_) => self.end_call(call, Outcome::NotRun),
             NextStep::Dispatch => {}
             NextStep::MatchAgain => {
-                let Some(node) = self.front_of(call) else { return };
+                let Some(node) = self.gateway_of(call) else { return };
                 let function = self.function_of(node, call);
                 self.history(Line::CallMatched {
                     at: self.now,
                     call: format!("{call} again"),
                     node: format!("node-{node}"),
-                    generation: self.nodes[node].lanes.generation,
+                    generation: self.nodes[node].routes.generation,
                 });
                 let Some(sim_call) = self.calls.get_mut(&call) else { return };
                 let Some(function) = function else {
-                    self.refuse_without_lane(call);
+                    self.refuse_without_route(call);
                     return;
                 };
                 sim_call.function = function;
-                self.ask_for_ticket(call, String::new());
+                self.request_permit(call, String::new());
             }
         }
     }
 
     pub(crate) fn call_refused(&mut self, call: u64, is_missing: bool) {
         let now = self.now;
-        let Some(node) = self.front_of(call) else { return };
+        let Some(node) = self.gateway_of(call) else { return };
         let meant = self.function_of(node, call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
-        if sim_call.chart.state() != CallState::TicketAsked {
+        if sim_call.state_machine.state() != CallState::PermitRequested {
             return;
         }
         let is_elsewhere = is_missing && meant.as_ref() != Some(&sim_call.function);
         let step = match is_elsewhere {
-            true => sim_call.chart.ticket_came(now < sim_call.ends_at, false),
-            false => NextStep::GiveUp(sim_call.chart.give_up()),
+            true => sim_call.state_machine.permit_arrived(now < sim_call.ends_at, false),
+            false => NextStep::GiveUp(sim_call.state_machine.give_up()),
         };
         self.go_on(call, step, String::new());
     }
 
     /// The dispatch reaches whatever listens at the ticket's address by now.
-    pub(crate) fn dispatch_arrives(&mut self, call: u64, dispatch: u32, ticket: &Ticket) {
+    pub(crate) fn dispatch_arrives(&mut self, call: u64, dispatch: u32, permit: &Permit) {
         let now = self.now;
         let travel = self.travel();
         let limit = self.settings.calls_at_once;
         let work = self.settings.work.0;
-        let misbehaves = self.dice.f64() < self.settings.lost_answers;
-        let found = self.platform.cell_at(ticket.address.socket());
-        let Some(cell) = found.filter(|cell| cell.ready_at <= now) else {
-            self.after(travel, Happening::AnswerComes { call, dispatch, end: DispatchEnd::NotRun });
+        let misbehaves = self.rng.f64() < self.settings.lost_responses;
+        let found = self.platform.instance_at(permit.address.socket());
+        let Some(instance) = found.filter(|instance| instance.ready_at <= now) else {
+            self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun });
             return;
         };
-        if cell.id != ticket.cell.0 {
-            self.after(travel, Happening::AnswerComes { call, dispatch, end: DispatchEnd::NotRun });
+        if instance.id != permit.instance.0 {
+            self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun });
             return;
         }
-        let is_running = cell.in_flight < limit;
-        let (cell_id, function, in_flight) = (cell.id.clone(), cell.function.clone(), cell.in_flight + 1);
+        let is_running = instance.in_flight < limit;
+        let (instance_id, function, in_flight) =
+            (instance.id.clone(), instance.function.clone(), instance.in_flight + 1);
         if is_running {
-            cell.in_flight += 1;
+            instance.in_flight += 1;
         }
-        self.history(Line::CellTook {
+        self.history(Line::InstanceReceivedCall {
             at: now,
             call: call.to_string(),
             function,
-            cell: cell_id.clone(),
+            instance: instance_id.clone(),
             ran: is_running,
             in_flight,
             limit,
         });
         if !is_running {
-            self.after(travel, Happening::AnswerComes { call, dispatch, end: DispatchEnd::TurnedAway });
+            self.after(
+                travel,
+                SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::RefusedBusy },
+            );
             return;
         }
         if let Some(tenant) = self.tenant_of(call) {
             self.history(Line::UsageBegan { at: now, tenant });
         }
         let end = if misbehaves { DispatchEnd::Unknown } else { DispatchEnd::Answered };
-        let work_span = work / 2 + self.dice.u64(..work + 1);
-        self.after(work_span, Happening::CellFinishes { call, dispatch, cell: cell_id, end });
+        let work_span = work / 2 + self.rng.u64(..work + 1);
+        self.after(
+            work_span,
+            SimulationEvent::InstanceFinishes { call, dispatch, instance: instance_id, end },
+        );
     }
 
-    pub(crate) fn cell_finishes(&mut self, call: u64, dispatch: u32, cell: &str, end: DispatchEnd) {
+    pub(crate) fn instance_finishes(&mut self, call: u64, dispatch: u32, instance: &str, end: DispatchEnd) {
         let travel = self.travel();
-        let Some(finished) = self.platform.cells.get_mut(cell) else {
+        let Some(finished) = self.platform.instances.get_mut(instance) else {
             // The cell died with the call on it: the connection breaks.
-            self.after(travel, Happening::AnswerComes { call, dispatch, end: DispatchEnd::Unknown });
+            self.after(
+                travel,
+                SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::Unknown },
+            );
             return;
         };
         finished.in_flight -= 1;
-        self.after(travel, Happening::AnswerComes { call, dispatch, end });
+        self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end });
     }
 
     /// The ticket of a call's dispatch, if that is still the one under way.
-    fn take_ticket(&mut self, call: u64, dispatch: u32) -> Option<(Ticket, u64)> {
+    fn take_permit(&mut self, call: u64, dispatch: u32) -> Option<(Permit, u64)> {
         let sim_call = self.calls.get_mut(&call)?;
-        let is_under_way =
-            sim_call.chart.state() == CallState::Dispatched && sim_call.chart.dispatches() == dispatch;
-        if is_under_way { sim_call.ticket.take() } else { None }
+        let is_under_way = sim_call.state_machine.state() == CallState::Dispatched
+            && sim_call.state_machine.dispatches() == dispatch;
+        if is_under_way { sim_call.permit.take() } else { None }
     }
 
-    pub(crate) fn answer_comes(&mut self, call: u64, dispatch: u32, end: DispatchEnd) {
-        let Some(node) = self.front_of(call) else { return };
-        if self.defer_if_frozen(node, Happening::AnswerComes { call, dispatch, end }) {
+    pub(crate) fn response_arrives(&mut self, call: u64, dispatch: u32, end: DispatchEnd) {
+        let Some(node) = self.gateway_of(call) else { return };
+        if self.defer_if_frozen(node, SimulationEvent::ResponseArrives { call, dispatch, end }) {
             return;
         }
         let now = self.now;
-        let Some((ticket, sent_at)) = self.take_ticket(call, dispatch) else { return };
+        let Some((permit, sent_at)) = self.take_permit(call, dispatch) else { return };
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
-        let step = sim_call.chart.dispatch_ended(end, sim_call.repeatable, DISPATCH_LIMIT);
-        self.go_on(call, step, ticket.cell.0.clone());
-        self.give(node, Event::TicketDone { ticket, how: end.how(), latency: Micros(now - sent_at) });
+        let step = sim_call.state_machine.dispatch_ended(end, sim_call.repeatable, DISPATCH_LIMIT);
+        self.go_on(call, step, permit.instance.0.clone());
+        self.deliver_event(
+            node,
+            Event::PermitDone { permit, outcome: end.outcome(), latency: Micros(now - sent_at) },
+        );
     }
 
     pub(crate) fn call_forgotten(&mut self, call: u64) {
         if self.calls.contains_key(&call) {
-            if let Some(node) = self.front_of(call) {
-                self.give(node, Event::CallEnds { call });
+            if let Some(node) = self.gateway_of(call) {
+                self.deliver_event(node, Event::CallEnds { call });
             }
-            self.end_call(call, Outcome::NoAnswer);
+            self.end_call(call, Outcome::NoResponse);
         }
     }
 
@@ -294,14 +307,16 @@
         let lost: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, sim_call)| sim_call.node == node && sim_call.life == self.nodes[node].life)
+            .filter(|(_, sim_call)| {
+                sim_call.node == node && sim_call.incarnation == self.nodes[node].incarnation
+            })
             .map(|(call, _)| *call)
             .collect();
         for call in lost {
             if is_planned {
                 self.history(Line::DroppedInPlannedStop { at: self.now, call: call.to_string() });
             }
-            self.end_call(call, Outcome::NoAnswer);
+            self.end_call(call, Outcome::NoResponse);
         }
     }
 
@@ -323,7 +338,7 @@
             Outcome::Ran => &mut self.outcomes[0],
             Outcome::NotRun => &mut self.outcomes[1],
             Outcome::Unknown => &mut self.outcomes[2],
-            Outcome::NoAnswer => &mut self.outcomes[3],
+            Outcome::NoResponse => &mut self.outcomes[3],
         };
         *counted += 1;
         if outcome == Outcome::NotRun && sim_call.retries_left > 0 {
--- a/packages/fleet_simulator/src/sim_disk.rs
+++ b/packages/fleet_simulator/src/sim_disk.rs
@@ -76,11 +76,11 @@
 
     /// The power goes. Each write that was not synced is there or not by itself, and the reader stops at the
     /// first that is not: a beginning of them is found. A rewrite is synced before it takes the file's
-    /// name, so it counts as one write. Example: `disk.lose_power(&mut dice)`.
-    pub fn lose_power(&mut self, dice: &mut Rng) {
+    /// name, so it counts as one write. Example: `disk.lose_power(&mut rng)`.
+    pub fn lose_power(&mut self, rng: &mut Rng) {
         self.end_process();
         let unsynced = std::mem::take(&mut self.left_behind);
-        let found = unsynced.into_iter().take_while(|_| dice.bool());
+        let found = unsynced.into_iter().take_while(|_| rng.bool());
         apply(&mut self.durable, found);
     }
 
--- a/packages/fleet_simulator/src/sim_disk/tests.rs
+++ b/packages/fleet_simulator/src/sim_disk/tests.rs
@@ -10,19 +10,19 @@
     let mut disk = SimDisk::blank(7);
     let (mut registers, is_unsynced) = disk.open();
     assert!(!is_unsynced);
-    let set = ChosenSet::founding(&[7]);
+    let set = ChosenSet::bootstrap(&[7]);
     let mut token = 1;
-    disk.write(token, registers.found(&set).expect("blank"), false);
+    disk.write(token, registers.bootstrap(&set).expect("blank"), false);
     for version in 1..=4_u64 {
         let entry = StoreEntry {
             digest: 0,
             key: KEY.into(),
             epoch: Epoch { counter: 1, owner: 1 },
-            flight: version,
+            attempt: version,
             version,
             value: Bytes::default(),
         };
-        let (_, records) = registers.store(set.mark(), &List(vec![entry]));
+        let (_, records) = registers.store(set.digest(), &List(vec![entry]));
         token += 1;
         match version {
             3 => disk.write(token, registers.live_records(), true),
--- a/packages/fleet_simulator/src/sim_operators.rs
+++ b/packages/fleet_simulator/src/sim_operators.rs
@@ -1,18 +1,18 @@
 //! Operators who name versions: orders that are sent again unchanged until they are answered clearly,
 //! and confirmed reads, each sending noted in the history with its begin and end.
 
-use crate::world::{Happening, World};
+use crate::simulation::{Simulation, SimulationEvent};
 use configuration_schema::{
     Change, ChangeOutcome, Configuration, EXPECTED_VERSION, Reason, StoredConfiguration,
 };
-use history_checker::{Line, OrderAnswer, ReadAnswer};
+use history_checker::{Line, OrderResponse, ReadResponse};
 use monotonic_clock::Micros;
 use node_protocol::Event;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 /// The lane that each order replaces: its path names the order that was applied last.
-const LAST_ORDER_LANE: &str = "last-order";
+const LAST_ORDER_ROUTE: &str = "last-order";
 const LAST_ORDER_PREFIX: &str = "/last-order/";
 /// The path of the reason that tells of a version that does not rise.
 const VERSION: &str = "/version";
@@ -46,7 +46,7 @@
     /// It is given up after this.
     pub wanted_for: Micros,
     /// Lanes that it sets besides its own marks.
-    pub lanes: Value,
+    pub routes: Value,
     /// Whether the order itself is sound; one that is not has to be refused.
     pub is_proper: bool,
 }
@@ -63,7 +63,7 @@
             repeat: Repeat::OtherNode,
             silence: Micros::from_secs(1),
             wanted_for: Micros::from_secs(20),
-            lanes: json!({}),
+            routes: json!({}),
             is_proper: true,
         }
     }
@@ -77,7 +77,7 @@
     attempt_count: u64,
     last_node: usize,
     /// The first clear answer that the operator got.
-    settled: Option<OrderAnswer>,
+    settled: Option<OrderResponse>,
 }
 
 /// One sending that its node has not answered yet.
@@ -101,14 +101,14 @@
     attempts: BTreeMap<u64, OpenAttempt>,
     reads: BTreeMap<u64, OpenRead>,
     /// Answers to reads, by the read's number.
-    read_answers: BTreeMap<u64, ReadAnswer>,
+    read_responses: BTreeMap<u64, ReadResponse>,
     next_request: u64,
     /// The share of answers to orders that are lost on their way to the operator.
-    lost_answers: f64,
+    lost_responses: f64,
 }
 
 /// What operators do in time.
-pub(crate) enum OperatorHappening {
+pub(crate) enum OperatorEvent {
     /// An order is sent, if it is not settled.
     Sends { order: String },
     /// A sending reaches its node.
@@ -116,21 +116,21 @@
     /// Nothing was heard of a sending until now.
     Silence { order: String, attempt: u64 },
     /// An answer reaches the operator.
-    AnswerComes { order: String, attempt: u64, answer: OrderAnswer },
+    ResponseArrives { order: String, attempt: u64, response: OrderResponse },
     /// A read reaches its node.
     ReadArrives { request: u64 },
     /// A read's answer reaches the operator.
-    ReadAnswerComes { read: u64, answer: ReadAnswer },
+    ReadResponseArrives { read: u64, response: ReadResponse },
 }
 
-impl World {
-    /// The share of answers to orders that get lost from now on. Example: `world.lose_answers(0.3)`.
-    pub fn lose_answers(&mut self, share: f64) {
-        self.operators.lost_answers = share;
+impl Simulation {
+    /// The share of answers to orders that get lost from now on. Example: `simulation.lose_responses(0.3)`.
+    pub fn lose_responses(&mut self, share: f64) {
+        self.operators.lost_responses = share;
     }
 
     /// An operator sends an order, again and again until it is answered clearly.
-    /// Example: `world.send_order(OrderPlan::new("o1", 3, Some(0), 1))`.
+    /// Example: `simulation.send_order(OrderPlan::new("o1", 3, Some(0), 1))`.
     pub fn send_order(&mut self, plan: OrderPlan) {
         let order = plan.order.clone();
         let sim_order = SimOrder {
@@ -152,45 +152,45 @@
             false => "no-such-function".to_owned(),
         };
         let order = &plan.order;
-        let mut lanes = plan.lanes.clone();
+        let mut routes = plan.routes.clone();
         let last_order = format!("{LAST_ORDER_PREFIX}{order}");
-        lanes[LAST_ORDER_LANE] = json!({"function": function, "path_prefix": last_order});
-        lanes[format!("mark-{order}")] =
+        routes[LAST_ORDER_ROUTE] = json!({"function": function, "path_prefix": last_order});
+        routes[format!("mark-{order}")] =
             json!({"function": function, "path_prefix": format!("/mark/{order}")});
         Change {
             change_id: order.clone(),
             expected_version: plan.expected_version,
             version: Some(plan.version),
-            partial: Some(json!({ "lanes": lanes })),
+            partial: Some(json!({ "lanes": routes })),
             ..Change::default()
         }
     }
 
-    /// The first clear answer that an order's operator got. Example: `world.order_answer("o1")`.
-    pub fn order_answer(&self, order: &str) -> Option<&OrderAnswer> {
+    /// The first clear answer that an order's operator got. Example: `simulation.order_response("o1")`.
+    pub fn order_response(&self, order: &str) -> Option<&OrderResponse> {
         self.operators.orders.get(order)?.settled.as_ref()
     }
 
-    /// Whether an order's operator got it accepted. Example: `world.is_order_accepted("o1")`.
+    /// Whether an order's operator got it accepted. Example: `simulation.is_order_accepted("o1")`.
     pub fn is_order_accepted(&self, order: &str) -> bool {
-        matches!(self.order_answer(order), Some(OrderAnswer::Accepted { .. }))
+        matches!(self.order_response(order), Some(OrderResponse::Accepted { .. }))
     }
 
     /// Whether nobody waits for an order any more: it is answered clearly, or given up.
-    /// Example: `world.is_order_over("o1")`.
+    /// Example: `simulation.is_order_over("o1")`.
     pub fn is_order_over(&self, order: &str) -> bool {
         let sim_order = self.operators.orders.get(order);
         sim_order.is_none_or(|sim_order| sim_order.settled.is_some() || self.now >= sim_order.gives_up_at)
     }
 
     /// Sends an order that is known once more, whatever became of it, to a node.
-    /// Example: `world.repeat_order("o1", 5)`.
+    /// Example: `simulation.repeat_order("o1", 5)`.
     pub fn repeat_order(&mut self, order: &str, node: usize) {
         self.send_attempt(order, node);
     }
 
     /// An operator asks a node for the confirmed configuration; the read's number.
-    /// Example: `let read = world.send_read(2);`.
+    /// Example: `let read = simulation.send_read(2);`.
     pub fn send_read(&mut self, node: usize) -> u64 {
         self.operators.next_request += 1;
         let read = self.operators.next_request;
@@ -198,27 +198,27 @@
         let request = self.next_operator_request();
         self.operators.reads.insert(request, OpenRead { read, node });
         let travel = self.travel();
-        self.after(travel, Happening::Operator(OperatorHappening::ReadArrives { request }));
+        self.after(travel, SimulationEvent::Operator(OperatorEvent::ReadArrives { request }));
         read
     }
 
-    /// The answer to a read. Example: `world.read_answer(read) == Some(&ReadAnswer::NoMajority)`.
-    pub fn read_answer(&self, read: u64) -> Option<&ReadAnswer> {
-        self.operators.read_answers.get(&read)
+    /// The answer to a read. Example: `simulation.read_response(read) == Some(&ReadResponse::NoMajority)`.
+    pub fn read_response(&self, read: u64) -> Option<&ReadResponse> {
+        self.operators.read_responses.get(&read)
     }
 
-    pub(crate) fn operator_happens(&mut self, happening: OperatorHappening) {
-        match happening {
-            OperatorHappening::Sends { order } => self.order_sends(&order),
-            OperatorHappening::Arrives { request } => self.attempt_arrives(request),
-            OperatorHappening::Silence { order, attempt } => self.order_unheard(&order, attempt),
-            OperatorHappening::AnswerComes { order, attempt, answer } => {
-                self.order_answered(&order, attempt, answer);
+    pub(crate) fn operator_event(&mut self, simulation_event: OperatorEvent) {
+        match simulation_event {
+            OperatorEvent::Sends { order } => self.order_sends(&order),
+            OperatorEvent::Arrives { request } => self.attempt_arrives(request),
+            OperatorEvent::Silence { order, attempt } => self.order_unanswered(&order, attempt),
+            OperatorEvent::ResponseArrives { order, attempt, response } => {
+                self.order_answered(&order, attempt, response);
             }
-            OperatorHappening::ReadArrives { request } => self.read_arrives(request),
-            OperatorHappening::ReadAnswerComes { read, answer } => {
-                self.history(Line::ReadAnswered { at: self.now, read, answer: answer.clone() });
-                self.operators.read_answers.insert(read, answer);
+            OperatorEvent::ReadArrives { request } => self.read_arrives(request),
+            OperatorEvent::ReadResponseArrives { read, response } => {
+                self.history(Line::ReadAnswered { at: self.now, read, response: response.clone() });
+                self.operators.read_responses.insert(read, response);
             }
         }
     }
@@ -240,7 +240,7 @@
 
     fn other_node(&mut self, last_node: usize) -> usize {
         let others: Vec<usize> = self.up().into_iter().filter(|number| *number != last_node).collect();
-        self.dice.choice(others).unwrap_or(last_node)
+        self.rng.choice(others).unwrap_or(last_node)
     }
 
     fn send_attempt(&mut self, order: &str, node: usize) {
@@ -263,23 +263,23 @@
         let order = order.to_owned();
         self.operators.attempts.insert(request, OpenAttempt { order: order.clone(), attempt, node });
         let travel = self.travel();
-        self.after(travel, Happening::Operator(OperatorHappening::Arrives { request }));
-        self.after(silence, Happening::Operator(OperatorHappening::Silence { order, attempt }));
+        self.after(travel, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
+        self.after(silence, SimulationEvent::Operator(OperatorEvent::Silence { order, attempt }));
     }
 
     fn attempt_arrives(&mut self, request: u64) {
         let Some(open) = self.operators.attempts.get(&request) else { return };
         let node = open.node;
-        if !self.takes_operators(node) {
-            self.attempt_ends(request, OrderAnswer::Lost);
+        if !self.serves_operators(node) {
+            self.attempt_ends(request, OrderResponse::Lost);
             return;
         }
         let Some(sim_order) = self.operators.orders.get(&open.order) else { return };
         let change = sim_order.change.clone();
-        self.give(node, Event::ChangeAsked { request, change });
+        self.deliver_event(node, Event::ChangeRequested { request, change });
     }
 
-    fn takes_operators(&self, node: usize) -> bool {
+    fn serves_operators(&self, node: usize) -> bool {
         self.nodes[node].is_up() && !self.nodes[node].is_isolated
     }
 
@@ -288,42 +288,46 @@
         if !self.operators.attempts.contains_key(&request) {
             return;
         }
-        let is_lost = self.operators.lost_answers > 0.0 && self.dice.f64() < self.operators.lost_answers;
-        let answer = if is_lost { OrderAnswer::Lost } else { answer_of(outcome) };
-        self.attempt_ends(request, answer);
+        let is_lost = self.operators.lost_responses > 0.0 && self.rng.f64() < self.operators.lost_responses;
+        let response = if is_lost { OrderResponse::Lost } else { response_of(outcome) };
+        self.attempt_ends(request, response);
     }
 
     /// An answer sets out; a lost one is none for the operator, who waits for the silence to be over.
-    fn attempt_ends(&mut self, request: u64, answer: OrderAnswer) {
+    fn attempt_ends(&mut self, request: u64, response: OrderResponse) {
         let Some(OpenAttempt { order, attempt, .. }) = self.operators.attempts.remove(&request) else {
             return;
         };
         let travel = self.travel();
-        let happening = OperatorHappening::AnswerComes { order, attempt, answer };
-        self.after(travel, Happening::Operator(happening));
+        let simulation_event = OperatorEvent::ResponseArrives { order, attempt, response };
+        self.after(travel, SimulationEvent::Operator(simulation_event));
     }
 
-    fn order_answered(&mut self, order: &str, attempt: u64, answer: OrderAnswer) {
-        let line =
-            Line::OrderAnswered { at: self.now, order: order.to_owned(), attempt, answer: answer.clone() };
+    fn order_answered(&mut self, order: &str, attempt: u64, response: OrderResponse) {
+        let line = Line::OrderAnswered {
+            at: self.now,
+            order: order.to_owned(),
+            attempt,
+            response: response.clone(),
+        };
         self.history(line);
         let Some(sim_order) = self.operators.orders.get_mut(order) else { return };
-        match answer {
-            OrderAnswer::Accepted { .. }
-            | OrderAnswer::RefusedVersion
-            | OrderAnswer::RefusedInvalid { .. } => {
-                sim_order.settled.get_or_insert(answer);
+        match response {
+            OrderResponse::Accepted { .. }
+            | OrderResponse::RefusedVersion
+            | OrderResponse::RefusedInvalid { .. } => {
+                sim_order.settled.get_or_insert(response);
             }
-            OrderAnswer::Unclear if sim_order.attempt_count == attempt + 1 => {
+            OrderResponse::Unclear if sim_order.attempt_count == attempt + 1 => {
                 let order = order.to_owned();
-                self.after(REPEAT_PAUSE, Happening::Operator(OperatorHappening::Sends { order }));
+                self.after(REPEAT_PAUSE, SimulationEvent::Operator(OperatorEvent::Sends { order }));
             }
-            OrderAnswer::Unclear | OrderAnswer::Lost => {}
+            OrderResponse::Unclear | OrderResponse::Lost => {}
         }
     }
 
     /// Nothing was heard of the newest sending: the order goes out once more.
-    fn order_unheard(&mut self, order: &str, attempt: u64) {
+    fn order_unanswered(&mut self, order: &str, attempt: u64) {
         let Some(sim_order) = self.operators.orders.get(order) else { return };
         if sim_order.attempt_count == attempt + 1 {
             self.order_sends(order);
@@ -333,29 +337,29 @@
     fn read_arrives(&mut self, request: u64) {
         let Some(open) = self.operators.reads.get(&request) else { return };
         let node = open.node;
-        match self.takes_operators(node) {
-            true => self.give(node, Event::ConfigurationAsked { request }),
-            false => self.read_ends(request, ReadAnswer::Lost),
+        match self.serves_operators(node) {
+            true => self.deliver_event(node, Event::ConfigurationRequested { request }),
+            false => self.read_ends(request, ReadResponse::Lost),
         }
     }
 
     /// A node answered a read; one that no operator sent is left alone.
     pub(crate) fn read_settled(&mut self, request: u64, stored: Option<&[u8]>) {
         let shown = stored.and_then(StoredConfiguration::decode);
-        let answer = match shown {
-            None => ReadAnswer::NoMajority,
-            Some(stored) => ReadAnswer::Confirmed {
+        let response = match shown {
+            None => ReadResponse::NoMajority,
+            Some(stored) => ReadResponse::Confirmed {
                 version: stored.version,
-                last_order: last_order_of(stored.document["lanes"][LAST_ORDER_LANE]["path_prefix"].as_str()),
+                last_order: last_order_of(stored.document["lanes"][LAST_ORDER_ROUTE]["path_prefix"].as_str()),
             },
         };
-        self.read_ends(request, answer);
+        self.read_ends(request, response);
     }
 
-    fn read_ends(&mut self, request: u64, answer: ReadAnswer) {
+    fn read_ends(&mut self, request: u64, response: ReadResponse) {
         let Some(OpenRead { read, .. }) = self.operators.reads.remove(&request) else { return };
         let travel = self.travel();
-        self.after(travel, Happening::Operator(OperatorHappening::ReadAnswerComes { read, answer }));
+        self.after(travel, SimulationEvent::Operator(OperatorEvent::ReadResponseArrives { read, response }));
     }
 
     /// A node's process ended: whoever waits for its answer gets none.
@@ -363,19 +367,19 @@
         let attempts = self.operators.attempts.iter().filter(|(_, open)| open.node == node);
         let attempts: Vec<u64> = attempts.map(|(request, _)| *request).collect();
         for request in attempts {
-            self.attempt_ends(request, OrderAnswer::Lost);
+            self.attempt_ends(request, OrderResponse::Lost);
         }
         let reads = self.operators.reads.iter().filter(|(_, open)| open.node == node);
         let reads: Vec<u64> = reads.map(|(request, _)| *request).collect();
         for request in reads {
-            self.read_ends(request, ReadAnswer::Lost);
+            self.read_ends(request, ReadResponse::Lost);
         }
     }
 
     /// Notes which order a node's configuration was made by, if operators named versions at all.
     pub(crate) fn note_last_order(&mut self, number: usize, generation: u64, configuration: &Configuration) {
-        let lane = configuration.lanes.get(LAST_ORDER_LANE);
-        let Some(last_order) = last_order_of(lane.map(|lane| lane.path_prefix.as_str())) else { return };
+        let route = configuration.routes.get(LAST_ORDER_ROUTE);
+        let Some(last_order) = last_order_of(route.map(|route| route.path_prefix.as_str())) else { return };
         let node = format!("node-{number}");
         self.history(Line::ConfigurationHeld { at: self.now, node, generation, last_order });
     }
@@ -385,16 +389,16 @@
     Some(path_prefix?.strip_prefix(LAST_ORDER_PREFIX)?.to_owned())
 }
 
-fn answer_of(outcome: &ChangeOutcome) -> OrderAnswer {
+fn response_of(outcome: &ChangeOutcome) -> OrderResponse {
     match outcome {
-        ChangeOutcome::Accepted { generation, .. } => OrderAnswer::Accepted { generation: *generation },
-        ChangeOutcome::Unknown { .. } => OrderAnswer::Unclear,
+        ChangeOutcome::Accepted { generation, .. } => OrderResponse::Accepted { generation: *generation },
+        ChangeOutcome::Unknown { .. } => OrderResponse::Unclear,
         ChangeOutcome::Refused { reasons, .. } if reasons.iter().all(is_of_version) => {
-            OrderAnswer::RefusedVersion
+            OrderResponse::RefusedVersion
         }
         ChangeOutcome::Refused { reasons, .. } => {
-            let told = reasons.iter().map(|reason| format!("{} {}", reason.path, reason.reason));
-            OrderAnswer::RefusedInvalid { reason: told.collect::<Vec<_>>().join("; ") }
+            let reported = reasons.iter().map(|reason| format!("{} {}", reason.path, reason.reason));
+            OrderResponse::RefusedInvalid { reason: reported.collect::<Vec<_>>().join("; ") }
         }
     }
 }
--- a/packages/fleet_simulator/src/sim_platform.rs
+++ b/packages/fleet_simulator/src/sim_platform.rs
@@ -1,4 +1,4 @@
-use function_scheduler::{ListedCell, ListedWorker};
+use function_scheduler::{ListedInstance, ListedWorker};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 /// A cell of the simulated platform.
 #[derive(Clone, Debug)]
-pub(crate) struct SimCell {
+pub(crate) struct SimInstance {
     pub id: String,
     pub function: String,
     pub worker: String,
@@ -20,7 +20,7 @@
     pub memory_mb: u64,
     pub start_id: String,
     pub ready_at: u64,
-    pub leaving: bool,
+    pub draining: bool,
     pub in_flight: u32,
 }
 
@@ -47,18 +47,18 @@
 #[derive(Debug)]
 pub struct SimPlatform {
     workers: Vec<ListedWorker>,
-    pub(crate) cells: BTreeMap<String, SimCell>,
-    lists: VecDeque<(u64, Vec<ListedWorker>, Vec<ListedCell>)>,
+    pub(crate) instances: BTreeMap<String, SimInstance>,
+    lists: VecDeque<(u64, Vec<ListedWorker>, Vec<ListedInstance>)>,
     /// How late the list is, in microseconds.
     pub list_late: u64,
-    acts_per_second: f64,
+    operations_per_second: f64,
     tokens: f64,
     filled_at: u64,
     /// The highest fence seen of each function.
     fences: BTreeMap<String, u64>,
     free_ports: VecDeque<u16>,
     next_port: u16,
-    next_cell: u64,
+    next_instance: u64,
     /// Cells that are gone since this was last emptied.
     pub(crate) ended: Vec<String>,
     /// Starts, stops and throttled acts.
@@ -70,7 +70,7 @@
     pub fn new(
         worker_count: usize,
         worker_memory_mb: u64,
-        acts_per_second: f64,
+        operations_per_second: f64,
         list_late: u64,
     ) -> SimPlatform {
         let workers = (0..worker_count)
@@ -84,16 +84,16 @@
             .collect();
         SimPlatform {
             workers,
-            cells: BTreeMap::new(),
+            instances: BTreeMap::new(),
             lists: VecDeque::new(),
             list_late,
-            acts_per_second,
-            tokens: acts_per_second,
+            operations_per_second,
+            tokens: operations_per_second,
             filled_at: 0,
             fences: BTreeMap::new(),
             free_ports: VecDeque::new(),
             next_port: 20_000,
-            next_cell: 1,
+            next_instance: 1,
             ended: Vec::new(),
             counts: (0, 0, 0),
         }
@@ -102,7 +102,7 @@
     fn spend(&mut self, now: u64) -> bool {
         let passed = (now - self.filled_at) as f64 / 1e6;
         self.filled_at = now;
-        self.tokens = (self.tokens + passed * self.acts_per_second).min(self.acts_per_second);
+        self.tokens = (self.tokens + passed * self.operations_per_second).min(self.operations_per_second);
         if self.tokens < 1.0 {
             self.counts.2 += 1;
             return false;
@@ -119,8 +119,8 @@
     }
 
     /// The function of a cell that is there, gone ones aside.
-    pub(crate) fn function_of(&self, cell: &str) -> Option<String> {
-        self.cells.get(cell).map(|found| found.function.clone())
+    pub(crate) fn function_of(&self, instance: &str) -> Option<String> {
+        self.instances.get(instance).map(|found| found.function.clone())
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -137,7 +137,7 @@
         if !self.passes(function, fence) {
             return SimStart::Fenced;
         }
-        if let Some(known) = self.cells.values().find(|cell| cell.start_id == start_id) {
+        if let Some(known) = self.instances.values().find(|instance| instance.start_id == start_id) {
             return SimStart::Started(known.id.clone(), known.address);
         }
         if !self.spend(now) {
@@ -145,8 +145,12 @@
         }
         let usable = self.workers.iter().find(|listed| listed.id == worker && !listed.draining);
         let Some(worker_memory) = usable.map(|listed| listed.memory_mb) else { return SimStart::NoRoom };
-        let used_memory: u64 =
-            self.cells.values().filter(|cell| cell.worker == worker).map(|cell| cell.memory_mb).sum();
+        let used_memory: u64 = self
+            .instances
+            .values()
+            .filter(|instance| instance.worker == worker)
+            .map(|instance| instance.memory_mb)
+            .sum();
         if used_memory + memory_mb > worker_memory {
             return SimStart::NoRoom;
         }
@@ -154,11 +158,11 @@
             self.next_port += 1;
             self.next_port
         });
-        let id = format!("cell-{}", self.next_cell);
-        self.next_cell += 1;
+        let id = format!("cell-{}", self.next_instance);
+        self.next_instance += 1;
         self.counts.0 += 1;
         let address = SocketAddr::from(([10, 9, 9, 9], port));
-        let cell = SimCell {
+        let instance = SimInstance {
             id: id.clone(),
             function: function.to_owned(),
             worker: worker.to_owned(),
@@ -166,16 +170,16 @@
             memory_mb,
             start_id: start_id.to_owned(),
             ready_at: now + boot,
-            leaving: false,
+            draining: false,
             in_flight: 0,
         };
-        self.cells.insert(id.clone(), cell);
+        self.instances.insert(id.clone(), instance);
         SimStart::Started(id, address)
     }
 
     /// Begins a stop; one of a cell that is gone is taken.
-    pub(crate) fn stop(&mut self, cell: &str, fence: u64, now: u64) -> SimStop {
-        let Some(function) = self.function_of(cell) else { return SimStop::Taken };
+    pub(crate) fn stop(&mut self, instance: &str, fence: u64, now: u64) -> SimStop {
+        let Some(function) = self.function_of(instance) else { return SimStop::Taken };
         if !self.passes(&function, fence) {
             return SimStop::Fenced;
         }
@@ -183,14 +187,14 @@
             return SimStop::Throttled;
         }
         self.counts.1 += 1;
-        if let Some(stopped) = self.cells.get_mut(cell) {
-            stopped.leaving = true;
+        if let Some(stopped) = self.instances.get_mut(instance) {
+            stopped.draining = true;
         }
         SimStop::Taken
     }
 
-    pub(crate) fn end(&mut self, cell: &str) {
-        if let Some(ended) = self.cells.remove(cell) {
+    pub(crate) fn end(&mut self, instance: &str) {
+        if let Some(ended) = self.instances.remove(instance) {
             self.free_ports.push_back(ended.address.port());
             self.ended.push(ended.id);
         }
@@ -201,8 +205,8 @@
         let Some(drained) = self.workers.get_mut(worker) else { return };
         drained.draining = true;
         let worker_id = drained.id.clone();
-        for cell in self.cells.values_mut().filter(|cell| cell.worker == worker_id) {
-            cell.leaving = true;
+        for instance in self.instances.values_mut().filter(|instance| instance.worker == worker_id) {
+            instance.draining = true;
         }
     }
 
@@ -212,56 +216,59 @@
             return;
         }
         let crashed = self.workers.remove(worker);
-        let lost_cells: Vec<String> = self
-            .cells
+        let lost_instances: Vec<String> = self
+            .instances
             .values()
-            .filter(|cell| cell.worker == crashed.id)
-            .map(|cell| cell.id.clone())
+            .filter(|instance| instance.worker == crashed.id)
+            .map(|instance| instance.id.clone())
             .collect();
-        for cell in lost_cells {
-            self.end(&cell);
+        for instance in lost_instances {
+            self.end(&instance);
         }
     }
 
     /// Memory of the cells that are not leaving, of functions whose names begin so.
     /// Example: `platform.memory_of("busy")`.
     pub fn memory_of(&self, prefix: &str) -> u64 {
-        let own = self.cells.values().filter(|cell| cell.function.starts_with(prefix) && !cell.leaving);
-        own.map(|cell| cell.memory_mb).sum()
+        let own = self
+            .instances
+            .values()
+            .filter(|instance| instance.function.starts_with(prefix) && !instance.draining);
+        own.map(|instance| instance.memory_mb).sum()
     }
 
-    pub(crate) fn cell_at(&mut self, address: SocketAddr) -> Option<&mut SimCell> {
-        self.cells.values_mut().find(|cell| cell.address == address)
+    pub(crate) fn instance_at(&mut self, address: SocketAddr) -> Option<&mut SimInstance> {
+        self.instances.values_mut().find(|instance| instance.address == address)
     }
 
-    pub(crate) fn take_digest(&mut self, now: u64) -> Vec<String> {
-        let cells = self
-            .cells
+    pub(crate) fn record_digest(&mut self, now: u64) -> Vec<String> {
+        let instances = self
+            .instances
             .values()
-            .map(|cell| ListedCell {
-                id: cell.id.clone(),
-                function: cell.function.clone(),
-                worker: cell.worker.clone(),
-                address: cell.address,
-                memory_mb: cell.memory_mb,
-                leaving: cell.leaving,
+            .map(|instance| ListedInstance {
+                id: instance.id.clone(),
+                function: instance.function.clone(),
+                worker: instance.worker.clone(),
+                address: instance.address,
+                memory_mb: instance.memory_mb,
+                draining: instance.draining,
                 started: false,
             })
             .collect();
-        self.lists.push_back((now, self.workers.clone(), cells));
+        self.lists.push_back((now, self.workers.clone(), instances));
         while self.lists.len() > 1 && self.lists[1].0 + self.list_late <= now {
             self.lists.pop_front();
         }
         let shown = self.lists.front().filter(|(taken_at, ..)| taken_at + self.list_late <= now);
-        let leaving = shown.map(|(_, _, cells)| cells.iter().filter(|cell| cell.leaving));
-        leaving.into_iter().flatten().map(|cell| cell.id.clone()).collect()
+        let draining = shown.map(|(_, _, instances)| instances.iter().filter(|instance| instance.draining));
+        draining.into_iter().flatten().map(|instance| instance.id.clone()).collect()
     }
 
-    pub(crate) fn late_list(&self, now: u64) -> (Vec<ListedWorker>, Vec<ListedCell>) {
+    pub(crate) fn late_list(&self, now: u64) -> (Vec<ListedWorker>, Vec<ListedInstance>) {
         let late = self.lists.front().filter(|(taken_at, ..)| taken_at + self.list_late <= now);
         late.map_or_else(
             || (self.workers.clone(), Vec::new()),
-            |(_, workers, cells)| (workers.clone(), cells.clone()),
+            |(_, workers, instances)| (workers.clone(), instances.clone()),
         )
     }
 }
--- a/packages/fleet_simulator/src/world.rs
+++ b/packages/fleet_simulator/src/simulation.rs
@@ -1,62 +1,62 @@
-mod acts;
+mod actions;
+mod faults;
 mod operators;
 mod queries;
 mod settings;
-mod troubles;
 
-pub use settings::WorldSettings;
+pub use settings::SimulationSettings;
 
 use crate::processors::{Processor, Processors};
 use crate::sim_calls::SimCall;
 use crate::sim_disk::SimDisk;
 use crate::sim_links::{LinkRates, SimLinks};
-use crate::sim_operators::{OperatorHappening, SimOperators};
+use crate::sim_operators::{OperatorEvent, SimOperators};
 use crate::sim_platform::{SimPlatform, SimStart, SimStop, zone_name};
-use crate::sim_usage::{SimUsage, UsageDesk};
+use crate::sim_usage::{SimUsage, UsageState};
 use configuration_schema::{Change, ChangeOutcome, Configuration, StoredConfiguration};
 use control_registers::VoterSet;
 use fastrand::Rng;
-use function_scheduler::ExtraBound;
-use gateway::{DispatchEnd, LaneTable};
+use function_scheduler::RetryLimits;
+use gateway::{DispatchEnd, RouteTable};
 use history_checker::{Line, Outcome};
 use leader_election::ElectionSettings;
 use membership::ProbeSettings;
 use monotonic_clock::Micros;
 use node_protocol::{
-    Act, ConfigurationAnswer, Event, Node, NodeSettings, NodeStatus, Policy, RefusedAs, StartResult,
+    Action, ConfigurationResponse, Event, Node, NodeSettings, NodeStatus, Policy, RefusedAs, StartResult,
     StopResult,
 };
-use peer_messages::{Address, Envelope, Message, NodeId, Ticket, UsageWindow, fleet_mark, node_id};
+use peer_messages::{Address, Envelope, Message, NodeId, Permit, UsageWindow, fleet_id, node_id};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-pub(crate) enum Happening {
+pub(crate) enum SimulationEvent {
     Tick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Arrives {
         to: Address,
         envelope: Box<Envelope>,
     },
-    Given {
+    NodeEvent {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: Box<Event>,
     },
     /// A machine that was busy takes the next of what waits.
     ProcessorFree {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Synced {
         node: usize,
-        life: u64,
+        incarnation: u64,
         token: u64,
     },
-    CellEnds {
-        cell: String,
+    InstanceEnds {
+        instance: String,
     },
     Digest,
     CallArrives {
@@ -65,15 +65,15 @@
     DispatchArrives {
         call: u64,
         dispatch: u32,
-        ticket: Ticket,
+        permit: Permit,
     },
-    CellFinishes {
+    InstanceFinishes {
         call: u64,
         dispatch: u32,
-        cell: String,
+        instance: String,
         end: DispatchEnd,
     },
-    AnswerComes {
+    ResponseArrives {
         call: u64,
         dispatch: u32,
         end: DispatchEnd,
@@ -81,7 +81,7 @@
     CallForgotten {
         call: u64,
     },
-    Operator(OperatorHappening),
+    Operator(OperatorEvent),
     OperatorCalls {
         node: usize,
         call: OperatorCall,
@@ -91,7 +91,7 @@
     },
     UsageArrives {
         node: usize,
-        life: u64,
+        incarnation: u64,
         report: UsageWindow,
         fence: u64,
     },
@@ -113,13 +113,13 @@
     pub zone: String,
     node: Option<Node>,
     id: NodeId,
-    pub life: u64,
+    pub incarnation: u64,
     started_at: u64,
     pub disk: Option<SimDisk>,
     frozen_until: u64,
     pub is_isolated: bool,
     pub is_ready: bool,
-    pub lanes: LaneTable,
+    pub routes: RouteTable,
     reaches_control: bool,
     voters_seen: VoterSet,
     is_draining: bool,
@@ -134,7 +134,12 @@
 impl SimNode {
     /// What a node makes of the items that changed is what the stored document, decoded whole, says.
     fn check_changed_configuration(&self, generation: u64, configuration: &Configuration) {
-        assert_eq!(self.lanes, LaneTable::new(generation, configuration), "the table at {:?}", self.address);
+        assert_eq!(
+            self.routes,
+            RouteTable::new(generation, configuration),
+            "the table at {:?}",
+            self.address
+        );
         let stored_bytes = self.node.as_ref().map(Node::stored_configuration).unwrap_or_default();
         let stored =
             StoredConfiguration::decode(&stored_bytes).filter(|stored| stored.generation == generation);
@@ -170,26 +175,26 @@
 }
 
 impl FreezeIn {
-    fn is(self, act: &Act) -> bool {
-        match act {
-            Act::Start { .. } => self == FreezeIn::Start,
-            Act::Stop { .. } => self == FreezeIn::Stop,
-            Act::WriteDisk { .. } => self == FreezeIn::Sync,
-            Act::ReportUsage { .. } => self == FreezeIn::Report,
-            Act::Send { message: Message::TicketGranted { .. }, .. } => self == FreezeIn::Grant,
-            Act::Send { message: Message::Store { .. }, .. } => self == FreezeIn::Store,
+    fn is(self, action: &Action) -> bool {
+        match action {
+            Action::Start { .. } => self == FreezeIn::Start,
+            Action::Stop { .. } => self == FreezeIn::Stop,
+            Action::WriteDisk { .. } => self == FreezeIn::Sync,
+            Action::ReportUsage { .. } => self == FreezeIn::Report,
+            Action::Send { message: Message::PermitGranted { .. }, .. } => self == FreezeIn::Grant,
+            Action::Send { message: Message::Store { .. }, .. } => self == FreezeIn::Store,
             _ => false,
         }
     }
 }
 
-/// The whole simulated fleet. Example: `World::new(WorldSettings::default(), 7).run_for(10.0)`.
-pub struct World {
-    pub(crate) settings: WorldSettings,
+/// The whole simulated fleet. Example: `Simulation::new(SimulationSettings::default(), 7).run_for(10.0)`.
+pub struct Simulation {
+    pub(crate) settings: SimulationSettings,
     pub(crate) now: u64,
-    pub(crate) dice: Rng,
+    pub(crate) rng: Rng,
     /// What becomes of disks; apart, so that it leaves everything else as it is.
-    disk_dice: Rng,
+    disk_rng: Rng,
     pub(crate) nodes: Vec<SimNode>,
     /// The platform.
     pub platform: SimPlatform,
@@ -200,15 +205,15 @@
     pub outcomes: [u64; 4],
     /// Messages and bytes on the network by kind, while they are counted; `List` counts the platform's.
     pub traffic: Option<BTreeMap<&'static str, (u64, u64)>>,
-    happenings: BTreeMap<(u64, u64), Happening>,
-    next_happening: u64,
+    simulation_events: BTreeMap<(u64, u64), SimulationEvent>,
+    next_event_number: u64,
     lines: Vec<Line>,
     /// Kinds of messages that never reach a node, by its number.
     pub(crate) lost_kinds: BTreeSet<(usize, &'static str)>,
     /// One-way links that lose everything.
     cut_links: BTreeSet<(usize, usize)>,
-    shown_leaving: BTreeSet<String>,
-    told_cells: BTreeSet<String>,
+    shown_draining: BTreeSet<String>,
+    recorded_instances: BTreeSet<String>,
     changes: BTreeMap<String, (u64, u64)>,
     next_request: u64,
     /// Calls a second, spread over ready nodes and functions.
@@ -223,7 +228,7 @@
     pub messages: u64,
     seeds: Vec<Address>,
     /// The newest generation whose lanes are in the history, with them.
-    told_lanes: (u64, BTreeMap<String, String>),
+    recorded_routes: (u64, BTreeMap<String, String>),
     /// Why calls were refused, with counts.
     pub refusals: BTreeMap<String, u64>,
     /// Generations that nodes took by what changed, not as a whole.
@@ -232,35 +237,35 @@
     /// The longest frame that passed a link of a node without a disk, while link rates are set.
     pub largest_small_link_message: usize,
     reads_ended: BTreeSet<u64>,
-    pub(crate) usage_desk: UsageDesk,
+    pub(crate) usage_state: UsageState,
 }
 
 const SEED_COUNT: usize = 3;
 const DISK_SEED: u64 = 0xd15c;
 const FLEET: &str = "simulated";
 
-impl World {
-    /// A fleet at its first start; every node is up. Example: `World::new(settings, 7)`.
-    pub fn new(settings: WorldSettings, seed: u64) -> World {
+impl Simulation {
+    /// A fleet at its first start; every node is up. Example: `Simulation::new(settings, 7)`.
+    pub fn new(settings: SimulationSettings, seed: u64) -> Simulation {
         let addresses: Vec<Address> = (0..settings.node_count).map(address_of).collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             platform: SimPlatform::new(settings.workers.0, settings.workers.1, 80.0, settings.list_late.0),
             now: 0,
-            dice: Rng::with_seed(seed),
-            disk_dice: Rng::with_seed(seed ^ DISK_SEED),
+            rng: Rng::with_seed(seed),
+            disk_rng: Rng::with_seed(seed ^ DISK_SEED),
             nodes: Vec::new(),
             calls: BTreeMap::new(),
             next_call: 0,
             operators: SimOperators::default(),
             outcomes: [0; 4],
             traffic: None,
-            happenings: BTreeMap::new(),
-            next_happening: 0,
+            simulation_events: BTreeMap::new(),
+            next_event_number: 0,
             lines: Vec::new(),
             lost_kinds: BTreeSet::new(),
             cut_links: BTreeSet::new(),
-            shown_leaving: BTreeSet::new(),
-            told_cells: BTreeSet::new(),
+            shown_draining: BTreeSet::new(),
+            recorded_instances: BTreeSet::new(),
             changes: BTreeMap::new(),
             next_request: 0,
             call_rate: 0.0,
@@ -271,31 +276,31 @@
             messages: 0,
             seeds: addresses.iter().take(SEED_COUNT).copied().collect(),
             settings,
-            told_lanes: (0, BTreeMap::new()),
+            recorded_routes: (0, BTreeMap::new()),
             refusals: BTreeMap::new(),
             changed_configurations: 0,
             links: SimLinks::default(),
             largest_small_link_message: 0,
             reads_ended: BTreeSet::new(),
-            usage_desk: UsageDesk::default(),
+            usage_state: UsageState::default(),
         };
         for (number, address) in addresses.into_iter().enumerate() {
-            let first_disk = world.settings.first_disk;
-            let disk = (first_disk..first_disk + world.settings.disks)
+            let first_disk = simulation.settings.first_disk;
+            let disk = (first_disk..first_disk + simulation.settings.disks)
                 .contains(&number)
-                .then(|| SimDisk::blank(world.dice.u64(1..)));
-            world.nodes.push(SimNode {
+                .then(|| SimDisk::blank(simulation.rng.u64(1..)));
+            simulation.nodes.push(SimNode {
                 address,
                 zone: zone_name(number),
                 node: None,
                 id: 0,
-                life: 0,
+                incarnation: 0,
                 started_at: 0,
                 disk,
                 frozen_until: 0,
                 is_isolated: false,
                 is_ready: false,
-                lanes: LaneTable::default(),
+                routes: RouteTable::default(),
                 reaches_control: true,
                 voters_seen: VoterSet::default(),
                 is_draining: false,
@@ -305,26 +310,26 @@
                 processor: Processor::default(),
             });
         }
-        if world.settings.link_rates.is_some() {
+        if simulation.settings.link_rates.is_some() {
             let rates: Vec<f64> =
-                (0..world.nodes.len()).filter_map(|number| world.link_rate(number)).collect();
-            world.links = SimLinks::new(rates.into_iter());
+                (0..simulation.nodes.len()).filter_map(|number| simulation.link_rate(number)).collect();
+            simulation.links = SimLinks::new(rates.into_iter());
         }
-        for number in 0..world.nodes.len() {
-            world.start(number);
+        for number in 0..simulation.nodes.len() {
+            simulation.start(number);
         }
-        world.after(50_000, Happening::Digest);
-        world.begin_usage();
-        world
+        simulation.after(50_000, SimulationEvent::Digest);
+        simulation.begin_usage();
+        simulation
     }
 
-    /// The functions' names. Example: `world.functions().len() == 24`.
+    /// The functions' names. Example: `simulation.functions().len() == 24`.
     pub fn functions(&self) -> Vec<String> {
         let busy = (0..self.settings.busy).map(|number| format!("busy-{number}"));
         busy.chain((0..self.settings.rare).map(|number| format!("rare-{number}"))).collect()
     }
 
-    /// The configuration document an operator sends. Example: `world.document()["functions"]`.
+    /// The configuration document an operator sends. Example: `simulation.document()["functions"]`.
     pub fn document(&self) -> Value {
         let mut document = json!({
             "allowances": {
@@ -359,17 +364,17 @@
         document
     }
 
-    /// Simulated microseconds since the beginning. Example: `world.now()`.
+    /// Simulated microseconds since the beginning. Example: `simulation.now()`.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    /// The history so far. Example: `check_all(world.lines(), &CheckSettings::default())`.
+    /// The history so far. Example: `check_all(simulation.lines(), &CheckSettings::default())`.
     pub fn lines(&self) -> &[Line] {
         &self.lines
     }
 
-    pub(crate) fn take_lines(&mut self) -> Vec<Line> {
+    pub(crate) fn drain_lines(&mut self) -> Vec<Line> {
         std::mem::take(&mut self.lines)
     }
 
@@ -377,34 +382,34 @@
         self.lines.push(line);
     }
 
-    pub(crate) fn after(&mut self, span: u64, happening: Happening) {
-        self.next_happening += 1;
-        self.happenings.insert((self.now + span, self.next_happening), happening);
+    pub(crate) fn after(&mut self, span: u64, simulation_event: SimulationEvent) {
+        self.next_event_number += 1;
+        self.simulation_events.insert((self.now + span, self.next_event_number), simulation_event);
     }
 
     /// A message's or a dispatch's way: a quarter to three quarters of a millisecond.
     pub(crate) fn travel(&mut self) -> u64 {
-        self.dice.u64(250..750)
+        self.rng.u64(250..750)
     }
 
-    /// Lets simulated seconds pass. Example: `world.run_for(5.0)`.
+    /// Lets simulated seconds pass. Example: `simulation.run_for(5.0)`.
     pub fn run_for(&mut self, seconds: f64) {
         let end = self.now + (seconds * 1e6) as u64;
-        while let Some(entry) = self.happenings.first_entry() {
+        while let Some(entry) = self.simulation_events.first_entry() {
             let (at, _) = *entry.key();
             if at > end {
                 break;
             }
-            let happening = entry.remove();
+            let simulation_event = entry.remove();
             self.now = at;
-            self.happen(happening);
+            self.handle_event(simulation_event);
         }
         self.now = end;
     }
 
     /// Lets time pass until something holds; false if it does not within the seconds.
-    /// Example: `world.run_until(30.0, |world| world.is_settled())`.
-    pub fn run_until(&mut self, seconds: f64, holds: impl Fn(&World) -> bool) -> bool {
+    /// Example: `simulation.run_until(30.0, |simulation| simulation.is_settled())`.
+    pub fn run_until(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + (seconds * 1e6) as u64;
         while self.now < end {
             if holds(self) {
@@ -415,8 +420,8 @@
         holds(self)
     }
 
-    /// As `run_until`, to the millisecond. Example: `world.run_until_closely(4.0, World::is_set_changing)`.
-    pub fn run_until_closely(&mut self, seconds: f64, holds: impl Fn(&World) -> bool) -> bool {
+    /// As `run_until`, to the millisecond. Example: `simulation.run_until_closely(4.0, Simulation::is_set_changing)`.
+    pub fn run_until_closely(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + (seconds * 1e6) as u64;
         while self.now < end && !holds(self) {
             self.run_for(0.001);
@@ -424,44 +429,46 @@
         holds(self)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { node, life } => self.node_ticks(node, life),
-            Happening::Arrives { to, envelope } => self.message_arrives(to, envelope),
-            Happening::Given { node, life, event } => {
-                if self.nodes[node].life == life {
-                    self.give(node, *event);
+    fn handle_event(&mut self, simulation_event: SimulationEvent) {
+        match simulation_event {
+            SimulationEvent::Tick { node, incarnation } => self.node_ticks(node, incarnation),
+            SimulationEvent::Arrives { to, envelope } => self.message_arrives(to, envelope),
+            SimulationEvent::NodeEvent { node, incarnation, event } => {
+                if self.nodes[node].incarnation == incarnation {
+                    self.deliver_event(node, *event);
                 }
             }
-            Happening::ProcessorFree { node, life } => self.processor_free(node, life),
-            Happening::Synced { node, life, token } => self.disk_syncs(node, life, token),
-            Happening::CellEnds { cell } => self.platform.end(&cell),
-            Happening::Digest => {
-                self.note_ended_cells();
+            SimulationEvent::ProcessorFree { node, incarnation } => self.processor_free(node, incarnation),
+            SimulationEvent::Synced { node, incarnation, token } => self.disk_syncs(node, incarnation, token),
+            SimulationEvent::InstanceEnds { instance } => self.platform.end(&instance),
+            SimulationEvent::Digest => {
+                self.record_ended_instances();
                 self.note_control();
-                for cell in self.platform.take_digest(self.now) {
-                    if self.shown_leaving.insert(cell.clone()) {
-                        self.history(Line::CellShownLeaving { at: self.now, cell });
+                for instance in self.platform.record_digest(self.now) {
+                    if self.shown_draining.insert(instance.clone()) {
+                        self.history(Line::InstanceShownDraining { at: self.now, instance });
                     }
                 }
                 self.send_due_calls();
-                self.after(50_000, Happening::Digest);
+                self.after(50_000, SimulationEvent::Digest);
             }
-            Happening::CallArrives { call } => self.call_arrives(call),
-            Happening::DispatchArrives { call, dispatch, ticket } => {
-                self.dispatch_arrives(call, dispatch, &ticket);
+            SimulationEvent::CallArrives { call } => self.call_arrives(call),
+            SimulationEvent::DispatchArrives { call, dispatch, permit } => {
+                self.dispatch_arrives(call, dispatch, &permit);
             }
-            Happening::CellFinishes { call, dispatch, cell, end } => {
-                self.cell_finishes(call, dispatch, &cell, end);
+            SimulationEvent::InstanceFinishes { call, dispatch, instance, end } => {
+                self.instance_finishes(call, dispatch, &instance, end);
             }
-            Happening::Operator(happening) => self.operator_happens(happening),
-            Happening::AnswerComes { call, dispatch, end } => self.answer_comes(call, dispatch, end),
-            Happening::CallForgotten { call } => self.call_forgotten(call),
-            Happening::OperatorCalls { node, call } => self.operator_calls(node, call),
-            Happening::UsageArrives { node, life, report, fence } => {
-                self.usage_arrives(node, life, report, fence);
+            SimulationEvent::Operator(simulation_event) => self.operator_event(simulation_event),
+            SimulationEvent::ResponseArrives { call, dispatch, end } => {
+                self.response_arrives(call, dispatch, end)
             }
-            Happening::OperatorReadEnds { request } => {
+            SimulationEvent::CallForgotten { call } => self.call_forgotten(call),
+            SimulationEvent::OperatorCalls { node, call } => self.operator_calls(node, call),
+            SimulationEvent::UsageArrives { node, incarnation, report, fence } => {
+                self.usage_arrives(node, incarnation, report, fence);
+            }
+            SimulationEvent::OperatorReadEnds { request } => {
                 self.reads_ended.insert(request);
             }
         }
@@ -485,12 +492,12 @@
         while self.call_debt >= 1.0 {
             self.call_debt -= 1.0;
             // Nine in ten calls go to busy functions.
-            let is_busy = self.dice.u8(..10) < 9 && self.settings.busy > 0;
+            let is_busy = self.rng.u8(..10) < 9 && self.settings.busy > 0;
             let place = match is_busy || self.settings.rare == 0 {
-                true => self.dice.usize(..self.settings.busy.max(1)),
-                false => self.settings.busy + self.dice.usize(..self.settings.rare),
+                true => self.rng.usize(..self.settings.busy.max(1)),
+                false => self.settings.busy + self.rng.usize(..self.settings.rare),
             };
-            let Some(node) = self.dice.choice(open.iter().copied()) else { continue };
+            let Some(node) = self.rng.choice(open.iter().copied()) else { continue };
             if let Some(function) = functions.get(place) {
                 self.send_call(node, function, 0);
             }
@@ -499,33 +506,33 @@
 
     // Nodes.
 
-    fn node_ticks(&mut self, number: usize, life: u64) {
-        if self.nodes[number].life != life || !self.nodes[number].is_up() {
+    fn node_ticks(&mut self, number: usize, incarnation: u64) {
+        if self.nodes[number].incarnation != incarnation || !self.nodes[number].is_up() {
             return;
         }
-        if self.defer_if_frozen(number, Happening::Tick { node: number, life }) {
+        if self.defer_if_frozen(number, SimulationEvent::Tick { node: number, incarnation }) {
             return;
         }
-        self.tell_wall_clock(number, 20_000);
-        self.give(number, Event::Tick);
-        self.after(20_000, Happening::Tick { node: number, life });
+        self.send_wall_clock(number, 20_000);
+        self.deliver_event(number, Event::Tick);
+        self.after(20_000, SimulationEvent::Tick { node: number, incarnation });
     }
 
     /// What happens to a frozen node happens when it wakes.
-    pub(crate) fn defer_if_frozen(&mut self, number: usize, happening: Happening) -> bool {
+    pub(crate) fn defer_if_frozen(&mut self, number: usize, simulation_event: SimulationEvent) -> bool {
         let frozen_until = self.nodes[number].frozen_until;
         if frozen_until <= self.now {
             return false;
         }
-        self.after(frozen_until - self.now, happening);
+        self.after(frozen_until - self.now, simulation_event);
         true
     }
 
-    pub(crate) fn give(&mut self, number: usize, event: Event) {
+    pub(crate) fn deliver_event(&mut self, number: usize, event: Event) {
         let frozen_until = self.nodes[number].frozen_until;
         if frozen_until > self.now {
-            let life = self.nodes[number].life;
-            let later = Happening::Given { node: number, life, event: Box::new(event) };
+            let incarnation = self.nodes[number].incarnation;
+            let later = SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) };
             self.after(frozen_until - self.now, later);
             return;
         }
@@ -535,10 +542,10 @@
         let sim_node = &mut self.nodes[number];
         let local_now = sim_node.local_time(now);
         let Some(node) = &mut sim_node.node else { return };
-        let acts = node.handle(event, local_now);
-        self.spend(number, event_cost, &acts);
-        for act in acts {
-            self.perform(number, act);
+        let actions = node.handle(event, local_now);
+        self.spend(number, event_cost, &actions);
+        for action in actions {
+            self.perform(number, action);
         }
     }
 
@@ -548,25 +555,25 @@
         };
         if self.nodes[number].frozen_until > self.now {
             let span = self.nodes[number].frozen_until - self.now;
-            self.after(span, Happening::Arrives { to, envelope });
+            self.after(span, SimulationEvent::Arrives { to, envelope });
             return;
         }
-        self.give(number, Event::Heard(*envelope));
+        self.deliver_event(number, Event::Received(*envelope));
     }
 
-    fn disk_syncs(&mut self, number: usize, life: u64, token: u64) {
-        if self.nodes[number].life != life {
+    fn disk_syncs(&mut self, number: usize, incarnation: u64, token: u64) {
+        if self.nodes[number].incarnation != incarnation {
             return;
         }
         let now = self.now;
         let Some(disk) = &mut self.nodes[number].disk else { return };
         if disk.stalled_until > now {
             let span = disk.stalled_until - now;
-            self.after(span, Happening::Synced { node: number, life, token });
+            self.after(span, SimulationEvent::Synced { node: number, incarnation, token });
             return;
         }
         let is_synced = disk.sync(token);
-        self.give(number, Event::DiskDone { token, is_synced });
+        self.deliver_event(number, Event::DiskDone { token, is_synced });
     }
 }
 
--- a/packages/fleet_simulator/src/world/acts.rs
+++ b/packages/fleet_simulator/src/simulation/actions.rs
@@ -2,84 +2,89 @@
 
 use super::*;
 
-impl World {
-    pub(super) fn perform(&mut self, number: usize, act: Act) {
-        let life = self.nodes[number].life;
-        if let Some((_, seconds)) = self.freeze_in.take_if(|(moment, _)| moment.is(&act)) {
+impl Simulation {
+    pub(super) fn perform(&mut self, number: usize, action: Action) {
+        let incarnation = self.nodes[number].incarnation;
+        if let Some((_, seconds)) = self.freeze_in.take_if(|(moment, _)| moment.is(&action)) {
             self.freeze(number, seconds);
         }
-        match act {
-            Act::Send { address, to, message } => {
+        match action {
+            Action::Send { address, to, message } => {
                 self.count_traffic(number, &message);
                 self.send(number, address, to, message);
             }
-            Act::WriteDisk { token, records, is_rewrite } => {
+            Action::WriteDisk { token, records, is_rewrite } => {
                 self.disk_groups += 1;
                 if let Some(disk) = &mut self.nodes[number].disk {
                     disk.write(token, records, is_rewrite);
                 }
-                let span = self.dice.u64(500..3_000);
-                self.after(span, Happening::Synced { node: number, life, token });
+                let span = self.rng.u64(500..3_000);
+                self.after(span, SimulationEvent::Synced { node: number, incarnation, token });
             }
-            Act::List => {
+            Action::List => {
                 if let Some(traffic) = &mut self.traffic {
                     traffic.entry("List").or_default().0 += 1;
                 }
                 let event = match self.nodes[number].is_isolated {
                     true => Event::ListFailed,
                     false => {
-                        let (workers, cells) = self.platform.late_list(self.now);
-                        Event::Listed { workers, cells }
+                        let (workers, instances) = self.platform.late_list(self.now);
+                        Event::Listed { workers, instances }
                     }
                 };
                 let travel = self.travel() * 2;
-                self.after(travel, Happening::Given { node: number, life, event: Box::new(event) });
+                self.after(
+                    travel,
+                    SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
+                );
             }
-            Act::Start { start_id, function, worker, memory_mb, steward_epoch } => {
-                let cell = (worker.as_str(), memory_mb);
-                self.start_cell(number, life, &start_id, &function, cell, steward_epoch);
+            Action::Start { start_id, function, worker, memory_mb, leader_epoch } => {
+                let instance = (worker.as_str(), memory_mb);
+                self.start_instance(number, incarnation, &start_id, &function, instance, leader_epoch);
             }
-            Act::Stop { cell, steward_epoch } => self.stop_cell(number, life, cell, steward_epoch),
-            Act::ReportUsage { report, fence } => self.report_usage(number, life, report, fence),
-            Act::CallGranted { call, ticket } => {
-                if ticket.granted_by == self.nodes[number].id {
-                    self.note_act(number, &ticket.function.0, ticket.steward_epoch);
+            Action::Stop { instance, leader_epoch } => {
+                self.stop_instance(number, incarnation, instance, leader_epoch)
+            }
+            Action::ReportUsage { report, fence } => self.report_usage(number, incarnation, report, fence),
+            Action::CallGranted { call, permit } => {
+                if permit.granted_by == self.nodes[number].id {
+                    self.record_action(number, &permit.function.0, permit.leader_epoch);
                 }
-                self.call_granted(number, call, ticket);
+                self.call_granted(number, call, permit);
             }
-            Act::CallRefused { call, reason, refused_as, .. } => {
+            Action::CallRefused { call, reason, refused_as, .. } => {
                 *self.refusals.entry(reason).or_default() += 1;
                 self.call_refused(call, refused_as == RefusedAs::NoFunction);
             }
-            Act::ConfigurationTaken { generation, configuration, deltas } => {
-                let lanes = &mut self.nodes[number].lanes;
-                lanes.take_changed(generation, &configuration, &deltas);
+            Action::ConfigurationApplied { generation, configuration, deltas } => {
+                let routes = &mut self.nodes[number].routes;
+                routes.apply_changes(generation, &configuration, &deltas);
                 if !deltas.is_empty() {
                     self.changed_configurations += 1;
                     self.nodes[number].check_changed_configuration(generation, &configuration);
                 }
-                self.note_lanes(generation, &configuration);
-                let (node, life) = (format!("node-{number}"), life.to_string());
-                self.history(Line::GenerationHeld { at: self.now, node, life, generation });
+                self.record_routes(generation, &configuration);
+                let (node, incarnation) = (format!("node-{number}"), incarnation.to_string());
+                self.history(Line::GenerationHeld { at: self.now, node, incarnation, generation });
                 self.note_last_order(number, generation, &configuration);
             }
-            Act::ChangeAnswered { request, change_id, outcome } => {
+            Action::ChangeAnswered { request, change_id, outcome } => {
                 self.order_settled(request, &outcome);
                 self.note_outcome(change_id, &outcome);
             }
-            Act::DecisionsAnswered { .. } => {}
-            Act::ConfigurationAnswered { request, answer } => {
-                if let ConfigurationAnswer::Stored(stored) = &answer {
+            Action::DecisionsAnswered { .. } => {}
+            Action::ConfigurationAnswered { request, response } => {
+                if let ConfigurationResponse::Stored(stored) = &response {
                     self.read_settled(request, Some(stored));
                 } else {
                     self.read_settled(request, None);
                 }
-                self.read_answered(number, request, answer);
+                self.read_answered(number, request, response);
             }
             // Simulated cells make no calls of their own.
-            Act::CellHosts { .. } => {}
-            Act::Ready => self.nodes[number].is_ready = true,
-            Act::Drained => self.nodes[number].is_drained = true,
+            Action::InstanceHosts { .. } => {}
+            Action::Ready => self.nodes[number].is_ready = true,
+            Action::Drained => self.nodes[number].is_drained = true,
         }
     }
 
@@ -94,9 +99,9 @@
         }
     }
 
-    pub(super) fn note_ended_cells(&mut self) {
-        for cell in std::mem::take(&mut self.platform.ended) {
-            self.history(Line::CellEnded { at: self.now, cell });
+    pub(super) fn record_ended_instances(&mut self) {
+        for instance in std::mem::take(&mut self.platform.ended) {
+            self.history(Line::InstanceEnded { at: self.now, instance });
         }
     }
 
@@ -140,41 +145,42 @@
     }
 
     /// What a generation changes in the lanes, told once, when the first node takes it.
-    pub(super) fn note_lanes(&mut self, generation: u64, configuration: &Configuration) {
-        if generation <= self.told_lanes.0 {
+    pub(super) fn record_routes(&mut self, generation: u64, configuration: &Configuration) {
+        if generation <= self.recorded_routes.0 {
             return;
         }
-        let lanes: BTreeMap<String, String> = configuration
-            .lanes
+        let routes: BTreeMap<String, String> = configuration
+            .routes
             .values()
-            .map(|lane| (lane.path_prefix.clone(), lane.function.clone()))
+            .map(|route| (route.path_prefix.clone(), route.function.clone()))
             .collect();
-        let gone = self.told_lanes.1.keys().filter(|prefix| !lanes.contains_key(*prefix));
+        let gone = self.recorded_routes.1.keys().filter(|prefix| !routes.contains_key(*prefix));
         let mut changed: Vec<(String, Option<String>)> = gone.map(|prefix| (prefix.clone(), None)).collect();
-        let new = lanes.iter().filter(|(prefix, function)| self.told_lanes.1.get(*prefix) != Some(function));
+        let new =
+            routes.iter().filter(|(prefix, function)| self.recorded_routes.1.get(*prefix) != Some(function));
         changed.extend(new.map(|(prefix, function)| (prefix.clone(), Some(function.clone()))));
-        let allowances = configuration
-            .allowances
+        let quotas = configuration
+            .quotas
             .iter()
             .map(|(name, held)| (name.clone(), held.parent.clone(), held.memory_ceiling_mb))
             .collect();
         let functions = configuration
             .functions
             .iter()
-            .map(|(name, held)| (name.clone(), held.allowance.clone(), held.cell_memory_mb))
+            .map(|(name, held)| (name.clone(), held.quota.clone(), held.instance_memory_mb))
             .collect();
-        self.history(Line::AllowancesHeld { at: self.now, allowances, functions });
-        self.history(Line::LanesChanged { at: self.now, generation, lanes: changed });
-        self.told_lanes = (generation, lanes);
+        self.history(Line::QuotasHeld { at: self.now, quotas, functions });
+        self.history(Line::RoutesChanged { at: self.now, generation, routes: changed });
+        self.recorded_routes = (generation, routes);
     }
 
-    pub(super) fn note_act(&mut self, number: usize, function: &str, epoch: u64) {
+    pub(super) fn record_action(&mut self, number: usize, function: &str, epoch: u64) {
         if epoch == 0 {
             return;
         }
         // Told by process: a restarted node is another steward.
-        let node = format!("node-{number}/{}", self.nodes[number].life);
-        self.history(Line::StewardActed { at: self.now, node, function: function.to_owned(), epoch });
+        let node = format!("node-{number}/{}", self.nodes[number].incarnation);
+        self.history(Line::LeaderActed { at: self.now, node, function: function.to_owned(), epoch });
     }
 
     pub(super) fn send(&mut self, number: usize, address: Address, to_node: NodeId, message: Message) {
@@ -186,11 +192,11 @@
         if to.is_some_and(|receiver| self.lost_kinds.contains(&(receiver, message.name()))) {
             return;
         }
-        if self.dice.f64() < self.settings.lost_messages {
+        if self.rng.f64() < self.settings.lost_messages {
             return;
         }
         let envelope = Envelope {
-            fleet: fleet_mark(FLEET),
+            fleet: fleet_id(FLEET),
             from: self.nodes[number].id,
             from_address: self.nodes[number].address,
             to: to_node,
@@ -201,7 +207,7 @@
             Some(receiver) => self.link_span((number, receiver), &envelope, travel),
             None => travel,
         };
-        self.after(span, Happening::Arrives { to: address, envelope: Box::new(envelope) });
+        self.after(span, SimulationEvent::Arrives { to: address, envelope: Box::new(envelope) });
     }
 
     pub(super) fn link_rate(&self, number: usize) -> Option<f64> {
@@ -218,17 +224,17 @@
         self.links.arrival((from, to), bytes, self.now, travel) - self.now
     }
 
-    pub(super) fn start_cell(
+    pub(super) fn start_instance(
         &mut self,
         number: usize,
-        life: u64,
+        incarnation: u64,
         start_id: &str,
         function: &str,
         (worker, memory_mb): (&str, u64),
         fence: u64,
     ) {
         if let Some(epoch) = epoch_of(start_id) {
-            self.note_act(number, function, epoch);
+            self.record_action(number, function, epoch);
         }
         let boot = if function.starts_with("busy") { 1_400_000 } else { 900_000 };
         let boot = boot + self.settings.extra_boot.0;
@@ -236,18 +242,18 @@
             true => StartResult::Unknown,
             false => {
                 match self.platform.start(start_id, function, worker, memory_mb, boot, fence, self.now) {
-                    SimStart::Started(cell, address) => {
-                        self.note_platform_act(number, function, fence, true);
-                        self.note_started(&cell, function, worker, memory_mb, boot);
-                        StartResult::Started { cell, address }
+                    SimStart::Started(instance, address) => {
+                        self.record_platform_operation(number, function, fence, true);
+                        self.note_started(&instance, function, worker, memory_mb, boot);
+                        StartResult::Started { instance, address }
                     }
                     SimStart::NoRoom => StartResult::NoRoom,
                     SimStart::Fenced => {
-                        self.note_platform_act(number, function, fence, false);
+                        self.record_platform_operation(number, function, fence, false);
                         StartResult::NoRoom
                     }
                     SimStart::Throttled => {
-                        self.history(Line::ActThrottled { at: self.now });
+                        self.history(Line::OperationThrottled { at: self.now });
                         StartResult::Throttled
                     }
                 }
@@ -255,29 +261,35 @@
         };
         let event = Event::StartDone { start_id: start_id.to_owned(), result };
         let travel = self.travel() * 2;
-        self.after(travel, Happening::Given { node: number, life, event: Box::new(event) });
+        self.after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) });
     }
 
-    pub(super) fn note_platform_act(&mut self, number: usize, function: &str, fence: u64, is_accepted: bool) {
+    pub(super) fn record_platform_operation(
+        &mut self,
+        number: usize,
+        function: &str,
+        fence: u64,
+        is_accepted: bool,
+    ) {
         let (holder, function) = (format!("node-{number}"), function.to_owned());
-        self.history(Line::PlatformAct { at: self.now, holder, function, fence, is_accepted });
+        self.history(Line::PlatformOperation { at: self.now, holder, function, fence, is_accepted });
     }
 
     /// Notes a new cell; a repeated start id tells of one that is noted already.
     pub(super) fn note_started(
         &mut self,
-        cell: &str,
+        instance: &str,
         function: &str,
         worker: &str,
         memory_mb: u64,
         boot: u64,
     ) {
-        if !self.told_cells.insert(cell.to_owned()) {
+        if !self.recorded_instances.insert(instance.to_owned()) {
             return;
         }
-        self.history(Line::CellStarted {
+        self.history(Line::InstanceStarted {
             at: self.now,
-            cell: cell.to_owned(),
+            instance: instance.to_owned(),
             function: function.to_owned(),
             worker: worker.to_owned(),
             memory_mb,
@@ -285,31 +297,31 @@
         });
     }
 
-    pub(super) fn stop_cell(&mut self, number: usize, life: u64, cell: String, fence: u64) {
-        let function = self.platform.function_of(&cell);
+    pub(super) fn stop_instance(&mut self, number: usize, incarnation: u64, instance: String, fence: u64) {
+        let function = self.platform.function_of(&instance);
         let result = match self.nodes[number].is_isolated {
             true => StopResult::Unknown,
-            false => match self.platform.stop(&cell, fence, self.now) {
+            false => match self.platform.stop(&instance, fence, self.now) {
                 SimStop::Taken => {
                     if let Some(function) = function {
-                        self.note_platform_act(number, &function, fence, true);
+                        self.record_platform_operation(number, &function, fence, true);
                     }
-                    self.after(5_000_000, Happening::CellEnds { cell: cell.clone() });
-                    self.history(Line::CellStopped { at: self.now, cell: cell.clone() });
+                    self.after(5_000_000, SimulationEvent::InstanceEnds { instance: instance.clone() });
+                    self.history(Line::InstanceStopped { at: self.now, instance: instance.clone() });
                     StopResult::Stopped
                 }
                 SimStop::Fenced => {
-                    self.note_platform_act(number, &function.unwrap_or_default(), fence, false);
+                    self.record_platform_operation(number, &function.unwrap_or_default(), fence, false);
                     StopResult::Unknown
                 }
                 SimStop::Throttled => {
-                    self.history(Line::ActThrottled { at: self.now });
+                    self.history(Line::OperationThrottled { at: self.now });
                     StopResult::Throttled
                 }
             },
         };
         let travel = self.travel() * 2;
-        let event = Box::new(Event::StopDone { cell, result });
-        self.after(travel, Happening::Given { node: number, life, event });
+        let event = Box::new(Event::StopDone { instance, result });
+        self.after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event });
     }
 }
--- a/packages/fleet_simulator/src/world/troubles.rs
+++ b/packages/fleet_simulator/src/simulation/faults.rs
@@ -2,42 +2,42 @@
 
 use super::*;
 
-impl World {
-    /// Starts a node's process anew. Example: `world.start(3)` after `world.kill(3)`.
+impl Simulation {
+    /// Starts a node's process anew. Example: `simulation.start(3)` after `simulation.kill(3)`.
     pub fn start(&mut self, number: usize) {
         if self.nodes[number].is_up() {
             return;
         }
-        let id = node_id(self.nodes[number].address, self.dice.u64(1..));
+        let id = node_id(self.nodes[number].address, self.rng.u64(1..));
         let settings = NodeSettings {
             node: id,
             address: self.nodes[number].address,
             zone: self.nodes[number].zone.clone(),
             seeds: self.seeds.clone(),
-            founding_disks: self.settings.founding_disks,
+            bootstrap_disks: self.settings.bootstrap_disks,
             costs: function_scheduler::CostModel::default(),
-            may_found: true,
+            may_bootstrap: true,
             list_every: Micros::from_millis(900),
             lists_per_second: 1_000.0,
             replace_disk_after: self.settings.replace_disk_after,
-            acts_per_second: 80.0,
+            operations_per_second: 80.0,
             link_rate: self.link_rate(number),
-            extra_bound: ExtraBound::default(),
+            retry_limits: RetryLimits::default(),
             processor_millis: self.processor_millis(number),
             election: self.settings.election.clone(),
             probes: ProbeSettings::default(),
             usage: self.settings.usage.as_ref().map(|usage| usage.settings_of(number)),
             switched_off: self.settings.switched_off.clone(),
-            luck_seed: self.dice.u64(..),
+            random_seed: self.rng.u64(..),
         };
         let now = self.now;
         let node = &mut self.nodes[number];
-        node.life += 1;
+        node.incarnation += 1;
         node.processor.clear();
         node.id = id;
         node.started_at = now;
         node.is_ready = false;
-        node.lanes = LaneTable::default();
+        node.routes = RouteTable::default();
         node.is_draining = false;
         node.is_drained = false;
         node.frozen_until = 0;
@@ -46,38 +46,41 @@
         let is_unsynced = opened.as_ref().is_some_and(|(_, (_, is_unsynced))| *is_unsynced);
         let disk = opened.map(|(id, (registers, _))| (id, registers));
         node.node = Some(Node::new(settings, disk, Micros(0)));
-        let life = node.life;
+        let incarnation = node.incarnation;
         let drift = self.settings.clock_drift;
         if drift > 0.0 {
-            self.nodes[number].clock_rate = 1.0 - drift + self.dice.f64() * 2.0 * drift;
+            self.nodes[number].clock_rate = 1.0 - drift + self.rng.f64() * 2.0 * drift;
         }
         if is_damaged {
-            self.give(number, Event::DiskUnusable { reason: "synced records are damaged".to_owned() });
+            self.deliver_event(
+                number,
+                Event::DiskUnusable { reason: "synced records are damaged".to_owned() },
+            );
         }
         if is_unsynced {
-            self.give(number, Event::DiskUnsynced);
+            self.deliver_event(number, Event::DiskUnsynced);
         }
-        let first_tick = self.dice.u64(..20_000);
-        self.after(first_tick, Happening::Tick { node: number, life });
+        let first_tick = self.rng.u64(..20_000);
+        self.after(first_tick, SimulationEvent::Tick { node: number, incarnation });
     }
 
-    /// Ends a node's process with no notice; its files stand as they are. Example: `world.kill(0)`.
+    /// Ends a node's process with no notice; its files stand as they are. Example: `simulation.kill(0)`.
     pub fn kill(&mut self, number: usize) {
         self.end_process(number, false);
     }
 
     /// Ends a node with its machine's power: of what its disk had not synced a beginning is left.
-    /// Example: `world.lose_power(0)`.
+    /// Example: `simulation.lose_power(0)`.
     pub fn lose_power(&mut self, number: usize) {
         self.end_process(number, false);
         if let Some(disk) = &mut self.nodes[number].disk {
-            disk.lose_power(&mut self.disk_dice);
+            disk.lose_power(&mut self.disk_rng);
         }
     }
 
-    /// Ends a node with its machine's power or without, by the seed. Example: `world.kill_either_way(0)`.
+    /// Ends a node with its machine's power or without, by the seed. Example: `simulation.kill_either_way(0)`.
     pub fn kill_either_way(&mut self, number: usize) {
-        match self.disk_dice.bool() {
+        match self.disk_rng.bool() {
             true => self.lose_power(number),
             false => self.kill(number),
         }
@@ -91,13 +94,13 @@
         self.operators_lose(number);
         let node = &mut self.nodes[number];
         node.node = None;
-        node.life += 1;
+        node.incarnation += 1;
         if let Some(disk) = &mut node.disk {
             disk.end_process();
         }
     }
 
-    /// Freezes a node; messages wait for it. Example: `world.freeze(4, 8.0)`.
+    /// Freezes a node; messages wait for it. Example: `simulation.freeze(4, 8.0)`.
     pub fn freeze(&mut self, number: usize, seconds: f64) {
         let until = self.now + (seconds * 1e6) as u64;
         self.nodes[number].frozen_until = until;
@@ -105,23 +108,23 @@
     }
 
     /// Begins a planned stop; the process ends when drained, six seconds at the most.
-    /// Example: `world.stop_planned(2)`.
+    /// Example: `simulation.stop_planned(2)`.
     pub fn stop_planned(&mut self, number: usize) {
         self.nodes[number].is_draining = true;
-        self.give(number, Event::Drain);
-        let life = self.nodes[number].life;
+        self.deliver_event(number, Event::Drain);
+        let incarnation = self.nodes[number].incarnation;
         let deadline = self.now + 6_000_000;
         while self.now < deadline {
             self.run_for(0.05);
             let is_done = self.nodes[number].is_drained && self.open_calls_of(number) == 0;
-            if is_done || self.nodes[number].life != life {
+            if is_done || self.nodes[number].incarnation != incarnation {
                 break;
             }
         }
         self.end_process(number, true);
     }
 
-    /// Cuts everything between two groups of nodes. Example: `world.cut(&[0, 1], &[2, 3])`.
+    /// Cuts everything between two groups of nodes. Example: `simulation.cut(&[0, 1], &[2, 3])`.
     pub fn cut(&mut self, left: &[usize], right: &[usize]) {
         for left_node in left {
             for right_node in right {
@@ -131,19 +134,19 @@
         }
     }
 
-    /// Cuts one direction of one link. Example: `world.cut_one_way(3, 4)`.
+    /// Cuts one direction of one link. Example: `simulation.cut_one_way(3, 4)`.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cut_links.insert((from, to));
     }
 
-    /// Isolates a node from colleagues, platform, cells and callers. Example: `world.isolate(5)`.
+    /// Isolates a node from colleagues, platform, cells and callers. Example: `simulation.isolate(5)`.
     pub fn isolate(&mut self, number: usize) {
         let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
         self.cut(&[number], &others);
         self.nodes[number].is_isolated = true;
     }
 
-    /// Heals every cut and isolation. Example: `world.heal()`.
+    /// Heals every cut and isolation. Example: `simulation.heal()`.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         for node in &mut self.nodes {
@@ -151,33 +154,33 @@
         }
     }
 
-    /// The node's disk, if it has one. Example: `world.disk(0).unwrap().is_full = true`.
+    /// The node's disk, if it has one. Example: `simulation.disk(0).unwrap().is_full = true`.
     pub fn disk(&mut self, number: usize) -> Option<&mut SimDisk> {
         self.nodes[number].disk.as_mut()
     }
 
-    /// Kills the node and replaces its disk by an empty one. Example: `world.lose_disk(1)`.
+    /// Kills the node and replaces its disk by an empty one. Example: `simulation.lose_disk(1)`.
     pub fn lose_disk(&mut self, number: usize) {
         self.kill(number);
-        let fresh_id = self.dice.u64(1..);
+        let fresh_id = self.rng.u64(1..);
         self.nodes[number].disk = Some(SimDisk::blank(fresh_id));
     }
 
-    /// The machine is replaced by an empty one at a new address. Example: `world.replace_machine(1)`.
+    /// The machine is replaced by an empty one at a new address. Example: `simulation.replace_machine(1)`.
     pub fn replace_machine(&mut self, number: usize) {
         self.lose_disk(number);
-        let fresh_number = 100 + number + self.dice.usize(..100) * 100;
+        let fresh_number = 100 + number + self.rng.usize(..100) * 100;
         self.nodes[number].address = address_of(fresh_number);
     }
 
     /// The seeds that are told to all nodes started from now on, and to those that run by a reload.
-    /// Example: `world.take_seeds(&[4, 5, 6])`.
-    pub fn take_seeds(&mut self, numbers: &[usize]) {
+    /// Example: `simulation.set_seeds(&[4, 5, 6])`.
+    pub fn set_seeds(&mut self, numbers: &[usize]) {
         self.seeds = numbers.iter().map(|number| self.nodes[*number].address).collect();
         for number in 0..self.nodes.len() {
             let seeds = self.seeds.clone();
             if self.nodes[number].is_up() {
-                self.give(number, Event::SeedsChanged { seeds });
+                self.deliver_event(number, Event::SeedsChanged { seeds });
             }
         }
     }
--- a/packages/fleet_simulator/src/world/queries.rs
+++ b/packages/fleet_simulator/src/simulation/queries.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl World {
-    /// Numbers of the nodes that are up. Example: `world.up().len() == 10`.
+impl Simulation {
+    /// Numbers of the nodes that are up. Example: `simulation.up().len() == 10`.
     pub fn up(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|number| self.nodes[*number].is_up()).collect()
     }
@@ -13,7 +13,7 @@
         Some(self.nodes[number].node.as_ref()?.voters())
     }
 
-    /// A node's page of state. Example: `world.status(0).unwrap().generation`.
+    /// A node's page of state. Example: `simulation.status(0).unwrap().generation`.
     pub fn status(&self, number: usize) -> Option<NodeStatus> {
         let sim_node = &self.nodes[number];
         let node = sim_node.node.as_ref()?;
@@ -21,18 +21,18 @@
     }
 
     /// Whether a node's disk has a vote in the eyes of every node that is up.
-    /// Example: `world.run_until(40.0, |world| world.is_voting(1))`.
+    /// Example: `simulation.run_until(40.0, |simulation| simulation.is_voting(1))`.
     pub fn is_voting(&self, number: usize) -> bool {
         let Some(disk) = self.nodes[number].disk.as_ref().map(|disk| disk.id) else { return false };
         let statuses: Vec<NodeStatus> = self.up().iter().filter_map(|up| self.status(*up)).collect();
         statuses.iter().all(|status| {
             status.voters.contains(&disk)
-                && status.members.iter().any(|news| news.disk == disk && news.disk_state == 2)
+                && status.members.iter().any(|member| member.disk == disk && member.disk_state == 2)
         })
     }
 
     /// Whether every node that is up is ready, sees all others that are up, holds one generation,
-    /// and every function has a steward. Example: `world.run_until(12.0, World::is_settled)`.
+    /// and every function has a steward. Example: `simulation.run_until(12.0, Simulation::is_settled)`.
     pub fn is_settled(&self) -> bool {
         let up = self.up();
         let statuses: Vec<NodeStatus> = up.iter().filter_map(|number| self.status(*number)).collect();
@@ -46,7 +46,7 @@
     }
 
     /// When the first call to a name's path that was sent from a time on was answered.
-    /// Example: `world.answered_at("rare-3", began)`.
+    /// Example: `simulation.answered_at("rare-3", began)`.
     pub fn answered_at(&self, name: &str, from: u64) -> Option<u64> {
         let path = format!("/{name}");
         let sent = self.lines.iter().find_map(|line| match line {
@@ -60,7 +60,7 @@
     }
 
     /// Whether all nodes that are up go by one voter set without a change under way, all of whose
-    /// disks are up. Example: `world.run_until(40.0, World::has_whole_set)`.
+    /// disks are up. Example: `simulation.run_until(40.0, Simulation::has_whole_set)`.
     pub fn has_whole_set(&self) -> bool {
         let sets: Vec<&VoterSet> = self.up().into_iter().filter_map(|number| self.voters(number)).collect();
         let Some(first) = sets.first() else { return false };
@@ -76,14 +76,14 @@
     }
 
     /// Whether a change of the voter set is under way at any node.
-    /// Example: `world.run_until(4.0, World::is_set_changing)`.
+    /// Example: `simulation.run_until(4.0, Simulation::is_set_changing)`.
     pub fn is_set_changing(&self) -> bool {
         let mut sets = self.up().into_iter().filter_map(|number| self.voters(number));
         sets.any(|set| !set.joining.0.is_empty())
     }
 
     /// The node whose disk is being taken in by a change of the voter set.
-    /// Example: `world.lose_disk(world.joining_number().unwrap())`.
+    /// Example: `simulation.lose_disk(simulation.joining_number().unwrap())`.
     pub fn joining_number(&self) -> Option<usize> {
         let sets = self.up().into_iter().filter_map(|number| self.voters(number));
         let joint = sets.filter(|set| !set.joining.0.is_empty()).max_by_key(|set| set.generation)?;
@@ -93,7 +93,7 @@
     }
 
     /// Numbers of the nodes whose disks vote, in the eyes of the first node that is up.
-    /// Example: `world.lose_disk(world.voter_numbers()[0])`.
+    /// Example: `simulation.lose_disk(simulation.voter_numbers()[0])`.
     pub fn voter_numbers(&self) -> Vec<usize> {
         let first = self.up().first().and_then(|number| self.voters(*number));
         let voters = first.map(|set| set.disks.0.clone()).unwrap_or_default();
@@ -103,13 +103,13 @@
     }
 
     /// The node that owns the key of the voter set, as far as another one can tell.
-    /// Example: `world.kill(world.voters_owner().unwrap())`.
+    /// Example: `simulation.kill(simulation.voters_owner().unwrap())`.
     pub fn voters_owner(&self) -> Option<usize> {
         self.owner_of(control_registers::DISKS_KEY)
     }
 
     /// The node that owns the key of the configuration, as far as another one can tell.
-    /// Example: `world.freeze(world.configuration_owner().unwrap(), 5.0)`.
+    /// Example: `simulation.freeze(simulation.configuration_owner().unwrap(), 5.0)`.
     pub fn configuration_owner(&self) -> Option<usize> {
         self.owner_of(control_registers::CONFIGURATION_KEY)
     }
@@ -121,13 +121,13 @@
     }
 
     /// Sends a call to every function at every node that takes calls, ten functions at a time; the
-    /// probes' calls. Example: `let probes = world.send_probes(); world.run_for(4.5);`.
+    /// probes' calls. Example: `let probes = simulation.send_probes(); simulation.run_for(4.5);`.
     pub fn send_probes(&mut self) -> Vec<u64> {
         let open: Vec<usize> = self.up().into_iter().filter(|number| self.nodes[*number].is_ready).collect();
-        let lanes: Vec<String> =
-            self.functions().into_iter().filter(|name| self.lane_of(name).is_some()).collect();
+        let routes: Vec<String> =
+            self.functions().into_iter().filter(|name| self.route_of(name).is_some()).collect();
         let mut probes = Vec::new();
-        for function in lanes {
+        for function in routes {
             for number in &open {
                 self.send_call(*number, &function, 0);
                 probes.push(self.next_call);
@@ -138,7 +138,7 @@
     }
 
     /// Which of these calls were not answered, with their paths.
-    /// Example: `world.unanswered(&probes).is_empty()`.
+    /// Example: `simulation.unanswered(&probes).is_empty()`.
     pub fn unanswered(&self, calls: &[u64]) -> Vec<String> {
         let ran: BTreeSet<&str> = self
             .lines
@@ -161,8 +161,8 @@
             .collect()
     }
 
-    /// Steward counts of the nodes that are up. Example: `world.steward_counts()`.
-    pub fn steward_counts(&self) -> Vec<usize> {
+    /// Steward counts of the nodes that are up. Example: `simulation.leader_counts()`.
+    pub fn leader_counts(&self) -> Vec<usize> {
         self.up().iter().filter_map(|number| self.status(*number)).map(|status| status.held.len()).collect()
     }
 
--- a/packages/fleet_simulator/src/world/settings.rs
+++ b/packages/fleet_simulator/src/simulation/settings.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// How the simulated fleet is made. Example: `WorldSettings::default().node_count == 10`.
+/// How the simulated fleet is made. Example: `SimulationSettings::default().node_count == 10`.
 #[derive(Clone, Debug)]
-pub struct WorldSettings {
+pub struct SimulationSettings {
     /// Nodes; the first three have disks.
     pub node_count: usize,
     /// Functions, named `busy-N` and `rare-N`.
@@ -14,13 +14,13 @@
     /// Functions whose lanes are repeatable.
     pub repeatable: BTreeSet<String>,
     /// A call's time.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// A call's mean work on a cell.
     pub work: Micros,
     /// Calls a cell may run at once.
     pub calls_at_once: u32,
     /// The share of calls that run and lose their answer.
-    pub lost_answers: f64,
+    pub lost_responses: f64,
     /// The share of messages that the network loses.
     pub lost_messages: f64,
     /// The election's times.
@@ -39,12 +39,12 @@
     pub workers: (usize, u64),
     /// How much faster or slower the nodes' clocks run, at the most.
     pub clock_drift: f64,
-    /// Nodes with disks; `founding_disks` of them found the state, the others are spare.
+    /// Nodes with disks; `bootstrap_disks` of them found the state, the others are spare.
     pub disks: usize,
     /// The first node with a disk: the seeds before it carry none.
     pub first_disk: usize,
     /// Disks that found the state.
-    pub founding_disks: usize,
+    pub bootstrap_disks: usize,
     /// The rare functions' memory ceiling, if they have one.
     pub rare_ceiling_mb: Option<f64>,
     /// Rates of the nodes' links; without them any message takes the same time.
@@ -57,17 +57,17 @@
     pub usage: Option<SimUsage>,
 }
 
-impl Default for WorldSettings {
-    fn default() -> WorldSettings {
-        WorldSettings {
+impl Default for SimulationSettings {
+    fn default() -> SimulationSettings {
+        SimulationSettings {
             node_count: 10,
             busy: 4,
             rare: 20,
             repeatable: BTreeSet::new(),
-            patience: Micros::from_secs(4),
+            timeout: Micros::from_secs(4),
             work: Micros::from_millis(60),
             calls_at_once: 4,
-            lost_answers: 0.0,
+            lost_responses: 0.0,
             lost_messages: 0.0,
             election: ElectionSettings::default(),
             replace_disk_after: Micros::from_secs(10),
@@ -79,7 +79,7 @@
             clock_drift: 0.0,
             disks: 3,
             first_disk: 0,
-            founding_disks: 3,
+            bootstrap_disks: 3,
             rare_ceiling_mb: None,
             link_rates: None,
             switched_off: BTreeSet::new(),
--- a/packages/fleet_simulator/src/stop_scenarios.rs
+++ b/packages/fleet_simulator/src/stop_scenarios.rs
@@ -1,6 +1,6 @@
 //! Planned stops that overlap: what a node leads goes on elsewhere without a call that waits for an election.
 
-use crate::WorldSettings;
+use crate::SimulationSettings;
 use crate::scenarios::{Trial, Verdict};
 use history_checker::Line;
 
@@ -15,19 +15,19 @@
 
 /// Two nodes are stopped together, and the next two while those are hardly back, six times.
 pub(crate) fn stops_together(seed: u64) -> Verdict {
-    let mut trial = Trial::founded(WorldSettings::default(), seed);
-    trial.world.call_rate = CALL_RATE;
-    trial.world.run_for(4.0);
-    let began_at = trial.world.now();
+    let mut trial = Trial::bootstrapped(SimulationSettings::default(), seed);
+    trial.simulation.call_rate = CALL_RATE;
+    trial.simulation.run_for(4.0);
+    let began_at = trial.simulation.now();
     for round in 0..6 {
         let first = DISKS + (seed as usize + 2 * round) % (NODES - DISKS);
         let second = DISKS + (seed as usize + 2 * round + 1) % (NODES - DISKS);
-        trial.world.stop_planned(first);
-        trial.world.stop_planned(second);
-        trial.world.run_for(0.5);
-        trial.world.start(first);
-        trial.world.start(second);
-        trial.world.run_for(0.7);
+        trial.simulation.stop_planned(first);
+        trial.simulation.stop_planned(second);
+        trial.simulation.run_for(0.5);
+        trial.simulation.start(first);
+        trial.simulation.start(second);
+        trial.simulation.run_for(0.7);
     }
     trial.must_have_been_quick(began_at, LATE_SHARE);
     trial.must_settle();
@@ -37,7 +37,7 @@
 impl Trial {
     /// Of the calls that ended since then, at most this share was answered late.
     fn must_have_been_quick(&mut self, since: u64, most: f64) {
-        let ended = self.world.lines().iter().filter_map(|line| match line {
+        let ended = self.simulation.lines().iter().filter_map(|line| match line {
             Line::CallEnded { at, latency, .. } if *at >= since => Some(*latency),
             _ => None,
         });
--- a/packages/fleet_simulator/src/usage_scenarios.rs
+++ b/packages/fleet_simulator/src/usage_scenarios.rs
@@ -2,7 +2,7 @@
 //! `history_checker` hold always; each scenario says how many windows may go without a sound report.
 
 use crate::scenarios::{Trial, Verdict};
-use crate::{SimUsage, WorldSettings};
+use crate::{SimUsage, SimulationSettings};
 use fastrand::Rng;
 use history_checker::{Line, UsageWindows, usage_windows};
 
@@ -10,19 +10,19 @@
 const USAGE_ERROR: f64 = 0.05;
 const CALL_RATE: f64 = 200.0;
 
-fn founded(settings: WorldSettings, usage: SimUsage, seed: u64) -> Trial {
-    let mut trial = Trial::founded(WorldSettings { usage: Some(usage), ..settings }, seed);
-    trial.world.call_rate = CALL_RATE;
+fn bootstrapped(settings: SimulationSettings, usage: SimUsage, seed: u64) -> Trial {
+    let mut trial = Trial::bootstrapped(SimulationSettings { usage: Some(usage), ..settings }, seed);
+    trial.simulation.call_rate = CALL_RATE;
     trial
 }
 
 /// Ends the trial: of the windows at most so many may be without a report in time, and so many off.
 fn judged(mut trial: Trial, may_fail: usize, may_be_off: usize) -> Verdict {
     // What fell due so far was asked for; calls end here, so that late windows are no longer full ones.
-    trial.world.run_for(1.0);
-    let at = trial.world.now();
-    trial.world.history(Line::UsageOver { at });
-    let windows = usage_windows(trial.world.lines(), USAGE_ERROR);
+    trial.simulation.run_for(1.0);
+    let at = trial.simulation.now();
+    trial.simulation.history(Line::UsageOver { at });
+    let windows = usage_windows(trial.simulation.lines(), USAGE_ERROR);
     let UsageWindows { due, missing, late, off } = &windows;
     let figures = [
         ("usage_due", due.len()),
@@ -39,150 +39,156 @@
 }
 
 pub(crate) fn usage_quiet(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    trial.world.run_for(40.0);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    trial.simulation.run_for(40.0);
     judged(trial, 0, 0)
 }
 
 /// Whoever collects is killed, again and again, and comes back.
 pub(crate) fn usage_collector_killed(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    let mut dice = Rng::with_seed(seed ^ 0x05a6);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    let mut rng = Rng::with_seed(seed ^ 0x05a6);
     trial.checks.count_refusals = false;
     for _ in 0..6 {
-        let Some(victim) = trial.world.usage_collector() else {
-            trial.world.run_for(1.0);
+        let Some(victim) = trial.simulation.usage_collector() else {
+            trial.simulation.run_for(1.0);
             continue;
         };
-        trial.world.kill_either_way(victim);
-        trial.world.run_for(1.0 + dice.f64() * 3.0);
-        trial.world.start(victim);
-        trial.world.run_for(2.0 + dice.f64() * 7.0);
+        trial.simulation.kill_either_way(victim);
+        trial.simulation.run_for(1.0 + rng.f64() * 3.0);
+        trial.simulation.start(victim);
+        trial.simulation.run_for(2.0 + rng.f64() * 7.0);
     }
-    trial.world.run_for(12.0);
+    trial.simulation.run_for(12.0);
     trial.must_settle();
     judged(trial, 0, 0)
 }
 
 /// All nodes with disks are gone for four seconds.
 pub(crate) fn usage_disk_nodes_killed(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     trial.checks.count_refusals = false;
-    trial.world.run_for(7.0);
+    trial.simulation.run_for(7.0);
     for number in [0, 1, 2] {
-        trial.world.kill_either_way(number);
+        trial.simulation.kill_either_way(number);
     }
-    trial.world.run_for(4.0);
+    trial.simulation.run_for(4.0);
     for number in [0, 1, 2] {
-        trial.world.start(number);
+        trial.simulation.start(number);
     }
-    trial.world.run_for(25.0);
+    trial.simulation.run_for(25.0);
     trial.must_settle();
     judged(trial, 0, 1)
 }
 
 /// Each disk in turn is replaced by an empty one.
 pub(crate) fn usage_disks_wiped(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     trial.checks.count_refusals = false;
     for number in [0, 1, 2] {
-        trial.world.lose_disk(number);
-        trial.world.run_for(1.0);
-        trial.world.start(number);
-        let is_whole = trial.world.run_until(60.0, |world| world.has_whole_set() && world.is_voting(number));
+        trial.simulation.lose_disk(number);
+        trial.simulation.run_for(1.0);
+        trial.simulation.start(number);
+        let is_whole = trial
+            .simulation
+            .run_until(60.0, |simulation| simulation.has_whole_set() && simulation.is_voting(number));
         trial.must(is_whole, "a wiped disk votes again", "it did not");
-        trial.world.run_for(3.0);
+        trial.simulation.run_for(3.0);
     }
-    trial.world.run_for(12.0);
+    trial.simulation.run_for(12.0);
     trial.must_settle();
     judged(trial, 0, 0)
 }
 
 /// The collector and some others are cut off from the rest, which may decide without them.
 pub(crate) fn usage_cut(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    let mut dice = Rng::with_seed(seed ^ 0xc075);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    let mut rng = Rng::with_seed(seed ^ 0xc075);
     trial.checks.count_refusals = false;
     for _ in 0..3 {
-        let Some(collector) = trial.world.usage_collector() else {
-            trial.world.run_for(1.0);
+        let Some(collector) = trial.simulation.usage_collector() else {
+            trial.simulation.run_for(1.0);
             continue;
         };
-        let beside = 3 + dice.usize(..7);
+        let beside = 3 + rng.usize(..7);
         let left = [collector, beside];
         let right: Vec<usize> = (0..10).filter(|number| !left.contains(number)).collect();
-        trial.world.cut(&left, &right);
-        trial.world.run_for(2.0 + dice.f64() * 6.0);
-        trial.world.heal();
-        trial.world.run_for(4.0 + dice.f64() * 8.0);
+        trial.simulation.cut(&left, &right);
+        trial.simulation.run_for(2.0 + rng.f64() * 6.0);
+        trial.simulation.heal();
+        trial.simulation.run_for(4.0 + rng.f64() * 8.0);
     }
-    trial.world.run_for(12.0);
+    trial.simulation.run_for(12.0);
     trial.must_settle();
     judged(trial, 0, 3)
 }
 
 /// Wall clocks of a minority jump by seconds, the collector's among them.
 pub(crate) fn usage_clocks_stepped(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    let mut dice = Rng::with_seed(seed ^ 0xc10c);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    let mut rng = Rng::with_seed(seed ^ 0xc10c);
     let mut stepped: Vec<usize> = (0..10).collect();
-    dice.shuffle(&mut stepped);
+    rng.shuffle(&mut stepped);
     stepped.truncate(3);
-    stepped.extend(trial.world.usage_collector().filter(|collector| !stepped.contains(collector)));
+    stepped.extend(trial.simulation.usage_collector().filter(|collector| !stepped.contains(collector)));
     for _ in 0..5 {
         for number in &stepped {
-            trial.world.step_clock(*number, dice.f64() * 16.0 - 8.0);
+            trial.simulation.step_clock(*number, rng.f64() * 16.0 - 8.0);
         }
-        trial.world.run_for(3.0 + dice.f64() * 4.0);
+        trial.simulation.run_for(3.0 + rng.f64() * 4.0);
     }
-    trial.world.run_for(10.0);
+    trial.simulation.run_for(10.0);
     judged(trial, 0, 0)
 }
 
 /// The platform takes no reports for four seconds, and is slow after that.
 pub(crate) fn usage_platform_down(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    let mut dice = Rng::with_seed(seed ^ 0xd0e4);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    let mut rng = Rng::with_seed(seed ^ 0xd0e4);
     for _ in 0..3 {
-        trial.world.run_for(2.0 + dice.f64() * 5.0);
-        trial.world.platform_down(4.0);
-        trial.world.run_for(4.0);
-        trial.world.platform_slow(dice.f64() * 1.4);
-        trial.world.run_for(6.0);
-        trial.world.platform_slow(0.0);
+        trial.simulation.run_for(2.0 + rng.f64() * 5.0);
+        trial.simulation.platform_down(4.0);
+        trial.simulation.run_for(4.0);
+        trial.simulation.platform_slow(rng.f64() * 1.4);
+        trial.simulation.run_for(6.0);
+        trial.simulation.platform_slow(0.0);
     }
-    trial.world.run_for(10.0);
+    trial.simulation.run_for(10.0);
     judged(trial, 0, 0)
 }
 
 /// The collector freezes for longer than the lease, also while its report is on its way, and wakes.
 pub(crate) fn usage_collector_frozen(seed: u64) -> Verdict {
-    let mut trial = founded(WorldSettings::default(), SimUsage::default(), seed);
-    let mut dice = Rng::with_seed(seed ^ 0xf203);
+    let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
+    let mut rng = Rng::with_seed(seed ^ 0xf203);
     trial.checks.count_refusals = false;
     for round in 0..4 {
-        trial.world.platform_slow(dice.f64() * 2.5);
-        let Some(collector) = trial.world.usage_collector() else {
-            trial.world.run_for(1.0);
+        trial.simulation.platform_slow(rng.f64() * 2.5);
+        let Some(collector) = trial.simulation.usage_collector() else {
+            trial.simulation.run_for(1.0);
             continue;
         };
         match round % 2 {
-            0 => trial.world.freeze(collector, 3.0 + dice.f64() * 7.0),
-            _ => trial.world.freeze_in = Some((crate::FreezeIn::Report, 3.0 + dice.f64() * 7.0)),
+            0 => trial.simulation.freeze(collector, 3.0 + rng.f64() * 7.0),
+            _ => trial.simulation.freeze_in = Some((crate::FreezeIn::Report, 3.0 + rng.f64() * 7.0)),
         }
-        trial.world.run_for(10.0 + dice.f64() * 5.0);
+        trial.simulation.run_for(10.0 + rng.f64() * 5.0);
     }
-    trial.world.platform_slow(0.0);
-    trial.world.run_for(15.0);
+    trial.simulation.platform_slow(0.0);
+    trial.simulation.run_for(15.0);
     trial.must_settle();
     judged(trial, 0, 0)
 }
 
 /// Every third answer to a report is lost, and so are messages between nodes.
 pub(crate) fn usage_answers_lost(seed: u64) -> Verdict {
-    let usage = SimUsage { lost_answers: 0.33, ..SimUsage::default() };
-    let mut trial = founded(WorldSettings { lost_messages: 0.02, ..WorldSettings::default() }, usage, seed);
+    let usage = SimUsage { lost_responses: 0.33, ..SimUsage::default() };
+    let mut trial = bootstrapped(
+        SimulationSettings { lost_messages: 0.02, ..SimulationSettings::default() },
+        usage,
+        seed,
+    );
     trial.checks.count_refusals = false;
-    trial.world.run_for(40.0);
+    trial.simulation.run_for(40.0);
     judged(trial, 0, 0)
 }
--- a/packages/fleet_simulator/tests/scenarios.rs
+++ b/packages/fleet_simulator/tests/scenarios.rs
@@ -1,19 +1,19 @@
 //! The brief's failures, seeded; each history is judged after the fact.
 
-use fleet_simulator::{World, WorldSettings, scenarios};
+use fleet_simulator::{Simulation, SimulationSettings, scenarios};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 #[test]
 fn the_same_seed_gives_the_same_history() {
     let history = |seed| {
-        let mut world = World::new(WorldSettings::default(), seed);
-        assert!(world.found());
-        world.call_rate = 100.0;
-        world.run_for(3.0);
-        world.kill(5);
-        world.run_for(5.0);
-        world.lines().iter().map(|line| serde_json::to_string(line).expect("JSON")).collect::<Vec<_>>()
+        let mut simulation = Simulation::new(SimulationSettings::default(), seed);
+        assert!(simulation.bootstrap());
+        simulation.call_rate = 100.0;
+        simulation.run_for(3.0);
+        simulation.kill(5);
+        simulation.run_for(5.0);
+        simulation.lines().iter().map(|line| serde_json::to_string(line).expect("JSON")).collect::<Vec<_>>()
     };
     assert!(history(1) == history(1));
     assert!(history(1) != history(2));
@@ -26,7 +26,7 @@
         fn $name() {
             for seed in $seeds {
                 let verdict = scenarios::run(stringify!($name), seed).expect("a known scenario");
-                assert_eq!(verdict.breaches, [], "seed {seed}");
+                assert_eq!(verdict.violations, [], "seed {seed}");
                 assert!(verdict.outcomes[0] > 100, "seed {seed}: {:?}", verdict.outcomes);
             }
         })*
@@ -173,14 +173,14 @@
         readers,
         paths(["packages/call_traces/src/lib.rs", "packages/monotonic_clock/src/wall_clock.rs"])
     );
-    let askers = files_that_say(&[concat!("unix", "_now")]);
-    let shell = "packages/vanelane/src/protocol_shell.rs";
-    assert_eq!(askers, paths(["packages/monotonic_clock/src/wall_clock.rs", shell]));
-    let tellers = files_that_say(&[concat!("Wall", "Clock")]);
+    let requesters = files_that_say(&[concat!("unix", "_now")]);
+    let runtime = "packages/vanelane/src/protocol_runtime.rs";
+    assert_eq!(requesters, paths(["packages/monotonic_clock/src/wall_clock.rs", runtime]));
+    let reporters = files_that_say(&[concat!("Wall", "Clock")]);
     let (node, events) = ("packages/node_protocol/src/node.rs", "packages/node_protocol/src/lib.rs");
-    assert_eq!(tellers, paths([node, events, "packages/fleet_simulator/src/sim_usage.rs", shell]));
+    assert_eq!(reporters, paths([node, events, "packages/fleet_simulator/src/sim_usage.rs", runtime]));
     let takers = files_that_say(&[concat!("wall_clock", "_read")]);
-    let part = "packages/node_protocol/src/usage_part.rs";
+    let part = "packages/node_protocol/src/usage_reporting.rs";
     assert_eq!(takers, paths([node, part]), "the node hands it on");
     let clocks = files_that_say(&[concat!("Fleet", "Clock")]);
     let pure = ["packages/usage_reports/src/fleet_clock.rs", "packages/usage_reports/src/lib.rs"];
--- a/packages/function_scheduler/src/cell_demand.rs
+++ b/packages/function_scheduler/src/instance_demand.rs
@@ -1,5 +1,5 @@
 use monotonic_clock::Micros;
-use peer_messages::HandedDemand;
+use peer_messages::TransferredDemand;
 use std::collections::VecDeque;
 
 /// What cells, starts and late answers cost beside each other, all in megabytes of memory held for a
@@ -11,18 +11,18 @@
     /// One call that is answered later than its target.
     pub late_call: f64,
     /// One call that is sent to a cell in another zone.
-    pub far_call: f64,
+    pub remote_call: f64,
 }
 
 impl Default for CostModel {
     fn default() -> CostModel {
-        CostModel { start: 110.0, late_call: 600.0, far_call: 20.0 }
+        CostModel { start: 110.0, late_call: 600.0, remote_call: 20.0 }
     }
 }
 
-/// What is known of a function before its calls are. Example: see [`CellDemand::wanted`].
+/// What is known of a function before its calls are. Example: see [`InstanceDemand::wanted`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CellShape {
+pub struct InstanceShape {
     /// Memory of one cell in megabytes.
     pub memory_mb: f64,
     /// The time a start takes.
@@ -43,7 +43,7 @@
 ///
 /// Example: `demand.note(now, 3.0); demand.wanted(&shape, latency, now)`.
 #[derive(Debug)]
-pub struct CellDemand {
+pub struct InstanceDemand {
     began_at: Micros,
     noted_at: Micros,
     decayed_at: Micros,
@@ -68,7 +68,7 @@
 /// A function is young for so long after its first call: the rate is over this time at least.
 const YOUNG: f64 = 3.0;
 /// A function whose load is not known yet, and that a cold start would make late, has so many cells.
-const UNKNOWN_CELLS: u32 = 2;
+const UNKNOWN_INSTANCES: u32 = 2;
 /// Load is unknown for so long after the first call.
 const UNKNOWN_SPAN: Micros = Micros::from_secs(4);
 /// A function that no call came to is kept warm for so long.
@@ -76,12 +76,12 @@
 /// Cold boots take up to so much of the usual time.
 const LONG_BOOT: f64 = 1.6;
 const THOUSAND: f64 = 1_000.0;
-const MOST_CELLS: u32 = 10_000;
+const MAX_INSTANCES: u32 = 10_000;
 
-impl CellDemand {
-    /// Nothing known. Example: `CellDemand::new(now).rate(now) == 0.0`.
-    pub fn new(now: Micros) -> CellDemand {
-        CellDemand {
+impl InstanceDemand {
+    /// Nothing known. Example: `InstanceDemand::new(now).rate(now) == 0.0`.
+    pub fn new(now: Micros) -> InstanceDemand {
+        InstanceDemand {
             began_at: now,
             noted_at: now,
             decayed_at: now,
@@ -104,35 +104,35 @@
     }
 
     /// What a successor shall know of the calls so far; latency, boot and cells are the caller's to fill in.
-    /// Example: `demand.handed(now).rate == 0` where no call came.
-    pub fn handed(&mut self, now: Micros) -> HandedDemand {
+    /// Example: `demand.handover(now).rate == 0` where no call came.
+    pub fn handover(&mut self, now: Micros) -> TransferredDemand {
         self.decay(now);
-        HandedDemand {
+        TransferredDemand {
             load_fast: thousandths(self.load_fast),
             load_slow: thousandths(self.load_slow),
             rate: thousandths(self.rate),
             rate_fast: thousandths(self.rate_fast),
             called_for_micros: self.first_call_at.map_or(0, |first_call_at| (now - first_call_at).0.max(1)),
-            cells_kept: 0,
+            instances_kept: 0,
             usual_latency_micros: 0,
             boot_micros: 0,
         }
     }
 
-    /// Goes on from what the leader before saw. Example: `demand.resume(&handed, now)`.
-    pub fn resume(&mut self, handed: &HandedDemand, now: Micros) {
-        self.load_fast = f64::from(handed.load_fast) / THOUSAND;
-        self.load_slow = f64::from(handed.load_slow) / THOUSAND;
-        self.rate = f64::from(handed.rate) / THOUSAND;
-        self.rate_fast = f64::from(handed.rate_fast) / THOUSAND;
+    /// Goes on from what the leader before saw. Example: `demand.resume(&handover, now)`.
+    pub fn resume(&mut self, handover: &TransferredDemand, now: Micros) {
+        self.load_fast = f64::from(handover.load_fast) / THOUSAND;
+        self.load_slow = f64::from(handover.load_slow) / THOUSAND;
+        self.rate = f64::from(handover.rate) / THOUSAND;
+        self.rate_fast = f64::from(handover.rate_fast) / THOUSAND;
         self.decayed_at = now;
         self.noted_at = now;
-        if handed.called_for_micros > 0 {
-            self.first_call_at = Some(now - Micros(handed.called_for_micros));
+        if handover.called_for_micros > 0 {
+            self.first_call_at = Some(now - Micros(handover.called_for_micros));
         }
     }
 
-    /// Whether a call ever came. Example: `CellDemand::new(now).is_called() == false`.
+    /// Whether a call ever came. Example: `InstanceDemand::new(now).is_called() == false`.
     pub fn is_called(&self) -> bool {
         self.first_call_at.is_some()
     }
@@ -143,8 +143,8 @@
         self.load_fast.max(self.load_slow)
     }
 
-    /// Tells since when calls of any function come. Example: `demand.take_traffic(Some(now))`.
-    pub fn take_traffic(&mut self, since: Option<Micros>) {
+    /// Tells since when calls of any function come. Example: `demand.set_traffic_since(Some(now))`.
+    pub fn set_traffic_since(&mut self, since: Option<Micros>) {
         self.traffic_since = since;
     }
 
@@ -183,14 +183,20 @@
 
     /// Counts cells as wanted for a while: those that the steward before kept for calls it had seen.
     /// Example: `demand.hold(3, now + Micros::from_secs(3))`.
-    pub fn hold(&mut self, cells: u32, until: Micros) {
-        self.held.retain(|(_, held)| *held > cells);
-        self.held.push_back((until, cells));
+    pub fn hold(&mut self, instances: u32, until: Micros) {
+        self.held.retain(|(_, held)| *held > instances);
+        self.held.push_back((until, instances));
     }
 
     /// Cells that the load is worth now; `zone_shares` are the shares of the calls that come from each zone,
     /// the largest first. Example: `demand.wanted(&shape, &[0.7, 0.3], Micros::from_millis(60), now)`.
-    pub fn wanted(&mut self, shape: &CellShape, zone_shares: &[f64], latency: Micros, now: Micros) -> u32 {
+    pub fn wanted(
+        &mut self,
+        shape: &InstanceShape,
+        zone_shares: &[f64],
+        latency: Micros,
+        now: Micros,
+    ) -> u32 {
         let wanted = self.worth(shape, zone_shares, latency, now);
         // Going down and up again costs a start and a boot: what was wanted holds for about as long as
         // its memory costs that much.
@@ -208,15 +214,15 @@
             self.held.pop_front();
         }
         if wanted == 0 {
-            self.held.retain(|(_, cells)| *cells > 1);
+            self.held.retain(|(_, instances)| *instances > 1);
         }
-        self.held.iter().map(|(_, cells)| *cells).max().unwrap_or(0).max(wanted)
+        self.held.iter().map(|(_, instances)| *instances).max().unwrap_or(0).max(wanted)
     }
 
     /// Whether a function that nobody called yet is likely enough to be called to be worth a warm cell. Before
     /// any traffic that is not known, for a while. Once others are called, one that was not for some seconds
     /// has no more than about one call in as many seconds, and each call met cold would cost so much.
-    fn may_be_called_soon(&self, shape: &CellShape, now: Micros) -> bool {
+    fn may_be_called_soon(&self, shape: &InstanceShape, now: Micros) -> bool {
         let Some(traffic_since) = self.traffic_since else {
             return now < self.began_at + UNCALLED_SPAN;
         };
@@ -224,12 +230,12 @@
         seconds(now - traffic_since.max(self.began_at)) * shape.memory_mb < cold_cost
     }
 
-    fn worth(&self, shape: &CellShape, zone_shares: &[f64], latency: Micros, now: Micros) -> u32 {
+    fn worth(&self, shape: &InstanceShape, zone_shares: &[f64], latency: Micros, now: Micros) -> u32 {
         let boot = seconds(shape.boot);
         let is_slow_cold = shape.boot + latency > shape.target;
         let Some(first_call_at) = self.first_call_at else {
             let is_waited_for = is_slow_cold && self.may_be_called_soon(shape, now);
-            return if is_waited_for { UNKNOWN_CELLS } else { 0 };
+            return if is_waited_for { UNKNOWN_INSTANCES } else { 0 };
         };
         let rate = self.rate(now);
         let late_share = ((boot * LONG_BOOT + seconds(latency) - seconds(shape.target)) / boot.max(0.001))
@@ -241,36 +247,36 @@
         if rate * cold_cost < shape.memory_mb && load < 0.5 {
             return 0;
         }
-        let cells = cells_for(load, rate, shape, zone_shares, latency);
+        let instances = instances_for(load, rate, shape, zone_shares, latency);
         let is_unknown = is_slow_cold && now < first_call_at + UNKNOWN_SPAN;
-        if is_unknown { cells.max(UNKNOWN_CELLS) } else { cells }
+        if is_unknown { instances.max(UNKNOWN_INSTANCES) } else { instances }
     }
 }
 
 /// The cheapest number of cells for a load, at least one. Each takes the zone with most calls that has none.
-fn cells_for(load: f64, rate: f64, shape: &CellShape, zone_shares: &[f64], latency: Micros) -> u32 {
+fn instances_for(load: f64, rate: f64, shape: &InstanceShape, zone_shares: &[f64], latency: Micros) -> u32 {
     let service = seconds(latency).max(0.001);
     // What an answer may wait and still be in time, given that some calls take twice as long.
-    let patience = (seconds(shape.target) - 2.0 * service).max(0.2 * service);
+    let timeout = (seconds(shape.target) - 2.0 * service).max(0.2 * service);
     let calls_at_once = f64::from(shape.calls_at_once.max(1));
-    let mut cells = (load / calls_at_once).floor().max(0.0) as u32 + 1;
-    let cost_of = |cells: u32| {
-        let servers = f64::from(cells) * calls_at_once;
-        let late = erlang_c(servers as u32, load) * (-(servers - load) * patience / service).exp();
-        let far: f64 = zone_shares.iter().skip(cells as usize).sum();
-        f64::from(cells) * shape.memory_mb
-            + rate * (late * shape.costs.late_call + far * shape.costs.far_call)
+    let mut instances = (load / calls_at_once).floor().max(0.0) as u32 + 1;
+    let cost_of = |instances: u32| {
+        let servers = f64::from(instances) * calls_at_once;
+        let late = erlang_c(servers as u32, load) * (-(servers - load) * timeout / service).exp();
+        let remote: f64 = zone_shares.iter().skip(instances as usize).sum();
+        f64::from(instances) * shape.memory_mb
+            + rate * (late * shape.costs.late_call + remote * shape.costs.remote_call)
     };
-    let mut cost = cost_of(cells);
-    while cells < MOST_CELLS {
-        let next = cost_of(cells + 1);
+    let mut cost = cost_of(instances);
+    while instances < MAX_INSTANCES {
+        let next = cost_of(instances + 1);
         if next >= cost {
             break;
         }
         cost = next;
-        cells += 1;
+        instances += 1;
     }
-    cells
+    instances
 }
 
 /// The share of arrivals that wait, for a load on so many servers (Erlang C).
--- a/packages/function_scheduler/src/cell_demand/tests.rs
+++ b/packages/function_scheduler/src/instance_demand/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn busy() -> CellShape {
-    CellShape {
+fn busy() -> InstanceShape {
+    InstanceShape {
         memory_mb: 768.0,
         boot: Micros::from_millis(1_400),
         calls_at_once: 6,
@@ -10,8 +10,8 @@
     }
 }
 
-fn rare() -> CellShape {
-    CellShape {
+fn rare() -> InstanceShape {
+    InstanceShape {
         memory_mb: 128.0,
         boot: Micros::from_millis(900),
         calls_at_once: 1,
@@ -22,15 +22,15 @@
 
 const LATENCY: Micros = Micros::from_millis(70);
 
-fn kept(demand: &mut CellDemand, shape: &CellShape, now: Micros) -> u32 {
+fn kept(demand: &mut InstanceDemand, shape: &InstanceShape, now: Micros) -> u32 {
     let wanted = demand.wanted(shape, &[], LATENCY, now);
     demand.kept(wanted, now)
 }
 
 /// Calls come evenly at a rate; the load is rate times latency.
-fn run(demand: &mut CellDemand, rate: f64, from: u64, to: u64, shape: &CellShape) -> u32 {
+fn run(demand: &mut InstanceDemand, rate: f64, from: u64, to: u64, shape: &InstanceShape) -> u32 {
     let mut credit = 0.0;
-    let mut cells = 0;
+    let mut instances = 0;
     for millis in (from..to).step_by(20) {
         let now = Micros::from_millis(millis);
         credit += rate * 0.02;
@@ -39,14 +39,14 @@
             demand.called(now);
         }
         demand.note(now, (rate * 0.07).round());
-        cells = kept(demand, shape, now);
+        instances = kept(demand, shape, now);
     }
-    cells
+    instances
 }
 
 #[test]
 fn a_rate_that_jumps_is_seen_within_half_a_second() {
-    let mut demand = CellDemand::new(Micros(0));
+    let mut demand = InstanceDemand::new(Micros(0));
     for call in 0..150u64 {
         demand.called(Micros(call * 1_000_000 / 300));
     }
@@ -67,51 +67,55 @@
 
 #[test]
 fn a_function_that_a_cold_start_makes_late_is_warm_before_its_first_call_and_others_are_not() {
-    let mut demand = CellDemand::new(Micros(0));
-    assert_eq!(demand.wanted(&busy(), &[], LATENCY, Micros(1)), UNKNOWN_CELLS);
+    let mut demand = InstanceDemand::new(Micros(0));
+    assert_eq!(demand.wanted(&busy(), &[], LATENCY, Micros(1)), UNKNOWN_INSTANCES);
     assert_eq!(demand.wanted(&rare(), &[], LATENCY, Micros(1)), 0);
     assert_eq!(demand.wanted(&busy(), &[], LATENCY, UNCALLED_SPAN), 0, "nobody calls it");
 }
 
 #[test]
 fn a_function_that_nobody_calls_while_others_are_called_is_not_kept_warm_for_long() {
-    let mut demand = CellDemand::new(Micros(0));
+    let mut demand = InstanceDemand::new(Micros(0));
     let seconds = Micros::from_secs;
-    assert_eq!(demand.wanted(&busy(), &[], LATENCY, seconds(20)), UNKNOWN_CELLS, "there is no traffic yet");
-    demand.take_traffic(Some(seconds(21)));
-    assert_eq!(demand.wanted(&busy(), &[], LATENCY, seconds(22)), UNKNOWN_CELLS);
+    assert_eq!(
+        demand.wanted(&busy(), &[], LATENCY, seconds(20)),
+        UNKNOWN_INSTANCES,
+        "there is no traffic yet"
+    );
+    demand.set_traffic_since(Some(seconds(21)));
+    assert_eq!(demand.wanted(&busy(), &[], LATENCY, seconds(22)), UNKNOWN_INSTANCES);
     // A cell of 768 MB held for 2.4 s costs what one call met cold does.
     assert_eq!(demand.wanted(&busy(), &[], LATENCY, seconds(24)), 0);
-    let small = CellShape { memory_mb: 128.0, ..busy() };
+    let small = InstanceShape { memory_mb: 128.0, ..busy() };
     assert_eq!(
         demand.wanted(&small, &[], LATENCY, seconds(24)),
-        UNKNOWN_CELLS,
+        UNKNOWN_INSTANCES,
         "a small one is held for longer"
     );
     assert_eq!(demand.wanted(&small, &[], LATENCY, seconds(30)), 0);
 }
 
 #[test]
-fn cells_follow_the_load_and_a_rare_function_lets_its_cell_go_at_once() {
-    let mut demand = CellDemand::new(Micros(0));
+fn instances_follow_the_load_and_a_rare_function_lets_its_instance_go_at_once() {
+    let mut demand = InstanceDemand::new(Micros(0));
     assert_eq!(run(&mut demand, 40.0, 0, 10_000, &busy()), 1, "a load of three on six");
-    let crowd = run(&mut demand, 160.0, 10_000, 20_000, &busy());
-    assert!((2..=4).contains(&crowd), "{crowd} cells for a load of eleven");
+    let spike = run(&mut demand, 160.0, 10_000, 20_000, &busy());
+    assert!((2..=4).contains(&spike), "{spike} cells for a load of eleven");
     let after = run(&mut demand, 40.0, 20_000, 21_000, &busy());
     assert!(after >= 2, "not let go within a second");
     assert_eq!(run(&mut demand, 40.0, 21_000, 45_000, &busy()), 1);
-    let mut once = CellDemand::new(Micros(0));
+    let mut once = InstanceDemand::new(Micros(0));
     once.called(Micros(0));
     once.note(Micros(0), 1.0);
     assert_eq!(kept(&mut once, &rare(), Micros::from_millis(40)), 0);
-    let mut often = CellDemand::new(Micros(0));
+    let mut often = InstanceDemand::new(Micros(0));
     assert_eq!(run(&mut often, 2.0, 0, 20_000, &rare()), 1);
     assert_eq!(run(&mut often, 0.0, 20_000, 60_000, &rare()), 0);
 }
 
 #[test]
-fn cells_that_were_found_hold_for_their_time() {
-    let mut demand = CellDemand::new(Micros(0));
+fn instances_that_were_found_hold_for_their_time() {
+    let mut demand = InstanceDemand::new(Micros(0));
     demand.called(Micros(0));
     demand.hold(3, Micros::from_secs(3));
     assert_eq!(kept(&mut demand, &busy(), Micros::from_secs(2)), 3);
@@ -119,11 +123,11 @@
 }
 
 #[test]
-fn a_zone_with_many_calls_is_worth_a_cell_of_its_own() {
+fn a_zone_with_many_calls_is_worth_an_instance_of_its_own() {
     let shares = [0.4, 0.3, 0.2, 0.1];
-    let cells = |rate: f64| cells_for(rate * 0.07, rate, &busy(), &shares, LATENCY);
-    let without_zones = |rate: f64| cells_for(rate * 0.07, rate, &busy(), &[], LATENCY);
-    assert_eq!((cells(10.0), without_zones(10.0)), (1, 1), "few calls cross");
+    let instances = |rate: f64| instances_for(rate * 0.07, rate, &busy(), &shares, LATENCY);
+    let without_zones = |rate: f64| instances_for(rate * 0.07, rate, &busy(), &[], LATENCY);
+    assert_eq!((instances(10.0), without_zones(10.0)), (1, 1), "few calls cross");
     // A cell of 768 MB saves the crossing of 39 calls a second or more.
-    assert_eq!((cells(140.0), without_zones(140.0)), (3, 2));
+    assert_eq!((instances(140.0), without_zones(140.0)), (3, 2));
 }
--- a/packages/function_scheduler/src/lib.rs
+++ b/packages/function_scheduler/src/lib.rs
@@ -3,24 +3,25 @@
 //!
 //! All of it is pure: times and events come in, acts go out.
 
-mod allowance_split;
-mod cell_demand;
-mod deputy_work;
-mod extra_budget;
-mod function_work;
+mod fallback_scheduler;
+mod instance_demand;
 mod placement;
+mod quota_split;
+mod retry_budget;
+mod scheduler;
 mod start_rate;
 mod zone;
 
-pub use allowance_split::{Demand, Share, Totals, allowance_split};
-pub use cell_demand::{CellDemand, CellShape, CostModel};
-pub use deputy_work::{DeputyAsk, DeputyCell, DeputyWork};
-pub use extra_budget::ExtraBound;
-pub use function_work::{
-    AskDetails, DemandedCells, FunctionWork, HandedAsk, HandedWork, HeldBackAs, ListedCell, ReadyCell,
-    StartOutcome, TicketWish, Urgency, WorkAct, WorkSettings,
-};
+pub use fallback_scheduler::{FallbackInstance, FallbackRequest, FallbackScheduler};
+pub use instance_demand::{CostModel, InstanceDemand, InstanceShape};
 pub use placement::{ListedWorker, Placement};
+pub use quota_split::{Demand, Share, Totals, quota_split};
+pub use retry_budget::RetryLimits;
+pub use scheduler::{
+    Deferral, DemandedInstances, FunctionScheduler, HandoverState, ListedInstance, PermitParameters,
+    ReadyInstance, RequestDetails, SchedulerAction, SchedulerSettings, StartOutcome, TransferredRequest,
+    Urgency,
+};
 pub use start_rate::StartRate;
 pub use zone::{WorkerZones, Zone, ZoneCalls};
 
@@ -29,7 +30,7 @@
 /// The connection was refused: the call did not run.
 pub const NOT_RUN: u8 = 1;
 /// The cell turned the call away: it did not run.
-pub const TURNED_AWAY: u8 = 2;
+pub const REFUSED_BUSY: u8 = 2;
 /// Some bytes may have reached the cell and no whole answer came back.
 pub const UNKNOWN: u8 = 3;
 /// The ticket was not used.
--- a/packages/function_scheduler/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -46,8 +46,8 @@
 
 impl Placement {
     /// Takes the platform's list: workers, and the memory its cells use on each.
-    /// Example: `placement.take_list(workers, used)`.
-    pub fn take_list(&mut self, workers: Vec<ListedWorker>, mut used: BTreeMap<String, u64>) {
+    /// Example: `placement.update_list(workers, used)`.
+    pub fn update_list(&mut self, workers: Vec<ListedWorker>, mut used: BTreeMap<String, u64>) {
         // The platform's own count holds cells that boot, which are in no list yet.
         for worker in &workers {
             if let Some(free_mb) = worker.free_mb {
@@ -65,8 +65,8 @@
 
     /// Keeps so much of each worker's memory free for functions that have no cell yet: what a hungry
     /// group holds comes back only seconds after it was asked to stop.
-    /// Example: `placement.keep_free(128)`.
-    pub fn keep_free(&mut self, reserve_mb: u64) {
+    /// Example: `placement.set_reserve(128)`.
+    pub fn set_reserve(&mut self, reserve_mb: u64) {
         self.reserve_mb = reserve_mb;
     }
 
@@ -120,9 +120,9 @@
                 (free_mb >= memory_mb + kept_mb).then_some((free_mb, worker.id.as_str()))
             })
             .collect();
-        let is_far = |worker: &str| self.zones.get(worker).is_some_and(|other| other.is_far_from(zone));
-        if rooms.iter().any(|(_, worker)| !is_far(worker)) {
-            rooms.retain(|(_, worker)| !is_far(worker));
+        let is_remote = |worker: &str| self.zones.get(worker).is_some_and(|other| other.is_remote_from(zone));
+        if rooms.iter().any(|(_, worker)| !is_remote(worker)) {
+            rooms.retain(|(_, worker)| !is_remote(worker));
         }
         rooms.sort_by(|left, right| right.cmp(left));
         rooms.truncate(3);
--- a/packages/function_scheduler/src/placement/tests.rs
+++ b/packages/function_scheduler/src/placement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn cells_go_where_room_is_and_not_where_they_were_just_refused() {
+fn instances_go_where_room_is_and_not_where_they_were_just_refused() {
     let worker = |id: &str, draining| ListedWorker {
         id: id.to_owned(),
         memory_mb: 1_000,
@@ -10,7 +10,7 @@
         zone: String::new(),
     };
     let mut placement = Placement::default();
-    placement.take_list(
+    placement.update_list(
         vec![worker("w1", false), worker("w2", false), worker("w3", true)],
         BTreeMap::from([("w1".to_owned(), 500)]),
     );
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_cell_goes_where_its_calls_come_from_and_elsewhere_where_that_zone_is_full() {
+fn an_instance_goes_where_its_calls_come_from_and_elsewhere_where_that_zone_is_full() {
     let worker = |id: &str, zone: &str, free_mb| ListedWorker {
         id: id.to_owned(),
         memory_mb: 10_000,
@@ -44,9 +44,9 @@
     };
     let mut placement = Placement::default();
     let workers = vec![worker("w1", "a", 900), worker("w2", "b", 9_000), worker("w3", "b", 8_000)];
-    placement.take_list(workers, BTreeMap::new());
-    let near = Zone::named("a");
-    assert_eq!(placement.pick(600, "x", false, near, Micros(0)), Some("w1".to_owned()));
-    let elsewhere = placement.pick(600, "y", false, near, Micros(0)).expect("room beyond the border");
+    placement.update_list(workers, BTreeMap::new());
+    let local = Zone::named("a");
+    assert_eq!(placement.pick(600, "x", false, local, Micros(0)), Some("w1".to_owned()));
+    let elsewhere = placement.pick(600, "y", false, local, Micros(0)).expect("room beyond the border");
     assert_ne!(elsewhere, "w1", "it has no more room");
 }
