--- a/packages/function_scheduler/src/allowance_split.rs
+++ b/packages/function_scheduler/src/quota_split.rs
@@ -1,4 +1,4 @@
-use configuration_schema::{Allowance, Configuration, Function};
+use configuration_schema::{Configuration, Function, Quota};
 use peer_messages::stable_hash;
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
 /// configuration.
 ///
 /// Example: two siblings of weights 3 and 1 that both want all of 80 get 60 and 20.
-pub fn allowance_split(
+pub fn quota_split(
     configuration: &Configuration,
     demands: &BTreeMap<String, Demand>,
     totals: Totals,
@@ -74,7 +74,7 @@
         &wanting,
         &vec![0.0; wanting.len()],
         &|leaf| leaf.demand.starts,
-        &|allowance| (allowance.starts_floor_per_second, allowance.starts_ceiling_per_second),
+        &|quota| (quota.starts_floor_per_second, quota.starts_ceiling_per_second),
         &|_| 0.0,
     );
     wanting
@@ -85,15 +85,14 @@
 }
 
 /// Of the memory that no call needs, so much at the most is held ready for functions that nobody called.
-const SPARE_PART: f64 = 0.5;
+const SPARE_SHARE: f64 = 0.5;
 
 /// Three splits of the memory, each of which leaves everybody what the one before it gave: for the calls of
 /// now, for called functions that are to be quick, and for functions that nobody called yet.
 fn split_memory(configuration: &Configuration, total: f64, wanting: &[Leaf]) -> Vec<f64> {
     let split = |total: f64, granted: &[f64], demand_of: &dyn Fn(&Leaf) -> f64| {
-        let bounds_of: &dyn Fn(&Allowance) -> Bounds =
-            &|allowance| (allowance.memory_floor_mb, allowance.memory_ceiling_mb);
-        let unit_of: &dyn Fn(&Function) -> f64 = &|function| function.cell_memory_mb as f64;
+        let bounds_of: &dyn Fn(&Quota) -> Bounds = &|quota| (quota.memory_floor_mb, quota.memory_ceiling_mb);
+        let unit_of: &dyn Fn(&Function) -> f64 = &|function| function.instance_memory_mb as f64;
         split_one(configuration, total, wanting, granted, demand_of, bounds_of, unit_of)
     };
     let needed = split(total, &vec![0.0; wanting.len()], &|leaf| leaf.demand.memory_mb);
@@ -106,7 +105,7 @@
         return warm;
     }
     let warm_total: f64 = warm.iter().sum();
-    let spare_total = warm_total + (total - warm_total).max(0.0) * SPARE_PART;
+    let spare_total = warm_total + (total - warm_total).max(0.0) * SPARE_SHARE;
     split(spare_total, &warm, &|leaf| leaf.demand.memory_mb + leaf.demand.warm_mb + leaf.demand.spare_mb)
 }
 
@@ -126,24 +125,24 @@
     wanting: &[Leaf],
     granted: &[f64],
     demand_of: &dyn Fn(&Leaf) -> f64,
-    bounds_of: &dyn Fn(&Allowance) -> Bounds,
+    bounds_of: &dyn Fn(&Quota) -> Bounds,
     unit_of: &dyn Fn(&Function) -> f64,
 ) -> Vec<f64> {
     let mut nodes: BTreeMap<&str, TreeNode> = BTreeMap::new();
     let mut roots = Vec::new();
-    for (name, allowance) in &configuration.allowances {
-        let (floor, ceiling) = bounds_of(allowance);
+    for (name, quota) in &configuration.quotas {
+        let (floor, ceiling) = bounds_of(quota);
         let node = nodes.entry(name).or_default();
-        node.weight = allowance.weight;
+        node.weight = quota.weight;
         node.floor = floor.unwrap_or(0.0);
         node.ceiling = ceiling.unwrap_or(f64::INFINITY);
-        match &allowance.parent {
+        match &quota.parent {
             Some(parent) => nodes.entry(parent).or_default().children.push(name),
             None => roots.push(name.as_str()),
         }
     }
     for (place, leaf) in wanting.iter().enumerate() {
-        nodes.entry(&leaf.function.allowance).or_default().leaves.push(place);
+        nodes.entry(&leaf.function.quota).or_default().leaves.push(place);
     }
     let leaves = Leaves { wanting, granted, demand_of, unit_of };
     for root in &roots {
@@ -152,7 +151,7 @@
     let mut grants = vec![0.0; wanting.len()];
     let root_grants = fill(total, roots.iter().map(|root| claim_of(&nodes[root])).collect());
     for (root, granted) in roots.iter().zip(root_grants) {
-        hand_down(&nodes, root, granted, &leaves, &mut grants);
+        distribute(&nodes, root, granted, &leaves, &mut grants);
     }
     grants
 }
@@ -186,7 +185,7 @@
     Claim { demand: node.demand, weight: node.weight, floor: node.floor.max(node.granted) }
 }
 
-fn hand_down(
+fn distribute(
     nodes: &BTreeMap<&str, TreeNode>,
     name: &str,
     granted: f64,
@@ -203,11 +202,11 @@
         node.children.iter().map(|child| claim_of(&nodes[child])).chain(leaf_claims).collect();
     let filled = fill(granted, claims);
     for (child, grant) in node.children.iter().zip(&filled) {
-        hand_down(nodes, child, *grant, leaves, grants);
+        distribute(nodes, child, *grant, leaves, grants);
     }
     let mut leaf_grants: Vec<(usize, f64)> =
         node.leaves.iter().copied().zip(filled[node.children.len()..].iter().copied()).collect();
-    fill_up_cells(&mut leaf_grants, leaves);
+    fill_up_instances(&mut leaf_grants, leaves);
     for (place, grant) in leaf_grants {
         grants[place] = grant;
     }
@@ -215,7 +214,7 @@
 
 /// Of what functions beside each other cannot use, since it is no whole cell, those that miss least
 /// for one cell more get one, as far as it goes.
-fn fill_up_cells(leaf_grants: &mut [(usize, f64)], leaves: &Leaves) {
+fn fill_up_instances(leaf_grants: &mut [(usize, f64)], leaves: &Leaves) {
     let mut rest = 0.0;
     for (place, grant) in leaf_grants.iter_mut() {
         let unit = leaves.unit(*place);
@@ -266,8 +265,8 @@
 fn fill(total: f64, claims: Vec<Claim>) -> Vec<f64> {
     let floor_of = |claim: &Claim| claim.floor.min(claim.demand);
     let floor_sum: f64 = claims.iter().map(floor_of).sum();
-    let floor_part = if floor_sum > total { total / floor_sum } else { 1.0 };
-    let mut grants: Vec<f64> = claims.iter().map(|claim| floor_of(claim) * floor_part).collect();
+    let floor_share = if floor_sum > total { total / floor_sum } else { 1.0 };
+    let mut grants: Vec<f64> = claims.iter().map(|claim| floor_of(claim) * floor_share).collect();
     let mut remaining = (total - grants.iter().sum::<f64>()).max(0.0);
     let mut open: Vec<usize> =
         (0..claims.len()).filter(|place| claims[*place].demand > grants[*place]).collect();
--- a/packages/function_scheduler/src/allowance_split/tests.rs
+++ b/packages/function_scheduler/src/quota_split/tests.rs
@@ -24,7 +24,7 @@
     let share = |demands: [f64; 4]| {
         let wanted =
             ["a", "b", "c", "d"].iter().map(|name| name.to_string()).zip(demands.map(demand)).collect();
-        let shares = allowance_split(&tree, &wanted, Totals { memory_mb: 95.0, starts: 0.0 });
+        let shares = quota_split(&tree, &wanted, Totals { memory_mb: 95.0, starts: 0.0 });
         ["a", "b", "c", "d"].map(|name| (shares[name].memory_mb * 100.0).round() / 100.0)
     };
     // 5 to the capped one, 30 to the floor, the other 60 by 3 to 1.
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_no_whole_cell_goes_to_a_sibling_that_can_use_it() {
+fn what_is_no_whole_instance_goes_to_a_sibling_that_can_use_it() {
     let tree = configuration(
         r#"{"allowances": {"all": {"weight": 1}},
           "functions": {
@@ -48,11 +48,11 @@
         let wanted = ["a", "b", "c"].iter().zip(demands);
         let wanted =
             wanted.map(|(name, memory_mb)| (name.to_string(), Demand { memory_mb, ..Demand::default() }));
-        let shares = allowance_split(&tree, &wanted.collect(), Totals { memory_mb: 300.0, starts: 0.0 });
+        let shares = quota_split(&tree, &wanted.collect(), Totals { memory_mb: 300.0, starts: 0.0 });
         ["a", "b", "c"].map(|name| shares[name].memory_mb)
     };
-    let hungry = split([600.0; 3]);
-    assert_eq!(hungry.iter().sum::<f64>(), 300.0, "five cells, not three: {hungry:?}");
+    let starving = split([600.0; 3]);
+    assert_eq!(starving.iter().sum::<f64>(), 300.0, "five cells, not three: {starving:?}");
     assert_eq!(split([60.0, 60.0, 60.0]), [60.0; 3]);
 }
 
@@ -66,7 +66,7 @@
           "lanes": {}}"#,
     );
     let wanted = ["a", "b"].iter().map(|name| name.to_string()).zip(demands).collect();
-    let shares = allowance_split(&tree, &wanted, Totals { memory_mb: total, starts: 0.0 });
+    let shares = quota_split(&tree, &wanted, Totals { memory_mb: total, starts: 0.0 });
     ["a", "b"].map(|name| shares.get(name).map_or(0.0, |share| share.memory_mb))
 }
 
@@ -95,6 +95,6 @@
     let called = Demand { memory_mb: 20.0, warm_mb: 20.0, ..Demand::default() };
     let uncalled = Demand { spare_mb: 20.0, ..Demand::default() };
     let wanted = BTreeMap::from([("a".to_owned(), called), ("b".to_owned(), uncalled)]);
-    let shares = allowance_split(&tree, &wanted, Totals { memory_mb: 500.0, starts: 0.0 });
+    let shares = quota_split(&tree, &wanted, Totals { memory_mb: 500.0, starts: 0.0 });
     assert_eq!((shares["a"].memory_mb, shares["b"].memory_mb), (30.0, 0.0));
 }
--- a/packages/function_scheduler/src/extra_budget.rs
+++ b/packages/function_scheduler/src/retry_budget.rs
@@ -2,9 +2,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the whole fleet may dispatch to one function beyond each call's first: in any sliding window a
-/// share of the calls and a fixed part. Example: `ExtraBound::default().fixed == 60`.
+/// share of the calls and a fixed part. Example: `RetryLimits::default().fixed == 60`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExtraBound {
+pub struct RetryLimits {
     /// Extra dispatches for each call.
     pub ratio: f64,
     /// Extra dispatches besides those.
@@ -13,9 +13,9 @@
     pub window: Micros,
 }
 
-impl Default for ExtraBound {
-    fn default() -> ExtraBound {
-        ExtraBound { ratio: 0.2, fixed: 60, window: Micros::from_secs(10) }
+impl Default for RetryLimits {
+    fn default() -> RetryLimits {
+        RetryLimits { ratio: 0.2, fixed: 60, window: Micros::from_secs(10) }
     }
 }
 
@@ -27,29 +27,29 @@
 /// know them all.
 const FEWEST_NODES: u64 = 10;
 
-impl ExtraBound {
+impl RetryLimits {
     /// The window with the time that a dispatch may be late by.
-    /// Example: `ExtraBound::default().span()` is 11.25 seconds.
+    /// Example: `RetryLimits::default().span()` is 11.25 seconds.
     pub fn span(&self) -> Micros {
         self.window + Micros(STEP.0 * LATE_STEPS)
     }
 
     /// A third of the fixed part is all deputies' together.
-    fn deputies_part(&self) -> u64 {
+    fn fallbacks_share(&self) -> u64 {
         self.fixed / 3
     }
 
     /// What one node of so many may grant as deputy in a span.
-    /// Example: `ExtraBound::default().deputy_part(10) == 2`.
-    pub fn deputy_part(&self, node_count: usize) -> usize {
-        (self.deputies_part() / (node_count as u64).max(FEWEST_NODES)) as usize
+    /// Example: `RetryLimits::default().fallback_share(10) == 2`.
+    pub fn fallback_share(&self, node_count: usize) -> usize {
+        (self.fallbacks_share() / (node_count as u64).max(FEWEST_NODES)) as usize
     }
 
     /// What a steward may grant at once, and the microseconds after which it may grant one more: the
     /// two halves of its part of the fixed part.
-    fn steward_part(&self) -> (f64, f64) {
-        let part = (self.fixed - self.deputies_part()) as f64;
-        (part / 2.0, part / 2.0 / self.span().0.max(1) as f64)
+    fn leader_share(&self) -> (f64, f64) {
+        let share = (self.fixed - self.fallbacks_share()) as f64;
+        (share / 2.0, share / 2.0 / self.span().0.max(1) as f64)
     }
 }
 
@@ -58,18 +58,18 @@
 /// reached a cell. A new steward begins with nothing to grant at once: the one before may have
 /// granted all of that, so that both together stay within one steward's part.
 ///
-/// Example: `budget.spend(now)` is false right after `ExtraBudget::new(bound, now)`.
+/// Example: `budget.spend(now)` is false right after `RetryBudget::new(bound, now)`.
 #[derive(Debug)]
-pub(crate) struct ExtraBudget {
-    bound: ExtraBound,
+pub(crate) struct RetryBudget {
+    bound: RetryLimits,
     began_at: Micros,
     /// By step: calls first dispatched then that reached a cell, and extra dispatches.
     steps: BTreeMap<u64, (u32, u32)>,
 }
 
-impl ExtraBudget {
-    pub(crate) fn new(bound: ExtraBound, now: Micros) -> ExtraBudget {
-        ExtraBudget { bound, began_at: now, steps: BTreeMap::new() }
+impl RetryBudget {
+    pub(crate) fn new(bound: RetryLimits, now: Micros) -> RetryBudget {
+        RetryBudget { bound, began_at: now, steps: BTreeMap::new() }
     }
 
     /// Whether it may still pay for what the steward before granted.
@@ -93,7 +93,7 @@
     pub(crate) fn may_spend(&mut self, now: Micros) -> bool {
         let span = self.bound.span();
         self.steps.retain(|step, _| now < Micros(step * STEP.0) + span);
-        let (at_once, each_micro) = self.bound.steward_part();
+        let (at_once, each_micro) = self.bound.leader_share();
         let allowed_since = |since: Micros| {
             let begins_here = since <= self.began_at;
             let since = since.max(self.began_at);
@@ -127,23 +127,23 @@
 /// A deputy's extra dispatches: so many in any span, and none before what an earlier process of its
 /// node may have granted is out of the window.
 #[derive(Debug)]
-pub(crate) struct DeputyExtras {
-    pub(crate) part: usize,
+pub(crate) struct FallbackRetryBudget {
+    pub(crate) share: usize,
     pub(crate) span: Micros,
     pub(crate) opens_at: Micros,
     granted: VecDeque<Micros>,
 }
 
-impl DeputyExtras {
-    pub(crate) fn new(part: usize, span: Micros) -> DeputyExtras {
-        DeputyExtras { part, span, opens_at: Micros(0), granted: VecDeque::new() }
+impl FallbackRetryBudget {
+    pub(crate) fn new(share: usize, span: Micros) -> FallbackRetryBudget {
+        FallbackRetryBudget { share, span, opens_at: Micros(0), granted: VecDeque::new() }
     }
 
     pub(crate) fn spend(&mut self, now: Micros) -> bool {
         while self.granted.front().is_some_and(|granted_at| now >= *granted_at + self.span) {
             self.granted.pop_front();
         }
-        let may_spend = now >= self.opens_at && self.granted.len() < self.part;
+        let may_spend = now >= self.opens_at && self.granted.len() < self.share;
         if may_spend {
             self.granted.push_back(now);
         }
--- a/packages/function_scheduler/src/extra_budget/tests.rs
+++ b/packages/function_scheduler/src/retry_budget/tests.rs
@@ -2,7 +2,7 @@
 use fastrand::Rng;
 
 /// The most arrivals in any window beyond the ratio of the calls that arrived in it.
-fn most_beyond_ratio(extras: &[u64], calls: &[u64], bound: ExtraBound) -> f64 {
+fn most_beyond_ratio(extras: &[u64], calls: &[u64], bound: RetryLimits) -> f64 {
     let count = |times: &[u64], from: u64| {
         times.iter().filter(|at| **at >= from && **at < from + bound.window.0).count() as f64
     };
@@ -13,31 +13,31 @@
 /// Stewards that follow each other at any moment, bursts of calls of which many never arrive, and as
 /// many extra dispatches as they grant: over each seed no window has more than the stewards' part.
 #[test]
-fn stewards_in_turn_stay_within_one_part_whatever_calls_do() {
+fn leaders_in_turn_stay_within_one_part_whatever_calls_do() {
     for seed in 0..60 {
-        let mut dice = Rng::with_seed(seed);
-        let bound = ExtraBound {
-            ratio: [0.0, 0.2, 1.0][dice.usize(..3)],
-            fixed: dice.u64(..90),
-            window: Micros::from_secs(dice.u64(2..11)),
+        let mut rng = Rng::with_seed(seed);
+        let bound = RetryLimits {
+            ratio: [0.0, 0.2, 1.0][rng.usize(..3)],
+            fixed: rng.u64(..90),
+            window: Micros::from_secs(rng.u64(2..11)),
         };
-        let mut budget = ExtraBudget::new(bound, Micros(0));
+        let mut budget = RetryBudget::new(bound, Micros(0));
         let (mut calls, mut extras) = (Vec::new(), Vec::new());
         let mut confirmed_later: Vec<(Micros, Micros)> = Vec::new();
         let mut calls_each = 0;
         for tick in 0..2_000u64 {
-            let now = Micros(tick * 20_000 + dice.u64(..20_000));
-            if dice.u16(..300) == 0 {
-                budget = ExtraBudget::new(bound, now);
+            let now = Micros(tick * 20_000 + rng.u64(..20_000));
+            if rng.u16(..300) == 0 {
+                budget = RetryBudget::new(bound, now);
                 confirmed_later.clear();
             }
-            if dice.u8(..100) == 0 {
-                calls_each = if dice.bool() { 0 } else { dice.usize(..10) };
+            if rng.u8(..100) == 0 {
+                calls_each = if rng.bool() { 0 } else { rng.usize(..10) };
             }
             for _ in 0..calls_each {
-                if dice.bool() {
+                if rng.bool() {
                     calls.push(now.0);
-                    confirmed_later.push((now, now + Micros(dice.u64(..3_000_000))));
+                    confirmed_later.push((now, now + Micros(rng.u64(..3_000_000))));
                 }
             }
             confirmed_later.retain(|(granted_at, confirmed_at)| {
@@ -46,11 +46,11 @@
                 }
                 *confirmed_at > now
             });
-            for _ in 0..dice.usize(..20) {
+            for _ in 0..rng.usize(..20) {
                 if budget.spend(now) {
-                    match dice.u8(..8) {
+                    match rng.u8(..8) {
                         0 => budget.not_arrived(now),
-                        _ => extras.push(now.0 + dice.u64(..1_000_000)),
+                        _ => extras.push(now.0 + rng.u64(..1_000_000)),
                     }
                 }
             }
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn a_new_steward_has_nothing_at_once_and_an_old_one_its_part_and_the_ratio() {
-    let bound = ExtraBound::default();
-    let mut budget = ExtraBudget::new(bound, Micros::from_secs(100));
+fn a_new_leader_has_nothing_at_once_and_an_old_one_its_part_and_the_ratio() {
+    let bound = RetryLimits::default();
+    let mut budget = RetryBudget::new(bound, Micros::from_secs(100));
     assert!(!budget.spend(Micros::from_secs(100)));
-    let at_once = |budget: &mut ExtraBudget, now| (0..1_000).take_while(|_| budget.spend(now)).count();
+    let at_once = |budget: &mut RetryBudget, now| (0..1_000).take_while(|_| budget.spend(now)).count();
     let early = at_once(&mut budget, Micros::from_secs(102));
     assert!((1..6).contains(&early), "{early}");
     let late = at_once(&mut budget, Micros::from_secs(130));
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn all_deputies_together_stay_within_their_part_and_a_new_process_waits() {
-    let bound = ExtraBound::default();
+fn all_fallbacks_together_stay_within_their_part_and_a_new_process_waits() {
+    let bound = RetryLimits::default();
     for node_count in 1..200 {
-        assert!(bound.deputy_part(node_count) * node_count <= 20);
+        assert!(bound.fallback_share(node_count) * node_count <= 20);
     }
-    let mut extras = DeputyExtras::new(2, bound.span());
+    let mut extras = FallbackRetryBudget::new(2, bound.span());
     extras.opens_at = Micros::from_secs(5);
     assert!(!extras.spend(Micros::from_secs(4)));
     assert!(extras.spend(Micros::from_secs(5)) && extras.spend(Micros::from_secs(9)));
--- a/packages/function_scheduler/src/function_work/cell.rs
+++ b/packages/function_scheduler/src/scheduler/instance.rs
@@ -1,6 +1,6 @@
 //! One cell of a function: how far it is, and what is learnt from how its calls end.
 
-use crate::{NOT_RUN, RAN, TURNED_AWAY, UNKNOWN};
+use crate::{NOT_RUN, RAN, REFUSED_BUSY, UNKNOWN};
 use monotonic_clock::Micros;
 use std::net::SocketAddr;
 
@@ -13,8 +13,8 @@
 const LEAST_TRIAL_PAUSE: Micros = Micros::from_millis(40);
 const MOST_TRIAL_PAUSE: Micros = Micros::from_millis(900);
 pub(super) const REPLACE_AFTER_ERRORS: u32 = 6;
-const DOUBT_AFTER_ERRORS: u32 = 3;
-const DOUBT_SPAN: Micros = Micros::from_millis(500);
+const SUSPECT_AFTER_ERRORS: u32 = 3;
+const SUSPECT_SPAN: Micros = Micros::from_millis(500);
 
 /// How far a cell is.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,14 +27,14 @@
     Trial,
     Ready,
     /// No new tickets; stopped once its calls are done.
-    Leaving {
+    Draining {
         stop_sent: Option<Micros>,
     },
 }
 
 /// A cell as its function's steward knows it.
 #[derive(Clone, Debug)]
-pub(super) struct Cell {
+pub(super) struct Instance {
     pub(super) address: SocketAddr,
     pub(super) worker: String,
     pub(super) phase: Phase,
@@ -52,8 +52,8 @@
 /// A cell that runs after some time shows that booting takes no longer, however late it was first
 /// called; a refused connection shows that it takes longer. The small step down lets the estimate
 /// follow boots that became quicker, at the price of a rare early trial.
-pub(super) fn learn_boot(learnt_boot: Micros, elapsed: Micros, how: u8) -> Micros {
-    match how {
+pub(super) fn learn_boot(learnt_boot: Micros, elapsed: Micros, outcome: u8) -> Micros {
+    match outcome {
         RAN if elapsed < learnt_boot => elapsed,
         RAN => Micros(learnt_boot.0 - learnt_boot.0 / 200),
         NOT_RUN => learnt_boot.max((elapsed + TRIAL_BACKOFF).min(LONGEST_BOOT)),
@@ -65,9 +65,9 @@
 /// others look hopeless. A call that was given up on took at least as long as it was waited for;
 /// without that, a crowd served at the end of its patience would never be seen to be too slow. Where
 /// nothing but such ends come the steps grow.
-pub(super) fn learn_latency(usual_latency: Micros, latency: Micros, how: u8, slow_in_row: u32) -> Micros {
+pub(super) fn learn_latency(usual_latency: Micros, latency: Micros, outcome: u8, slow_in_row: u32) -> Micros {
     let step = (usual_latency.0 / 10 + 1) << slow_in_row.min(4);
-    match how {
+    match outcome {
         RAN | UNKNOWN if latency > usual_latency => Micros((usual_latency.0 + step).min(latency.0)),
         RAN => Micros(usual_latency.0.saturating_sub(step).max(latency.0)),
         _ => usual_latency,
@@ -76,55 +76,58 @@
 
 /// Until a booting cell that refused is tried again: soon while it may come up any moment, the longer
 /// the later it is.
-pub(super) fn trial_pause(cell: &Cell, now: Micros) -> Micros {
-    match cell.booted_from {
+pub(super) fn trial_pause(instance: &Instance, now: Micros) -> Micros {
+    match instance.booted_from {
         Some(booted_from) => Micros((now - booted_from).0 / 12).clamp(LEAST_TRIAL_PAUSE, MOST_TRIAL_PAUSE),
-        None => Micros(TRIAL_BACKOFF.0 * u64::from(cell.errors_in_row.min(6))),
+        None => Micros(TRIAL_BACKOFF.0 * u64::from(instance.errors_in_row.min(6))),
     }
 }
 
 /// Learns from an outcome; true when the cell became known to run or ceased to be.
-pub(super) fn take_outcome(cell: &mut Cell, how: u8, now: Micros) -> bool {
-    let was_ready = cell.phase == Phase::Ready;
-    match how {
+pub(super) fn apply_outcome(instance: &mut Instance, outcome: u8, now: Micros) -> bool {
+    let was_ready = instance.phase == Phase::Ready;
+    match outcome {
         RAN => {
-            cell.errors_in_row = 0;
-            if !matches!(cell.phase, Phase::Leaving { .. }) {
-                cell.phase = Phase::Ready;
+            instance.errors_in_row = 0;
+            if !matches!(instance.phase, Phase::Draining { .. }) {
+                instance.phase = Phase::Ready;
             }
         }
         NOT_RUN | UNKNOWN => {
-            cell.errors_in_row += 1;
-            let is_doubted = how == NOT_RUN || cell.errors_in_row >= DOUBT_AFTER_ERRORS;
-            let is_booting = matches!(cell.phase, Phase::Trial) && cell.booted_from.is_some();
-            cell.phase = match cell.phase {
-                Phase::Leaving { stop_sent } => Phase::Leaving { stop_sent },
-                _ if cell.errors_in_row >= REPLACE_AFTER_ERRORS && !is_booting => {
-                    Phase::Leaving { stop_sent: None }
+            instance.errors_in_row += 1;
+            let is_suspected = outcome == NOT_RUN || instance.errors_in_row >= SUSPECT_AFTER_ERRORS;
+            let is_booting = matches!(instance.phase, Phase::Trial) && instance.booted_from.is_some();
+            instance.phase = match instance.phase {
+                Phase::Draining { stop_sent } => Phase::Draining { stop_sent },
+                _ if instance.errors_in_row >= REPLACE_AFTER_ERRORS && !is_booting => {
+                    Phase::Draining { stop_sent: None }
                 }
-                Phase::Trial if how == NOT_RUN => Phase::Unproven { trial_at: now + trial_pause(cell, now) },
-                _ if is_doubted => Phase::Unproven { trial_at: now + DOUBT_SPAN },
+                Phase::Trial if outcome == NOT_RUN => {
+                    Phase::Unproven { trial_at: now + trial_pause(instance, now) }
+                }
+                _ if is_suspected => Phase::Unproven { trial_at: now + SUSPECT_SPAN },
                 Phase::Trial => Phase::Unproven { trial_at: now },
                 phase => phase,
             };
         }
-        TURNED_AWAY => {
+        REFUSED_BUSY => {
             // Somebody else fills it. Dispatches that were out together count once.
-            if now >= cell.limited_until {
-                let is_long_ago = now >= cell.limited_until + LONGEST_HOLD;
-                cell.hold = if is_long_ago { FIRST_HOLD } else { Micros(cell.hold.0 * 2).min(LONGEST_HOLD) };
-                cell.limited_until = now + cell.hold;
+            if now >= instance.limited_until {
+                let is_long_ago = now >= instance.limited_until + LONGEST_HOLD;
+                instance.hold =
+                    if is_long_ago { FIRST_HOLD } else { Micros(instance.hold.0 * 2).min(LONGEST_HOLD) };
+                instance.limited_until = now + instance.hold;
             }
-            cell.limit = cell.in_flight;
-            if cell.phase == Phase::Trial {
-                cell.phase = Phase::Unproven { trial_at: now + TRIAL_BACKOFF };
+            instance.limit = instance.in_flight;
+            if instance.phase == Phase::Trial {
+                instance.phase = Phase::Unproven { trial_at: now + TRIAL_BACKOFF };
             }
         }
         _ => {
-            if cell.phase == Phase::Trial {
-                cell.phase = Phase::Unproven { trial_at: now };
+            if instance.phase == Phase::Trial {
+                instance.phase = Phase::Unproven { trial_at: now };
             }
         }
     }
-    was_ready != (cell.phase == Phase::Ready)
+    was_ready != (instance.phase == Phase::Ready)
 }
--- a/packages/function_scheduler/src/function_work/turns.rs
+++ b/packages/function_scheduler/src/scheduler/turns.rs
@@ -10,7 +10,7 @@
 //! another's place. By turns alone a large tenant would get as much as a small one, and so a small part of what it
 //! asks for, where cells are short for long; so it gets at least half of what it would get in the order of coming.
 
-use super::{Urgency, WaitingAsk};
+use super::{QueuedRequest, Urgency};
 use monotonic_clock::Micros;
 use std::collections::VecDeque;
 
@@ -42,9 +42,9 @@
 
 impl Turns {
     /// The turn of an ask that comes now. Example: 1 where nobody waits.
-    pub(super) fn next(&self, waitlist: &VecDeque<WaitingAsk>, urgency: &Urgency) -> u64 {
+    pub(super) fn next(&self, queue: &VecDeque<QueuedRequest>, urgency: &Urgency) -> u64 {
         let class = class_of(urgency);
-        let own = waitlist.iter().filter(|waiting| waiting.urgency.tenant == urgency.tenant);
+        let own = queue.iter().filter(|waiting| waiting.urgency.tenant == urgency.tenant);
         let own = own.filter(|waiting| class_of(&waiting.urgency) == class);
         let last_own = own.map(|waiting| waiting.turn).max().unwrap_or(0);
         last_own.max(self.last_served(class)) + 1
@@ -58,12 +58,14 @@
     /// Whose turn it is among these, by place, if answers take until then.
     pub(super) fn first<'asks>(
         &self,
-        waiting: impl Iterator<Item = (usize, &'asks WaitingAsk)>,
+        waiting: impl Iterator<Item = (usize, &'asks QueuedRequest)>,
         answered_at: Micros,
     ) -> Option<usize> {
         let first = match self.is_first_come {
-            true => waiting.min_by_key(|(place, ask)| (ask.urgency_at(answered_at), 0, *place)),
-            false => waiting.min_by_key(|(place, ask)| (ask.urgency_at(answered_at), ask.turn, *place)),
+            true => waiting.min_by_key(|(place, request)| (request.urgency_at(answered_at), 0, *place)),
+            false => {
+                waiting.min_by_key(|(place, request)| (request.urgency_at(answered_at), request.turn, *place))
+            }
         };
         first.map(|(place, _)| place)
     }
@@ -71,41 +73,41 @@
     /// All of them in the order in which they will be served.
     pub(super) fn in_order<'asks>(
         &self,
-        waitlist: &'asks VecDeque<WaitingAsk>,
+        queue: &'asks VecDeque<QueuedRequest>,
         answered_at: Micros,
-    ) -> Vec<&'asks WaitingAsk> {
+    ) -> Vec<&'asks QueuedRequest> {
         // Whole keys are sorted, since machines are small and lists are long when it matters.
-        let asks = waitlist.iter().enumerate();
+        let requests = queue.iter().enumerate();
         let mut by_coming: Vec<(u32, usize)> =
-            asks.map(|(place, ask)| (ask.urgency_at(answered_at), place)).collect();
+            requests.map(|(place, request)| (request.urgency_at(answered_at), place)).collect();
         let mut by_turn: Vec<(u32, u64, usize)> =
-            by_coming.iter().map(|(urgency, place)| (*urgency, waitlist[*place].turn, *place)).collect();
+            by_coming.iter().map(|(urgency, place)| (*urgency, queue[*place].turn, *place)).collect();
         by_coming.sort_unstable();
         by_turn.sort_unstable();
-        let mut is_taken = vec![false; waitlist.len()];
+        let mut is_taken = vec![false; queue.len()];
         let mut by_coming = by_coming.into_iter().map(|(_, place)| place);
         let mut by_turn = by_turn.into_iter().map(|(.., place)| place);
         let mut is_first_come = self.is_first_come;
-        let mut order = Vec::with_capacity(waitlist.len());
-        while order.len() < waitlist.len() {
+        let mut order = Vec::with_capacity(queue.len());
+        while order.len() < queue.len() {
             let is_free = |place: &usize| !is_taken[*place];
             let next = if is_first_come { by_coming.find(is_free) } else { by_turn.find(is_free) };
             let Some(place) = next else { break };
             is_taken[place] = true;
             is_first_come = !is_first_come;
-            order.push(&waitlist[place]);
+            order.push(&queue[place]);
         }
         order
     }
 
     /// The place of the one that gives way to a newcomer to a full list, if it is not the newcomer that is refused:
     /// one of a lower rank, and else now and then the newest of whoever has the most waiting.
-    pub(super) fn gives_way(
+    pub(super) fn yields_to(
         &mut self,
-        waitlist: &VecDeque<WaitingAsk>,
-        newcomer: &WaitingAsk,
+        queue: &VecDeque<QueuedRequest>,
+        newcomer: &QueuedRequest,
     ) -> Option<usize> {
-        let (place, last) = waitlist.iter().enumerate().max_by_key(|(_, waiting)| waiting.standing())?;
+        let (place, last) = queue.iter().enumerate().max_by_key(|(_, waiting)| waiting.standing())?;
         let (last_class, class) = (class_of(&last.urgency), class_of(&newcomer.urgency));
         if last_class != class || last.turn <= newcomer.turn {
             return (last_class > class).then_some(place);
@@ -115,8 +117,8 @@
     }
 
     /// An ask was served, and these still wait.
-    pub(super) fn served(&mut self, waitlist: &VecDeque<WaitingAsk>, urgency: &Urgency, turn: u64) {
-        if waitlist.is_empty() {
+    pub(super) fn served(&mut self, queue: &VecDeque<QueuedRequest>, urgency: &Urgency, turn: u64) {
+        if queue.is_empty() {
             self.served.clear();
             return;
         }
@@ -135,9 +137,9 @@
 }
 
 /// An ask left the list without being served: its tenant's later ones move up by a turn.
-pub(super) fn close_gap(waitlist: &mut VecDeque<WaitingAsk>, gone: &WaitingAsk) {
+pub(super) fn close_gap(queue: &mut VecDeque<QueuedRequest>, gone: &QueuedRequest) {
     let class = class_of(&gone.urgency);
-    let later = waitlist.iter_mut().filter(|waiting| {
+    let later = queue.iter_mut().filter(|waiting| {
         waiting.urgency.tenant == gone.urgency.tenant
             && waiting.turn > gone.turn
             && class_of(&waiting.urgency) == class
@@ -145,7 +147,7 @@
     later.filter(|_| gone.turn != AGAIN).for_each(|waiting| waiting.turn -= 1);
 }
 
-impl WaitingAsk {
+impl QueuedRequest {
     /// Who goes first: a call made by a running call, since its caller holds a slot meanwhile, and where such
     /// calls wait behind new ones the slots fill up with callers; then who can still be answered in time, for in a
     /// crowd that is late already everybody else would be late as well; then by rank. Least goes first.
--- a/packages/function_scheduler/src/start_rate.rs
+++ b/packages/function_scheduler/src/start_rate.rs
@@ -3,7 +3,7 @@
 use monotonic_clock::Micros;
 
 /// A bucket of acts that fills at this node's part of the platform's rate.
-/// Example: `let mut rate = StartRate::new(); rate.take_rate(8.0, now); rate.spend(now)`.
+/// Example: `let mut rate = StartRate::new(); rate.set_rate(8.0, now); rate.spend(now)`.
 #[derive(Debug)]
 pub struct StartRate {
     per_second: f64,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Sets the acts a second, of which `equal_part` are what every node has alike.
-    /// Example: `rate.take_rate(8.0, 4.0, now)`.
-    pub fn take_rate(&mut self, per_second: f64, equal_part: f64, now: Micros) {
+    /// Sets the acts a second, of which `equal_share` are what every node has alike.
+    /// Example: `rate.set_rate(8.0, 4.0, now)`.
+    pub fn set_rate(&mut self, per_second: f64, equal_share: f64, now: Micros) {
         self.fill(now);
         self.per_second = per_second;
-        let equal_saving = (equal_part * SAVING_SECONDS).clamp(SMALLEST_SAVING, LARGEST_SAVING);
+        let equal_saving = (equal_share * SAVING_SECONDS).clamp(SMALLEST_SAVING, LARGEST_SAVING);
         self.most_saved = equal_saving.max(per_second / 4.0);
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Spends one act if there is one and the platform is not backing us off.
-    /// Example: `if rate.spend(now) { start_cell() }`.
+    /// Example: `if rate.spend(now) { start_instance() }`.
     pub fn spend(&mut self, now: Micros) -> bool {
         self.fill(now);
         if now < self.held_until || self.tokens < 1.0 {
--- a/packages/function_scheduler/src/start_rate/tests.rs
+++ b/packages/function_scheduler/src/start_rate/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn acts_keep_to_the_rate_and_hold_twice_as_long_at_each_429() {
+fn operations_keep_to_the_rate_and_hold_twice_as_long_at_each_429() {
     let mut rate = StartRate::new();
-    rate.take_rate(10.0, 4.0, Micros(0));
+    rate.set_rate(10.0, 4.0, Micros(0));
     let spent = |rate: &mut StartRate, from: u64, to: u64| {
         (from..to).filter(|millisecond| rate.spend(Micros::from_millis(*millisecond))).count()
     };
@@ -20,26 +20,26 @@
 
 #[test]
 fn all_nodes_of_a_large_fleet_that_act_at_once_stay_within_a_second_of_the_platforms_rate() {
-    let (nodes, acts_per_second) = (77, 80.0);
-    let equal_part = acts_per_second / 2.0 / f64::from(nodes);
-    let acts_at = |second: u64| -> usize {
+    let (nodes, operations_per_second) = (77, 80.0);
+    let equal_share = operations_per_second / 2.0 / f64::from(nodes);
+    let operations_at = |second: u64| -> usize {
         (0..nodes)
             .map(|_| {
                 let mut rate = StartRate::new();
-                rate.take_rate(equal_part, equal_part, Micros(0));
+                rate.set_rate(equal_share, equal_share, Micros(0));
                 let at = Micros::from_secs(second);
                 (0..100).take_while(|_| rate.spend(at)).count()
             })
             .sum()
     };
-    assert!(acts_at(0) <= 80, "all processes are new");
-    assert!(acts_at(60) <= 80, "nothing was done for a minute");
+    assert!(operations_at(0) <= 80, "all processes are new");
+    assert!(operations_at(60) <= 80, "nothing was done for a minute");
 }
 
 #[test]
-fn a_node_of_a_small_fleet_saves_up_four_acts() {
+fn a_node_of_a_small_fleet_saves_up_four_operations() {
     let mut rate = StartRate::new();
-    rate.take_rate(4.0, 4.0, Micros(0));
+    rate.set_rate(4.0, 4.0, Micros(0));
     let saved = (0..100).take_while(|_| rate.spend(Micros::from_secs(9))).count();
     assert_eq!(saved, 4);
 }
@@ -47,9 +47,9 @@
 /// Guards against a duty left undone: starts used up each act as it came, and a report of usage that was due
 /// waited for 14 seconds.
 #[test]
-fn a_report_is_not_kept_waiting_by_starts_that_use_up_every_act() {
+fn a_report_is_not_kept_waiting_by_starts_that_use_up_every_operation() {
     let mut rate = StartRate::new();
-    rate.take_rate(2.0, 2.0, Micros(0));
+    rate.set_rate(2.0, 2.0, Micros(0));
     while rate.spend(Micros(0)) {}
     assert!(rate.spend_ahead(Micros(0)));
     // The act is owed: starts go on as late as if it had waited in turn.
@@ -61,23 +61,23 @@
 }
 
 /// Acts that all nodes of a fleet do at once after a minute in which nothing was done.
-fn acts_at_once(nodes: usize, acts_per_second: f64) -> usize {
-    let equal_part = acts_per_second / 2.0 / nodes as f64;
-    let acts_of_one = || {
+fn operations_at_once(nodes: usize, operations_per_second: f64) -> usize {
+    let equal_share = operations_per_second / 2.0 / nodes as f64;
+    let operations_of_one = || {
         let mut rate = StartRate::new();
-        rate.take_rate(equal_part, equal_part, Micros(0));
+        rate.set_rate(equal_share, equal_share, Micros(0));
         let at = Micros::from_secs(60);
         (0..100).take_while(|_| rate.spend(at)).count()
     };
-    (0..nodes).map(|_| acts_of_one()).sum()
+    (0..nodes).map(|_| operations_of_one()).sum()
 }
 
 /// Guards against: 79 nodes that saved up four acts each sent 316 at once to a platform that takes 220 a second.
 #[test]
-fn no_fleet_saves_up_more_than_a_second_of_the_platforms_rate_but_for_one_act_a_node() {
-    for (nodes, acts_per_second) in [(10, 80.0), (77, 80.0), (79, 220.0), (92, 220.0), (300, 220.0)] {
-        let most = (acts_per_second as usize).max(nodes);
-        let acts = acts_at_once(nodes, acts_per_second);
-        assert!(acts <= most, "{nodes} nodes: {acts} acts of {acts_per_second} a second");
+fn no_fleet_saves_up_more_than_a_second_of_the_platforms_rate_but_for_one_operation_a_node() {
+    for (nodes, operations_per_second) in [(10, 80.0), (77, 80.0), (79, 220.0), (92, 220.0), (300, 220.0)] {
+        let most = (operations_per_second as usize).max(nodes);
+        let actions = operations_at_once(nodes, operations_per_second);
+        assert!(actions <= most, "{nodes} nodes: {actions} acts of {operations_per_second} a second");
     }
 }
--- a/packages/function_scheduler/src/zone.rs
+++ b/packages/function_scheduler/src/zone.rs
@@ -16,8 +16,8 @@
     }
 
     /// Whether something between the two crosses a border, as far as is known.
-    /// Example: `!Zone::default().is_far_from(Zone::named("hall-a"))`.
-    pub fn is_far_from(self, other: Zone) -> bool {
+    /// Example: `!Zone::default().is_remote_from(Zone::named("hall-a"))`.
+    pub fn is_remote_from(self, other: Zone) -> bool {
         self != other && self != Zone::default() && other != Zone::default()
     }
 }
@@ -26,7 +26,7 @@
 pub type WorkerZones = BTreeMap<String, Zone>;
 
 /// Calls a second by the zone that they come from, over the last seconds.
-/// Example: `calls.came(Zone::named("hall-a"), now); calls.shares()`.
+/// Example: `calls.record_call(Zone::named("hall-a"), now); calls.shares()`.
 #[derive(Debug, Default)]
 pub struct ZoneCalls {
     /// Calls of each zone, each counting less the longer ago it came.
@@ -40,8 +40,8 @@
 const NEGLIGIBLE: f64 = 0.01;
 
 impl ZoneCalls {
-    /// A call came from a zone. Example: `calls.came(Zone::named("hall-a"), now)`.
-    pub fn came(&mut self, zone: Zone, now: Micros) {
+    /// A call came from a zone. Example: `calls.record_call(Zone::named("hall-a"), now)`.
+    pub fn record_call(&mut self, zone: Zone, now: Micros) {
         let kept = (-((now - self.decayed_at).0 as f64 / 1e6) / SPAN).exp();
         self.decayed_at = now;
         for count in self.counts.values_mut() {
@@ -68,11 +68,11 @@
 
     /// How many more cells each zone that calls come from should have, if all cells stood where the calls
     /// come from; less than zero where it has too many. Zones without calls have all their cells too many.
-    /// Example: `calls.missing(&cells_by_zone)[&zone] > 0.0`.
-    pub fn missing(&self, cells: &BTreeMap<Zone, usize>) -> BTreeMap<Zone, f64> {
-        let total = cells.values().sum::<usize>() as f64;
+    /// Example: `calls.missing(&instances_by_zone)[&zone] > 0.0`.
+    pub fn missing(&self, instances: &BTreeMap<Zone, usize>) -> BTreeMap<Zone, f64> {
+        let total = instances.values().sum::<usize>() as f64;
         let mut missing: BTreeMap<Zone, f64> =
-            cells.iter().map(|(zone, count)| (*zone, -(*count as f64))).collect();
+            instances.iter().map(|(zone, count)| (*zone, -(*count as f64))).collect();
         for (zone, share) in self.shares() {
             *missing.entry(zone).or_default() += share * total;
         }
--- a/packages/function_scheduler/src/zone/tests.rs
+++ b/packages/function_scheduler/src/zone/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn cells_are_missing_where_calls_come_from_and_too_many_elsewhere() {
+fn instances_are_missing_where_calls_come_from_and_too_many_elsewhere() {
     let [a, b, c] = ["a", "b", "c"].map(Zone::named);
     let mut calls = ZoneCalls::default();
     for number in 0..40 {
-        calls.came(if number % 4 == 0 { b } else { a }, Micros::from_millis(number));
+        calls.record_call(if number % 4 == 0 { b } else { a }, Micros::from_millis(number));
     }
     let shares = calls.shares();
     assert!((0.7..0.8).contains(&shares[&a]), "{shares:?}");
@@ -13,14 +13,17 @@
     assert!(missing[&a] > 1.5 && missing[&b] > 0.5 && missing[&c] < -2.5, "{missing:?}");
     // What was long ago counts no more.
     for number in 0..10 {
-        calls.came(c, Micros::from_secs(60 + number));
+        calls.record_call(c, Micros::from_secs(60 + number));
     }
     assert_eq!(calls.shares().keys().copied().collect::<Vec<Zone>>(), [c]);
 }
 
 #[test]
 fn an_unknown_zone_is_far_from_none() {
-    assert!(Zone::named("a").is_far_from(Zone::named("b")));
-    assert!(!Zone::named("a").is_far_from(Zone::named("a")));
-    assert!(!Zone::named("").is_far_from(Zone::named("a")) && !Zone::named("a").is_far_from(Zone::default()));
+    assert!(Zone::named("a").is_remote_from(Zone::named("b")));
+    assert!(!Zone::named("a").is_remote_from(Zone::named("a")));
+    assert!(
+        !Zone::named("").is_remote_from(Zone::named("a"))
+            && !Zone::named("a").is_remote_from(Zone::default())
+    );
 }
--- /dev/null
+++ b/packages/gateway/src/call_state_machine/tests.rs
@@ -0,0 +1,46 @@
+use super::*;
+
+#[test]
+fn a_call_that_may_have_run_is_never_refused() {
+    let mut state_machine = CallStateMachine::begin();
+    for state in [CallState::Matched, CallState::PermitRequested, CallState::Dispatched] {
+        state_machine.step(state);
+    }
+    state_machine.mark_may_have_run();
+    state_machine.step(CallState::PermitRequested);
+    assert_eq!(state_machine.give_up(), CallState::Unknown);
+    // The same through the decisions that the program and the simulator share.
+    let mut state_machine = CallStateMachine::begin();
+    state_machine.step(CallState::Matched);
+    state_machine.step(CallState::PermitRequested);
+    assert_eq!(state_machine.permit_arrived(true, false), NextStep::MatchAgain);
+    state_machine.step(CallState::PermitRequested);
+    assert_eq!(state_machine.permit_arrived(true, true), NextStep::Dispatch);
+    assert_eq!(state_machine.dispatch_ended(DispatchEnd::RefusedBusy, false, 4), NextStep::RequestAgain);
+    state_machine.step(CallState::PermitRequested);
+    assert_eq!(state_machine.permit_arrived(true, true), NextStep::Dispatch);
+    assert_eq!(
+        state_machine.clone().dispatch_ended(DispatchEnd::Unknown, false, 4),
+        NextStep::GiveUp(CallState::Unknown)
+    );
+    assert_eq!(
+        state_machine.clone().dispatch_ended(DispatchEnd::RefusedBusy, false, 2),
+        NextStep::GiveUp(CallState::Refused)
+    );
+    // What reached nobody does not count against the lane's limit, and is bounded all the same.
+    let mut missed = state_machine.clone();
+    let mut misses = 0;
+    while missed.dispatch_ended(DispatchEnd::NotRun, false, 2) == NextStep::RequestAgain {
+        misses += 1;
+        missed.step(CallState::PermitRequested);
+        assert_eq!(missed.permit_arrived(true, true), NextStep::Dispatch);
+    }
+    assert_eq!((misses, missed.state()), (UNREACHED_LIMIT, CallState::Refused));
+    assert_eq!(state_machine.dispatch_ended(DispatchEnd::Unknown, true, 4), NextStep::RequestAgain);
+    state_machine.step(CallState::PermitRequested);
+    assert_eq!(state_machine.permit_arrived(true, false), NextStep::GiveUp(CallState::Unknown));
+    let end_states = CallState::ALL
+        .iter()
+        .filter(|state| !CallState::ALL.iter().any(|next_state| state.may_become(*next_state)));
+    assert_eq!(end_states.count(), 3);
+}
--- a/packages/gateway/src/front.rs
+++ b/packages/gateway/src/gateway.rs
@@ -1,37 +1,37 @@
 //! The way of one call through the node, from its head to its answer.
 
 mod admission;
-mod answer_bodies;
 mod call_guards;
-mod cell_headers;
+mod instance_headers;
 mod open_calls;
 mod planned_stop;
 mod request_facts;
+mod response_bodies;
 
-use admission::{Admission, Applicant, Denial, ticket_rank};
-use answer_bodies::{StreamedBody, WholeBody};
-use call_guards::{AskGuard, Held, TicketGuard};
-use cell_headers::cell_headers;
+use admission::{Admission, AdmissionRequest, Denial, permit_rank};
+use call_guards::{Held, PermitGuard, PermitRequestGuard};
+use instance_headers::instance_headers;
 pub use open_calls::OpenCalls;
 use open_calls::StageCount;
 use planned_stop::PlannedStop;
-use request_facts::{CallPlace, head_bytes, time_left, told_body_bytes};
+use request_facts::{RequestTarget, declared_body_bytes, head_bytes, time_left};
+use response_bodies::{BufferedBody, StreamedBody};
 
-use crate::call_chart::{CallChart, CallState, DispatchEnd, NextStep};
-use crate::cell_dispatch::{CellAnswer, DispatchCall, DispatchOutcome, DispatchSettings, dispatch};
-use crate::lane_table::{LaneRow, LaneTable, TenantRow};
+use crate::call_state_machine::{CallState, CallStateMachine, DispatchEnd, NextStep};
+use crate::instance_dispatch::{DispatchCall, DispatchOutcome, DispatchSettings, InstanceResponse, dispatch};
 use crate::recording::{RecordedCall, Recorder};
+use crate::route_table::{RouteEntry, RouteTable, TenantEntry};
 use actix_http::body::BoxBody;
 use actix_http::header::{self, HeaderValue};
 use actix_http::{HttpMessage, Payload, Request, Response, StatusCode};
 use arc_swap::ArcSwap;
 use bytes::{Bytes, BytesMut};
 use call_traces::{CallTrace, TraceWriter};
-use configuration_schema::{Configuration, ConfigurationDelta, VisitorLimits};
-use function_scheduler::{ABANDONED, NOT_RUN, RAN, TURNED_AWAY, TicketWish, UNKNOWN, UNUSED};
+use configuration_schema::{ClientLimits, Configuration, ConfigurationDelta};
+use function_scheduler::{ABANDONED, NOT_RUN, PermitParameters, RAN, REFUSED_BUSY, UNKNOWN, UNUSED};
 use futures_util::StreamExt;
 use monotonic_clock::{Micros, MonotonicClock};
-use peer_messages::Ticket;
+use peer_messages::Permit;
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -41,9 +41,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// Limits of the front. Example: `FrontSettings::default().body_limit == 4 << 20`.
+/// Limits of the front. Example: `GatewaySettings::default().body_limit == 4 << 20`.
 #[derive(Clone, Debug)]
-pub struct FrontSettings {
+pub struct GatewaySettings {
     /// The longest body of a call.
     pub body_limit: usize,
     /// All bodies and answers held at once.
@@ -58,9 +58,9 @@
     pub dispatch: DispatchSettings,
 }
 
-impl Default for FrontSettings {
-    fn default() -> FrontSettings {
-        FrontSettings {
+impl Default for GatewaySettings {
+    fn default() -> GatewaySettings {
+        GatewaySettings {
             body_limit: 4 * 1024 * 1024,
             memory_limit: 96 * 1024 * 1024,
             calls_limit: 1_000,
@@ -73,87 +73,87 @@
 
 /// The protocol's answer to an ask for a ticket.
 #[derive(Clone, Debug)]
-pub enum TicketAnswer {
+pub enum PermitResponse {
     /// One dispatch to one cell.
-    Granted(Ticket),
+    Granted(Permit),
     /// None: it did not run. `is_missing` when the function is configured no more.
     Refused { reason: String, retry_after: Micros, is_full: bool, is_missing: bool },
 }
 
 /// What the front says to the node's protocol.
 #[derive(Debug)]
-pub enum FrontLink {
+pub enum GatewayMessage {
     /// A call needs a ticket.
-    Ask { call: u64, wish: TicketWish, reply: oneshot::Sender<TicketAnswer> },
+    RequestPermit { call: u64, parameters: PermitParameters, reply: oneshot::Sender<PermitResponse> },
     /// The call is over before a ticket came.
     End { call: u64 },
     /// A dispatch ended.
-    Done { ticket: Ticket, how: u8, latency: Micros },
+    Done { permit: Permit, outcome: u8, latency: Micros },
 }
 
-macro_rules! front_counts {
-    ($($(#[$note:meta])* $field:ident,)*) => {
-        /// Counts for metrics. Example: `front.counts.answered.load(Ordering::Relaxed)`.
+macro_rules! gateway_counters {
+    ($($(#[$note:meta])* $field:ident as $text:literal,)*) => {
+        /// Counts for metrics. Example: `gateway.counts.answered.load(Ordering::Relaxed)`.
         #[derive(Debug, Default)]
-        pub struct FrontCounts { $($(#[$note])* pub $field: AtomicU64,)* }
+        pub struct GatewayCounters { $($(#[$note])* pub $field: AtomicU64,)* }
 
-        impl FrontCounts {
-            /// All counts by name. Example: `front.counts.all()`.
+        impl GatewayCounters {
+            /// All counts by name. Example: `gateway.counts.all()`.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
-                vec![$((stringify!($field), self.$field.load(Ordering::Relaxed)),)*]
+                vec![$(($text, self.$field.load(Ordering::Relaxed)),)*]
             }
         }
     };
 }
 
-front_counts! {
+gateway_counters! {
     /// Calls whose head was read.
-    received,
+    received as "received",
     /// Whole answers of cells.
-    answered,
+    answered as "answered",
     /// Refused as not run.
-    refused,
+    refused as "refused",
     /// Of unknown fate.
-    unknown,
+    unknown as "unknown",
     /// Calls without a lane.
-    no_lane,
+    no_route as "no_lane",
     /// Calls refused because their lane needs a key and they carried none.
-    no_key,
+    no_key as "no_key",
     /// Calls refused because no tenant is known by the key, or keys, that they carried.
-    unknown_key,
+    unknown_key as "unknown_key",
     /// Dispatches beyond a call's first.
-    extra_dispatches,
+    extra_dispatches as "extra_dispatches",
     /// Dispatches that a cell turned away.
-    turned_away,
+    refused_busy as "turned_away",
     /// Answers cut after their beginning had gone to the visitor.
-    cut_answers,
+    cut_responses as "cut_answers",
     /// Microseconds spent waiting for tickets, and how many tickets came.
-    ticket_micros,
+    permit_micros as "ticket_micros",
     /// Tickets that came.
-    tickets,
+    permits as "tickets",
     /// Calls made by running calls.
-    nested,
+    nested as "nested",
 }
 
-/// A node's front. Example: `Front::new(FrontSettings::default(), sender)`.
+/// A node's front. Example: `Gateway::new(GatewaySettings::default(), sender)`.
 #[derive(Debug)]
-pub struct Front {
-    settings: FrontSettings,
-    lanes: ArcSwap<LaneTable>,
+pub struct Gateway {
+    settings: GatewaySettings,
+    routes: ArcSwap<RouteTable>,
     /// Where cells run: a call from there is made by a running call.
-    cell_hosts: ArcSwap<BTreeSet<IpAddr>>,
-    link: mpsc::Sender<FrontLink>,
+    instance_hosts: ArcSwap<BTreeSet<IpAddr>>,
+    link: mpsc::Sender<GatewayMessage>,
     clock: MonotonicClock,
     next_call: AtomicU64,
     memory_used: AtomicUsize,
     calls_open: AtomicUsize,
-    awaiting_ticket: Arc<StageCount>,
-    at_cell: Arc<StageCount>,
+    awaiting_permit: Arc<StageCount>,
+    at_instance: Arc<StageCount>,
     planned_stop: PlannedStop,
     /// Until the node knows whether there is a configuration.
     awaits_configuration: AtomicBool,
     /// The node does not know that its lanes and keys are the newest.
-    doubts_lanes: AtomicBool,
+    suspects_routes: AtomicBool,
     node_count: AtomicUsize,
     lag_micros: AtomicU64,
     /// When the node's clock events last ran; zero before the first.
@@ -161,18 +161,18 @@
     recorder: Option<Recorder>,
     traces: Option<TraceWriter>,
     /// Counts for metrics.
-    pub counts: FrontCounts,
+    pub counts: GatewayCounters,
 }
 
 /// A call with the lane that takes it and the tenant whose it is, by one generation.
 struct MatchedCall {
-    applicant: Applicant,
-    lane: LaneRow,
-    tenant: Option<TenantRow>,
+    applicant: AdmissionRequest,
+    route: RouteEntry,
+    tenant: Option<TenantEntry>,
 }
 
 /// The answer to a visitor.
-pub type FrontAnswer = Response<BoxBody>;
+pub type GatewayResponse = Response<BoxBody>;
 
 struct Refusal {
     status: StatusCode,
@@ -186,36 +186,36 @@
     }
 }
 
-impl Front {
-    /// A front without lanes. Example: `Front::new(FrontSettings::default(), sender).open_calls() == 0`.
-    pub fn new(settings: FrontSettings, link: mpsc::Sender<FrontLink>) -> Front {
-        Front {
+impl Gateway {
+    /// A front without lanes. Example: `Gateway::new(GatewaySettings::default(), sender).open_calls() == 0`.
+    pub fn new(settings: GatewaySettings, link: mpsc::Sender<GatewayMessage>) -> Gateway {
+        Gateway {
             settings,
-            lanes: ArcSwap::from_pointee(LaneTable::default()),
-            cell_hosts: ArcSwap::from_pointee(BTreeSet::new()),
+            routes: ArcSwap::from_pointee(RouteTable::default()),
+            instance_hosts: ArcSwap::from_pointee(BTreeSet::new()),
             link,
             clock: MonotonicClock::start(),
             next_call: AtomicU64::new(1 << 32),
             memory_used: AtomicUsize::new(0),
             calls_open: AtomicUsize::new(0),
-            awaiting_ticket: Arc::default(),
-            at_cell: Arc::default(),
+            awaiting_permit: Arc::default(),
+            at_instance: Arc::default(),
             planned_stop: PlannedStop::none_yet(),
             awaits_configuration: AtomicBool::new(true),
-            doubts_lanes: AtomicBool::new(false),
+            suspects_routes: AtomicBool::new(false),
             node_count: AtomicUsize::new(1),
             lag_micros: AtomicU64::new(0),
             ticked_at: AtomicU64::new(0),
             recorder: None,
             traces: None,
-            counts: FrontCounts::default(),
+            counts: GatewayCounters::default(),
         }
     }
 
     /// Tells how late the node's own clock events run: past a limit the machine has more to do than
     /// it can, and new calls are turned away before they take any more of it.
-    /// Example: `front.tell_lag(Micros::from_millis(3))` at each tick.
-    pub fn tell_lag(&self, lag: Micros) {
+    /// Example: `gateway.set_lag(Micros::from_millis(3))` at each tick.
+    pub fn set_lag(&self, lag: Micros) {
         self.lag_micros.store(lag.0, Ordering::Relaxed);
         self.ticked_at.store(self.clock.now().0, Ordering::Relaxed);
     }
@@ -227,183 +227,184 @@
         ticked_at > Micros(0) && self.clock.now() > ticked_at + self.settings.lag_limit
     }
 
-    /// Records every call from now on. Example: `front.record_with(Recorder::start(path, limit)?)`.
+    /// Records every call from now on. Example: `gateway.record_with(Recorder::start(path, limit)?)`.
     pub fn record_with(&mut self, recorder: Recorder) {
         self.recorder = Some(recorder);
     }
 
-    /// Traces sampled calls from now on. Example: `front.trace_with(TraceWriter::start(..)?)`.
+    /// Traces sampled calls from now on. Example: `gateway.trace_with(TraceWriter::start(..)?)`.
     pub fn trace_with(&mut self, traces: TraceWriter) {
         self.traces = Some(traces);
     }
 
-    /// Records lost because the disk was slower than the calls. Example: `front.records_dropped()`.
+    /// Records lost because the disk was slower than the calls. Example: `gateway.records_dropped()`.
     pub fn records_dropped(&self) -> u64 {
         self.recorder.as_ref().map_or(0, Recorder::dropped)
     }
 
     /// Swaps in a newer generation's lanes; a call that waits for its ticket is matched again by them.
-    /// Example: `front.take_configuration(4, &configuration)`.
-    pub fn take_configuration(&self, generation: u64, configuration: &Configuration) {
-        self.lanes.store(Arc::new(LaneTable::new(generation, configuration)));
+    /// Example: `gateway.set_configuration(4, &configuration)`.
+    pub fn set_configuration(&self, generation: u64, configuration: &Configuration) {
+        self.routes.store(Arc::new(RouteTable::new(generation, configuration)));
     }
 
     /// The same by what changed since the generation that holds here, where that is known whole.
-    /// Example: `front.take_changed_configuration(5, &configuration, &deltas)`.
-    pub fn take_changed_configuration(
+    /// Example: `gateway.apply_changed_configuration(5, &configuration, &deltas)`.
+    pub fn apply_changed_configuration(
         &self,
         generation: u64,
         configuration: &Configuration,
         deltas: &[ConfigurationDelta],
     ) {
-        let mut lanes = LaneTable::clone(&self.lanes.load());
-        lanes.take_changed(generation, configuration, deltas);
-        self.lanes.store(Arc::new(lanes));
+        let mut routes = RouteTable::clone(&self.routes.load());
+        routes.apply_changes(generation, configuration, deltas);
+        self.routes.store(Arc::new(routes));
     }
 
     /// Takes the hosts that cells run on. Calls from there are made by running calls and go first.
-    /// Example: `front.take_cell_hosts(hosts)` when the platform's list shows others.
-    pub fn take_cell_hosts(&self, hosts: BTreeSet<IpAddr>) {
-        self.cell_hosts.store(Arc::new(hosts));
+    /// Example: `gateway.set_instance_hosts(hosts)` when the platform's list shows others.
+    pub fn set_instance_hosts(&self, hosts: BTreeSet<IpAddr>) {
+        self.instance_hosts.store(Arc::new(hosts));
     }
 
     /// Whether a running call made this one: it comes from a host of cells.
     fn is_nested(&self, request: &Request) -> bool {
-        request.peer_addr().is_some_and(|peer| self.cell_hosts.load().contains(&peer.ip()))
+        request.peer_addr().is_some_and(|peer| self.instance_hosts.load().contains(&peer.ip()))
     }
 
-    /// The generation that calls are matched against. Example: `front.generation() == 4`.
+    /// The generation that calls are matched against. Example: `gateway.generation() == 4`.
     pub fn generation(&self) -> u64 {
-        self.lanes.load().generation
+        self.routes.load().generation
     }
 
-    /// The node knows the newest configuration, even if there is none yet. Example: `front.know_lanes()`.
-    pub fn know_lanes(&self) {
+    /// The node knows the newest configuration, even if there is none yet. Example: `gateway.mark_routes_current()`.
+    pub fn mark_routes_current(&self) {
         self.awaits_configuration.store(false, Ordering::Relaxed);
     }
 
     /// Whether the node's lanes and keys may be outdated: until they are known to be the newest, a call that they
-    /// do not let in is asked to come back rather than refused for good. Example: `front.doubt_lanes(true)`.
-    pub fn doubt_lanes(&self, is_doubted: bool) {
-        self.doubts_lanes.store(is_doubted, Ordering::Relaxed);
+    /// do not let in is asked to come back rather than refused for good. Example: `gateway.set_routes_suspect(true)`.
+    pub fn set_routes_suspect(&self, is_suspected: bool) {
+        self.suspects_routes.store(is_suspected, Ordering::Relaxed);
     }
 
-    /// How many nodes share the connections that each cell takes. Example: `front.tell_node_count(10)`.
-    pub fn tell_node_count(&self, node_count: usize) {
+    /// How many nodes share the connections that each cell takes. Example: `gateway.set_node_count(10)`.
+    pub fn set_node_count(&self, node_count: usize) {
         self.node_count.store(node_count, Ordering::Relaxed);
     }
 
-    /// Bounds on visitors, as far as the configuration names them. Example: `front.visitor_limits()`.
-    pub fn visitor_limits(&self) -> Option<VisitorLimits> {
-        self.lanes.load().visitor_limits.clone()
+    /// Bounds on visitors, as far as the configuration names them. Example: `gateway.client_limits()`.
+    pub fn client_limits(&self) -> Option<ClientLimits> {
+        self.routes.load().client_limits.clone()
     }
 
-    /// Calls under way. Example: `front.open_calls() == 0` before a drained node goes.
+    /// Calls under way. Example: `gateway.open_calls() == 0` before a drained node goes.
     pub fn open_calls(&self) -> usize {
         self.calls_open.load(Ordering::Relaxed)
     }
 
-    /// Calls under way by what they wait for. Example: `front.open_calls_by_stage().awaiting_ticket`.
+    /// Calls under way by what they wait for. Example: `gateway.open_calls_by_stage().awaiting_permit`.
     pub fn open_calls_by_stage(&self) -> OpenCalls {
         OpenCalls {
             all: self.open_calls(),
-            awaiting_ticket: self.awaiting_ticket.get(),
-            at_cell: self.at_cell.get(),
+            awaiting_permit: self.awaiting_permit.get(),
+            at_instance: self.at_instance.get(),
         }
     }
 
     /// The process ends within this time. From now on answers ask clients to close their connections; calls
     /// that find no cell in the first half of the time are refused, and those whose cell does not answer until
     /// shortly before its end are answered as of unknown fate.
-    /// Example: `front.begin_stop(Duration::from_secs(5))`.
+    /// Example: `gateway.begin_stop(Duration::from_secs(5))`.
     pub fn begin_stop(&self, within: Duration) {
         self.planned_stop.begin(self.clock.now(), within);
     }
 
-    /// Takes one call to its end. Example: the HTTP service calls `front.call(request)` for each.
-    pub async fn call(self: Arc<Self>, request: Request) -> FrontAnswer {
+    /// Takes one call to its end. Example: the HTTP service calls `gateway.call(request)` for each.
+    pub async fn call(self: Arc<Self>, request: Request) -> GatewayResponse {
         self.counts.received.fetch_add(1, Ordering::Relaxed);
         let open_before = self.calls_open.fetch_add(1, Ordering::Relaxed);
-        let mut held = Held { front: self.clone(), bytes: 0 };
+        let mut held = Held { gateway: self.clone(), bytes: 0 };
         let mut recorded = self.recorder.as_ref().map(|_| begun_record(&request, self.clock.now()));
-        let mut chart = CallChart::begin();
+        let mut state_machine = CallStateMachine::begin();
         let parent = request.headers().get(TRACE_HEADER).and_then(|value| value.to_str().ok());
         let mut trace = self.traces.as_ref().and_then(|traces| traces.begin(parent));
-        let mut lane_name = String::new();
+        let mut route_name = String::new();
         if recorded.is_some() || trace.is_some() {
-            let lanes = self.lanes.load();
-            lane_name = CallPlace::of(&request).find(&lanes).map(|row| row.name.clone()).unwrap_or_default();
+            let routes = self.routes.load();
+            route_name =
+                RequestTarget::of(&request).find(&routes).map(|row| row.name.clone()).unwrap_or_default();
         }
         if let Some(record) = &mut recorded {
-            record.lane.clone_from(&lane_name);
+            record.route.clone_from(&route_name);
         }
-        let walked = self.clone().walk(request, &mut chart, &mut held, open_before, &mut trace).await;
-        let mut answer = match walked {
-            Ok(cell_answer) => self.answered(cell_answer, held),
-            Err(refusal) => self.refused(&chart, refusal),
+        let walked = self.clone().walk(request, &mut state_machine, &mut held, open_before, &mut trace).await;
+        let mut response = match walked {
+            Ok(instance_response) => self.answered(instance_response, held),
+            Err(refusal) => self.refused(&state_machine, refusal),
         };
         if let (Some(traces), Some(trace)) = (&self.traces, trace) {
-            traces.end(trace, &lane_name, outcome_name(&chart), answer.status().as_u16());
+            traces.end(trace, &route_name, outcome_name(&state_machine), response.status().as_u16());
         }
         if let (Some(recorder), Some(mut record)) = (&self.recorder, recorded) {
-            record.outcome = outcome_name(&chart).to_owned();
-            record.status = answer.status().as_u16();
+            record.outcome = outcome_name(&state_machine).to_owned();
+            record.status = response.status().as_u16();
             record.latency_micros = (self.clock.now() - Micros(record.at_micros)).0;
             recorder.record(&record);
         }
         if self.planned_stop.has_begun() {
-            answer.head_mut().set_connection_type(actix_http::ConnectionType::Close);
+            response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
         }
-        answer
+        response
     }
 
     async fn walk(
         self: Arc<Self>,
         mut request: Request,
-        chart: &mut CallChart,
+        state_machine: &mut CallStateMachine,
         held: &mut Held,
         open_before: usize,
         trace: &mut Option<CallTrace>,
-    ) -> Result<(CellAnswer, TicketGuard, Micros), Refusal> {
-        let refuse = |chart: &mut CallChart, refusal: Refusal| {
-            chart.give_up();
+    ) -> Result<(InstanceResponse, PermitGuard, Micros), Refusal> {
+        let refuse = |state_machine: &mut CallStateMachine, refusal: Refusal| {
+            state_machine.give_up();
             refusal
         };
         let is_late = self.lag_micros.load(Ordering::Relaxed) > self.settings.lag_limit.0;
         if is_late || open_before >= self.settings.calls_limit {
             let reason = if is_late { "the node is overloaded" } else { "too many calls" };
             let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, Some(Micros::from_secs(1)));
-            return Err(refuse(chart, refusal));
+            return Err(refuse(state_machine, refusal));
         }
-        let lanes = self.lanes.load_full();
-        let dialect = &self.settings.dispatch.dialect;
-        let applicant = Applicant::of(&request, dialect);
-        let (mut lane, tenant) = match applicant.admission(&lanes) {
-            Ok(Admission { lane, tenant }) => (lane.clone(), tenant.cloned()),
-            Err(denial) => return Err(refuse(chart, self.denied(denial, &lanes))),
+        let routes = self.routes.load_full();
+        let header_conventions = &self.settings.dispatch.header_conventions;
+        let applicant = AdmissionRequest::of(&request, header_conventions);
+        let (mut route, tenant) = match applicant.admission(&routes) {
+            Ok(Admission { route, tenant }) => (route.clone(), tenant.cloned()),
+            Err(denial) => return Err(refuse(state_machine, self.denied(denial, &routes))),
         };
-        let ends_at = self.clock.now() + time_left(&request, &lane, dialect);
-        let head_limit = lanes.visitor_limits.as_ref().and_then(|limits| limits.header_bytes);
+        let ends_at = self.clock.now() + time_left(&request, &route, header_conventions);
+        let head_limit = routes.client_limits.as_ref().and_then(|limits| limits.header_bytes);
         if head_limit.is_some_and(|limit| head_bytes(&request) > limit) {
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-            return Err(refuse(chart, Refusal::new(status, "the head is too long", None)));
+            return Err(refuse(state_machine, Refusal::new(status, "the head is too long", None)));
         }
-        chart.step(CallState::Matched);
-        let told_limit = lanes.visitor_limits.as_ref().and_then(|limits| limits.body_bytes);
-        let body_limit = told_limit.map_or(self.settings.body_limit, |bytes| bytes as usize);
-        if told_body_bytes(&request).is_some_and(|told| told > body_limit as u64) {
-            return Err(refuse(chart, too_long_body()));
+        state_machine.step(CallState::Matched);
+        let configured_limit = routes.client_limits.as_ref().and_then(|limits| limits.body_bytes);
+        let body_limit = configured_limit.map_or(self.settings.body_limit, |bytes| bytes as usize);
+        if declared_body_bytes(&request).is_some_and(|reported| reported > body_limit as u64) {
+            return Err(refuse(state_machine, too_long_body()));
         }
         let payload = request.take_payload();
         let body = match self.read_body(payload, body_limit, held, ends_at).await {
             Ok(body) => body,
-            Err(refusal) => return Err(refuse(chart, refusal)),
+            Err(refusal) => return Err(refuse(state_machine, refusal)),
         };
         let is_nested = self.is_nested(&request);
         if is_nested {
             self.counts.nested.fetch_add(1, Ordering::Relaxed);
         }
-        lane.function = lane.pick(fastrand::f64()).to_owned();
+        route.function = route.pick(fastrand::f64()).to_owned();
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         // However the call ends, what it left at a cell hears of it.
         let client_left = CancellationToken::new();
@@ -411,35 +412,35 @@
         let dispatch_call = DispatchCall {
             method: request.method().clone(),
             uri: request.uri().clone(),
-            headers: cell_headers(&request, dialect),
+            headers: instance_headers(&request, header_conventions),
             body,
-            function: lane.function.clone(),
+            function: route.function.clone(),
             tenant: None,
             is_nested,
-            cell: String::new(),
+            instance: String::new(),
             address: std::net::SocketAddr::from(([0, 0, 0, 0], 0)),
             time_left: Micros(0),
             client_left: client_left.clone(),
-            is_repeatable: lane.repeatable,
+            is_repeatable: route.repeatable,
         };
         drop(request);
-        let matched = MatchedCall { applicant, lane, tenant };
-        self.dispatch_in_turn(call, matched, dispatch_call, ends_at, chart, trace).await
+        let matched = MatchedCall { applicant, route, tenant };
+        self.dispatch_in_turn(call, matched, dispatch_call, ends_at, state_machine, trace).await
     }
 
     /// The answer to a call that the lanes do not let in. It names no key.
-    fn denied(&self, denial: Denial, lanes: &LaneTable) -> Refusal {
+    fn denied(&self, denial: Denial, routes: &RouteTable) -> Refusal {
         // Before this process has a configuration it knows of no lane, and says no more than that.
-        let knows_nothing = lanes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
-        if denial == Denial::NoLane && knows_nothing {
+        let knows_nothing = routes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
+        if denial == Denial::NoRoute && knows_nothing {
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "not ready yet", Some(NOT_READY_PAUSE));
         }
-        if self.doubts_lanes.load(Ordering::Relaxed) || self.may_have_slept() {
+        if self.suspects_routes.load(Ordering::Relaxed) || self.may_have_slept() {
             let reason = "the newest configuration is not here yet";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, Some(NOT_READY_PAUSE));
         }
         let (count, status, reason) = match denial {
-            Denial::NoLane => (&self.counts.no_lane, StatusCode::NOT_FOUND, "no lane takes this call"),
+            Denial::NoRoute => (&self.counts.no_route, StatusCode::NOT_FOUND, "no lane takes this call"),
             Denial::NoKey => (&self.counts.no_key, StatusCode::UNAUTHORIZED, "the call carries no key"),
             Denial::UnknownKey => {
                 (&self.counts.unknown_key, StatusCode::UNAUTHORIZED, "no tenant is known by the call's key")
@@ -463,7 +464,7 @@
             let next_chunk = tokio::time::timeout(time_left.duration(), payload.next());
             let chunk = tokio::select! {
                 chunk = next_chunk => chunk,
-                () = self.planned_stop.answers_are_due(&self.clock) => return Err(stopping()),
+                () = self.planned_stop.responses_are_due(&self.clock) => return Err(stopping()),
             };
             let Ok(chunk) = chunk else {
                 return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time", None));
@@ -495,40 +496,41 @@
         matched: MatchedCall,
         dispatch_call: DispatchCall,
         ends_at: Micros,
-        chart: &mut CallChart,
+        state_machine: &mut CallStateMachine,
         trace: &mut Option<CallTrace>,
-    ) -> Result<(CellAnswer, TicketGuard, Micros), Refusal> {
-        let MatchedCall { applicant, mut lane, mut tenant } = matched;
+    ) -> Result<(InstanceResponse, PermitGuard, Micros), Refusal> {
+        let MatchedCall { applicant, mut route, mut tenant } = matched;
         let mut dispatch_call = dispatch_call;
         let mut avoid = String::new();
         let mut last_reason = "";
         loop {
-            chart.step(CallState::TicketAsked);
+            state_machine.step(CallState::PermitRequested);
             if let Some(trace) = trace {
                 trace.begin_span("ticket");
             }
-            let mut wish = self.ticket_wish(&lane, tenant.as_ref(), dispatch_call.is_nested, ends_at);
-            wish.dispatches = chart.dispatches();
-            wish.avoid.clone_from(&avoid);
-            let asked = self.ask_ticket(call, wish).await;
+            let mut parameters =
+                self.permit_parameters(&route, tenant.as_ref(), dispatch_call.is_nested, ends_at);
+            parameters.dispatches = state_machine.dispatches();
+            parameters.avoid.clone_from(&avoid);
+            let requested = self.request_permit(call, parameters).await;
             if let Some(trace) = trace {
-                trace.end_span(&[("vanelane.function", &lane.function)]);
+                trace.end_span(&[("vanelane.function", &route.function)]);
             }
             // The generation that holds by now decides whether the call is let in, as whose, and where it may go.
-            let lanes = self.lanes.load_full();
-            let admission = applicant.admission(&lanes);
-            let is_still_meant = admission
-                .is_ok_and(|current| current.lane.allows(&lane.function) && current.is_for(tenant.as_ref()))
-                && !self.may_have_slept();
+            let routes = self.routes.load_full();
+            let admission = applicant.admission(&routes);
+            let is_still_meant = admission.is_ok_and(|current| {
+                current.route.allows(&route.function) && current.is_for(tenant.as_ref())
+            }) && !self.may_have_slept();
             let began = self.clock.now();
-            let (ticket, step) = match asked {
-                Ok(ticket) => (Some(ticket), chart.ticket_came(began < ends_at, is_still_meant)),
+            let (permit, step) = match requested {
+                Ok(permit) => (Some(permit), state_machine.permit_arrived(began < ends_at, is_still_meant)),
                 Err(refusal) if refusal.status == StatusCode::NOT_FOUND && !is_still_meant => {
                     last_reason = "the function is no longer configured";
-                    (None, chart.ticket_came(began < ends_at, false))
+                    (None, state_machine.permit_arrived(began < ends_at, false))
                 }
                 Err(refusal) => {
-                    return Err(match chart.give_up() {
+                    return Err(match state_machine.give_up() {
                         CallState::Unknown if began >= ends_at => {
                             Refusal::new(StatusCode::GATEWAY_TIMEOUT, last_reason, None)
                         }
@@ -537,29 +539,29 @@
                     });
                 }
             };
-            let mut guard = TicketGuard { front: self.clone(), ticket, began_at: began, how: UNKNOWN };
+            let mut guard = PermitGuard { gateway: self.clone(), permit, began_at: began, outcome: UNKNOWN };
             if step != NextStep::Dispatch {
                 guard.done(UNUSED);
                 if step != NextStep::MatchAgain {
-                    return Err(no_time_left(chart));
+                    return Err(no_time_left(state_machine));
                 }
                 let current = match admission {
                     Ok(current) => current,
                     Err(denial) => {
-                        chart.give_up();
-                        return Err(self.denied(denial, &lanes));
+                        state_machine.give_up();
+                        return Err(self.denied(denial, &routes));
                     }
                 };
-                lane = current.lane.clone();
+                route = current.route.clone();
                 tenant = current.tenant.cloned();
-                lane.function = lane.pick(fastrand::f64()).to_owned();
-                dispatch_call.function.clone_from(&lane.function);
-                dispatch_call.is_repeatable = lane.repeatable;
+                route.function = route.pick(fastrand::f64()).to_owned();
+                dispatch_call.function.clone_from(&route.function);
+                dispatch_call.is_repeatable = route.repeatable;
                 avoid.clear();
                 continue;
             }
             dispatch_call.tenant = tenant.as_ref().map(|tenant| tenant.name.clone());
-            if chart.dispatches() > 1 {
+            if state_machine.dispatches() > 1 {
                 self.counts.extra_dispatches.fetch_add(1, Ordering::Relaxed);
             }
             let time_left = ends_at - began;
@@ -570,38 +572,43 @@
                     headers.insert(header::HeaderName::from_static(TRACE_HEADER), parent_value);
                 }
             }
-            let (cell, address) = guard.ticket.as_ref().map_or_else(
+            let (instance, address) = guard.permit.as_ref().map_or_else(
                 || (String::new(), dispatch_call.address),
-                |ticket| (ticket.cell.0.clone(), ticket.address.socket()),
+                |permit| (permit.instance.0.clone(), permit.address.socket()),
             );
-            let own_dispatch =
-                DispatchCall { headers, cell: cell.clone(), address, time_left, ..dispatch_call.clone() };
+            let own_dispatch = DispatchCall {
+                headers,
+                instance: instance.clone(),
+                address,
+                time_left,
+                ..dispatch_call.clone()
+            };
             // A task of its own: a visitor that goes away ends neither the dispatch nor the count of
             // what the cell is running.
-            let idle_limit = lanes.idle_limit(&lane.function, self.node_count.load(Ordering::Relaxed));
+            let idle_limit = routes.idle_limit(&route.function, self.node_count.load(Ordering::Relaxed));
             let kept = self.settings.dispatch.idle_limit.min(idle_limit);
             let dispatch_settings = DispatchSettings { idle_limit: kept, ..self.settings.dispatch.clone() };
             let dispatching = actix_rt::spawn(async move {
                 let outcome = dispatch(own_dispatch, &dispatch_settings).await;
-                guard.how = how_without_client(&outcome);
+                guard.outcome = outcome_without_client(&outcome);
                 (outcome, guard)
             });
-            let at_cell = self.at_cell.enter();
+            let at_instance = self.at_instance.enter();
             let dispatched = tokio::select! {
                 dispatched = dispatching => Some(dispatched),
-                () = self.planned_stop.answers_are_due(&self.clock) => None,
+                () = self.planned_stop.responses_are_due(&self.clock) => None,
             };
-            drop(at_cell);
+            drop(at_instance);
             if let Some(trace) = trace {
-                trace.end_span(&[("vanelane.cell", &cell)]);
+                trace.end_span(&[("vanelane.cell", &instance)]);
             }
-            let limit = lane.dispatch_limit.unwrap_or(self.settings.dispatch_limit);
+            let limit = route.dispatch_limit.unwrap_or(self.settings.dispatch_limit);
             let Some(dispatched) = dispatched else {
-                chart.dispatch_ended(DispatchEnd::TimedOut, false, limit);
+                state_machine.dispatch_ended(DispatchEnd::TimedOut, false, limit);
                 return Err(Refusal::new(StatusCode::GATEWAY_TIMEOUT, "the node stops", None));
             };
             let Ok((outcome, mut guard)) = dispatched else {
-                chart.dispatch_ended(DispatchEnd::Unknown, false, limit);
+                state_machine.dispatch_ended(DispatchEnd::Unknown, false, limit);
                 return Err(Refusal::new(StatusCode::BAD_GATEWAY, "the dispatch broke down", None));
             };
             let end = match outcome {
@@ -609,9 +616,9 @@
                     last_reason = "no answer in the time left";
                     DispatchEnd::TimedOut
                 }
-                DispatchOutcome::Answered(cell_answer) => {
-                    chart.dispatch_ended(DispatchEnd::Answered, lane.repeatable, limit);
-                    return Ok((cell_answer, guard, ends_at));
+                DispatchOutcome::Answered(instance_response) => {
+                    state_machine.dispatch_ended(DispatchEnd::Answered, route.repeatable, limit);
+                    return Ok((instance_response, guard, ends_at));
                 }
                 DispatchOutcome::NotRun => {
                     last_reason = "the cell could not be reached";
@@ -620,18 +627,19 @@
                 // Nobody is there to be told: these two end with the call.
                 DispatchOutcome::Withdrawn => DispatchEnd::NotRun,
                 DispatchOutcome::Abandoned => DispatchEnd::Unknown,
-                DispatchOutcome::TurnedAway => {
-                    self.counts.turned_away.fetch_add(1, Ordering::Relaxed);
+                DispatchOutcome::RefusedBusy => {
+                    self.counts.refused_busy.fetch_add(1, Ordering::Relaxed);
                     last_reason = "the cell turned the call away";
-                    DispatchEnd::TurnedAway
+                    DispatchEnd::RefusedBusy
                 }
                 DispatchOutcome::Unknown(reason) => {
                     last_reason = reason;
                     DispatchEnd::Unknown
                 }
             };
-            guard.done(end.how());
-            if let NextStep::GiveUp(final_state) = chart.dispatch_ended(end, lane.repeatable, limit) {
+            guard.done(end.outcome());
+            if let NextStep::GiveUp(final_state) = state_machine.dispatch_ended(end, route.repeatable, limit)
+            {
                 let status = match (final_state, end) {
                     (_, DispatchEnd::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
                     (CallState::Unknown, _) => StatusCode::BAD_GATEWAY,
@@ -639,67 +647,71 @@
                 };
                 return Err(Refusal::new(status, last_reason, Some(Micros::from_secs(1))));
             }
-            avoid = cell;
+            avoid = instance;
         }
     }
 
     /// What a call asks for at first, by its lane and whose it is.
-    fn ticket_wish(
+    fn permit_parameters(
         &self,
-        lane: &LaneRow,
-        tenant: Option<&TenantRow>,
+        route: &RouteEntry,
+        tenant: Option<&TenantEntry>,
         is_nested: bool,
         ends_at: Micros,
-    ) -> TicketWish {
+    ) -> PermitParameters {
         let now = self.clock.now();
-        TicketWish {
-            function: lane.function.clone(),
+        PermitParameters {
+            function: route.function.clone(),
             time_left: ends_at - now,
             dispatches: 0,
             avoid: String::new(),
             // A visitor that comes back names less time than the lane's patience: its first try, from
             // which lateness counts, was that much earlier. A nested call names what its caller has left,
             // and is itself as young as any.
-            target_left: lane.target.map(|target| match is_nested {
+            target_left: route.target.map(|target| match is_nested {
                 true => target,
-                false => (ends_at + target) - lane.patience - now,
+                false => (ends_at + target) - route.timeout - now,
             }),
             is_nested,
-            rank: ticket_rank(tenant.map(|tenant| tenant.rank), lane.rank),
+            rank: permit_rank(tenant.map(|tenant| tenant.rank), route.rank),
             tenant: tenant.map(|tenant| tenant.name.clone()),
         }
     }
 
-    async fn ask_ticket(self: &Arc<Self>, call: u64, wish: TicketWish) -> Result<Ticket, Refusal> {
-        let asked_at = self.clock.now();
-        let time_left = wish.time_left;
+    async fn request_permit(
+        self: &Arc<Self>,
+        call: u64,
+        parameters: PermitParameters,
+    ) -> Result<Permit, Refusal> {
+        let requested_at = self.clock.now();
+        let time_left = parameters.time_left;
         let retry_after = Some(Micros::from_secs(1));
         let no_time_left =
             || Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no ticket in the time left", retry_after);
         if time_left == Micros(0) {
             return Err(no_time_left());
         }
-        let (reply, answer) = oneshot::channel();
-        if self.link.try_send(FrontLink::Ask { call, wish, reply }).is_err() {
+        let (reply, response) = oneshot::channel();
+        if self.link.try_send(GatewayMessage::RequestPermit { call, parameters, reply }).is_err() {
             return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "the node is overloaded", retry_after));
         }
-        let mut guard = AskGuard { front: self.clone(), call, answer, is_open: true };
-        let _awaiting_ticket = self.awaiting_ticket.enter();
+        let mut guard = PermitRequestGuard { gateway: self.clone(), call, response, is_open: true };
+        let _awaiting_permit = self.awaiting_permit.enter();
         // The protocol refuses at its next clock event; the visitor is not kept waiting for that.
-        let waiting = tokio::time::timeout(time_left.duration(), &mut guard.answer);
+        let waiting = tokio::time::timeout(time_left.duration(), &mut guard.response);
         let waited = tokio::select! {
             waited = waiting => waited,
             () = self.planned_stop.dispatch_is_over(&self.clock) => return Err(stopping()),
         };
-        let Ok(Ok(ticket_answer)) = waited else { return Err(no_time_left()) };
+        let Ok(Ok(permit_response)) = waited else { return Err(no_time_left()) };
         guard.is_open = false;
-        match ticket_answer {
-            TicketAnswer::Granted(ticket) => {
-                self.counts.tickets.fetch_add(1, Ordering::Relaxed);
-                self.counts.ticket_micros.fetch_add((self.clock.now() - asked_at).0, Ordering::Relaxed);
-                Ok(ticket)
+        match permit_response {
+            PermitResponse::Granted(permit) => {
+                self.counts.permits.fetch_add(1, Ordering::Relaxed);
+                self.counts.permit_micros.fetch_add((self.clock.now() - requested_at).0, Ordering::Relaxed);
+                Ok(permit)
             }
-            TicketAnswer::Refused { reason, retry_after, is_full, is_missing } => {
+            PermitResponse::Refused { reason, retry_after, is_full, is_missing } => {
                 let status = match (is_missing, is_full) {
                     (true, _) => StatusCode::NOT_FOUND,
                     (false, true) => StatusCode::TOO_MANY_REQUESTS,
@@ -712,16 +724,16 @@
 
     fn answered(
         self: &Arc<Self>,
-        (cell_answer, mut guard, ends_at): (CellAnswer, TicketGuard, Micros),
+        (instance_response, mut guard, ends_at): (InstanceResponse, PermitGuard, Micros),
         mut held: Held,
-    ) -> FrontAnswer {
-        let CellAnswer { status, headers, body, rest } = cell_answer;
-        let mut answer: FrontAnswer = match rest {
+    ) -> GatewayResponse {
+        let InstanceResponse { status, headers, body, rest } = instance_response;
+        let mut response: GatewayResponse = match rest {
             None => {
                 guard.done(RAN);
                 held.grow(body.len());
                 self.counts.answered.fetch_add(1, Ordering::Relaxed);
-                Response::with_body(status, BoxBody::new(WholeBody { body: Some(body), _held: held }))
+                Response::with_body(status, BoxBody::new(BufferedBody { body: Some(body), _held: held }))
             }
             Some((rest, length)) => {
                 held.grow(body.len());
@@ -738,32 +750,33 @@
             }
         };
         for (name, value) in headers {
-            answer.headers_mut().append(name, value);
+            response.headers_mut().append(name, value);
         }
-        if let Some(outcome_name) = &self.settings.dispatch.dialect.outcome {
-            answer.headers_mut().insert(outcome_name.clone(), HeaderValue::from_static("ran"));
+        if let Some(outcome_name) = &self.settings.dispatch.header_conventions.outcome {
+            response.headers_mut().insert(outcome_name.clone(), HeaderValue::from_static("ran"));
         }
-        answer
+        response
     }
 
-    fn refused(&self, chart: &CallChart, refusal: Refusal) -> FrontAnswer {
-        let is_unknown = chart.state() == CallState::Unknown;
-        let outcome = outcome_name(chart);
+    fn refused(&self, state_machine: &CallStateMachine, refusal: Refusal) -> GatewayResponse {
+        let is_unknown = state_machine.state() == CallState::Unknown;
+        let outcome = outcome_name(state_machine);
         let count = if is_unknown { &self.counts.unknown } else { &self.counts.refused };
         count.fetch_add(1, Ordering::Relaxed);
         let mut document = json!({ "outcome": outcome, "reason": refusal.reason });
         if let Some(retry_after) = refusal.retry_after.filter(|_| !is_unknown) {
             document["retry_after_ms"] = json!(retry_after.millis());
         }
-        let mut answer: FrontAnswer = Response::with_body(refusal.status, BoxBody::new(document.to_string()));
-        let headers = answer.headers_mut();
+        let mut response: GatewayResponse =
+            Response::with_body(refusal.status, BoxBody::new(document.to_string()));
+        let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let dialect = &self.settings.dispatch.dialect;
-        if let Some(outcome_name) = &dialect.outcome {
+        let header_conventions = &self.settings.dispatch.header_conventions;
+        if let Some(outcome_name) = &header_conventions.outcome {
             headers.insert(outcome_name.clone(), HeaderValue::from_static(outcome));
         }
         if let Some(retry_after) = refusal.retry_after.filter(|_| !is_unknown) {
-            let seconds = match dialect.fractional_retry_after {
+            let seconds = match header_conventions.fractional_retry_after {
                 true => format!("{:.3}", retry_after.0.max(1_000) as f64 / 1e6),
                 false => retry_after.0.div_ceil(1_000_000).max(1).to_string(),
             };
@@ -771,7 +784,7 @@
                 headers.insert(header::RETRY_AFTER, seconds_value);
             }
         }
-        answer
+        response
     }
 }
 
@@ -779,14 +792,14 @@
 const NOT_READY_PAUSE: Micros = Micros::from_millis(200);
 
 /// How a ticket is returned when its dispatch ends and the call has ended before.
-fn how_without_client(outcome: &DispatchOutcome) -> u8 {
+fn outcome_without_client(outcome: &DispatchOutcome) -> u8 {
     match outcome {
-        DispatchOutcome::Answered(cell_answer) if cell_answer.rest.is_none() => RAN,
+        DispatchOutcome::Answered(instance_response) if instance_response.rest.is_none() => RAN,
         // A long answer whose rest nobody reads.
         DispatchOutcome::Answered(_) | DispatchOutcome::Abandoned => ABANDONED,
         DispatchOutcome::Withdrawn => UNUSED,
         DispatchOutcome::NotRun => NOT_RUN,
-        DispatchOutcome::TurnedAway => TURNED_AWAY,
+        DispatchOutcome::RefusedBusy => REFUSED_BUSY,
         DispatchOutcome::Unknown(_) | DispatchOutcome::TimedOut => UNKNOWN,
     }
 }
@@ -800,8 +813,8 @@
 }
 
 /// What visitors are told of their call's end.
-fn outcome_name(chart: &CallChart) -> &'static str {
-    match chart.state() {
+fn outcome_name(state_machine: &CallStateMachine) -> &'static str {
+    match state_machine.state() {
         CallState::Answered => "ran",
         CallState::Unknown => "unknown",
         _ => "not_run",
@@ -814,18 +827,18 @@
 fn begun_record(request: &Request, now: Micros) -> RecordedCall {
     RecordedCall {
         at_micros: now.0,
-        lane: String::new(),
+        route: String::new(),
         method: request.method().to_string(),
         path: request.path().to_owned(),
-        size: told_body_bytes(request).unwrap_or(0),
+        size: declared_body_bytes(request).unwrap_or(0),
         status: 0,
         outcome: String::new(),
         latency_micros: 0,
     }
 }
 
-fn no_time_left(chart: &CallChart) -> Refusal {
-    match chart.state() {
+fn no_time_left(state_machine: &CallStateMachine) -> Refusal {
+    match state_machine.state() {
         CallState::Unknown => Refusal::new(StatusCode::GATEWAY_TIMEOUT, "no time left", None),
         _ => Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no time left", Some(Micros::from_secs(1))),
     }
--- a/packages/gateway/src/front/admission/tests.rs
+++ b/packages/gateway/src/gateway/admission/tests.rs
@@ -2,26 +2,26 @@
 use actix_http::header::{HeaderName, HeaderValue};
 
 #[test]
-fn a_tenants_rank_goes_before_every_lanes_and_both_are_capped() {
+fn a_tenants_rank_goes_before_every_routes_and_both_are_capped() {
     let ranks = [(None, 0, 0), (None, 7, 7), (Some(0), 255, 255), (Some(0), 1_000, 255), (Some(1), 0, 256)];
-    for (tenant, lane, rank) in ranks {
-        assert_eq!(ticket_rank(tenant, lane), rank, "{tenant:?} {lane}");
+    for (tenant, route, rank) in ranks {
+        assert_eq!(permit_rank(tenant, route), rank, "{tenant:?} {route}");
     }
-    assert_eq!(ticket_rank(Some(255), 255), u16::MAX);
-    assert_eq!(ticket_rank(Some(u32::MAX), u32::MAX), u16::MAX);
+    assert_eq!(permit_rank(Some(255), 255), u16::MAX);
+    assert_eq!(permit_rank(Some(u32::MAX), u32::MAX), u16::MAX);
     let ordered: Vec<u16> =
-        (0..=255).flat_map(|tenant| (0..=256).map(move |lane| ticket_rank(Some(tenant), lane))).collect();
+        (0..=255).flat_map(|tenant| (0..=256).map(move |route| permit_rank(Some(tenant), route))).collect();
     assert!(ordered.is_sorted(), "up to the cap a worse rank never goes before a better one");
 }
 
 fn presented(values: &[&[u8]]) -> PresentedKey {
-    let dialect = CallDialect::default();
+    let header_conventions = HeaderConventions::default();
     let mut headers = HeaderMap::new();
     for value in values {
         let value = HeaderValue::from_bytes(value).expect("a value");
         headers.append(HeaderName::from_static("x-vanelane-api-key"), value);
     }
-    PresentedKey::of(&headers, &dialect)
+    PresentedKey::of(&headers, &header_conventions)
 }
 
 #[test]
@@ -38,8 +38,8 @@
     for repeated in [[&b"key"[..], b"key"], [b"key", b""], [b"", b""]] {
         assert_eq!(presented(&repeated), PresentedKey::Malformed);
     }
-    let no_words = CallDialect { api_key: None, ..CallDialect::default() };
-    assert_eq!(PresentedKey::of(&HeaderMap::new(), &no_words), PresentedKey::Absent);
+    let no_conventions = HeaderConventions { api_key: None, ..HeaderConventions::default() };
+    assert_eq!(PresentedKey::of(&HeaderMap::new(), &no_conventions), PresentedKey::Absent);
 }
 
 /// Guards against keys in logs: what is kept of a call while it waits does not print its key.
--- a/packages/gateway/src/front/open_calls.rs
+++ b/packages/gateway/src/gateway/open_calls.rs
@@ -4,21 +4,24 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Calls under way at one moment. Example: `front.open_calls_by_stage().at_cell`.
+/// Calls under way at one moment. Example: `gateway.open_calls_by_stage().at_instance`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCalls {
     /// All of them: those whose request is read or whose answer leaves are in neither count below.
     pub all: usize,
     /// Asked for a ticket and got none yet: they reached no cell in this try.
-    pub awaiting_ticket: usize,
+    pub awaiting_permit: usize,
     /// A cell was sent the call, or is being connected to.
-    pub at_cell: usize,
+    pub at_instance: usize,
 }
 
 impl fmt::Display for OpenCalls {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let OpenCalls { all, awaiting_ticket, at_cell } = self;
-        write!(formatter, "{all} calls open ({awaiting_ticket} wait for a ticket, {at_cell} are at a cell)")
+        let OpenCalls { all, awaiting_permit, at_instance } = self;
+        write!(
+            formatter,
+            "{all} calls open ({awaiting_permit} wait for a ticket, {at_instance} are at a cell)"
+        )
     }
 }
 
--- a/packages/gateway/src/front/planned_stop.rs
+++ b/packages/gateway/src/gateway/planned_stop.rs
@@ -5,9 +5,9 @@
 use tokio::sync::watch;
 
 /// The part of a stop's time kept for answers to leave, and its bounds: a busy machine needs a while to write them.
-const ANSWERS_LEAVE_PART: u32 = 10;
-const ANSWERS_LEAVE_AT_LEAST: Duration = Duration::from_millis(50);
-const ANSWERS_LEAVE_AT_MOST: Duration = Duration::from_millis(500);
+const RESPONSES_LEAVE_SHARE: u32 = 10;
+const RESPONSES_LEAVE_AT_LEAST: Duration = Duration::from_millis(50);
+const RESPONSES_LEAVE_AT_MOST: Duration = Duration::from_millis(500);
 
 /// When calls end at the latest on a node that stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,15 +15,18 @@
     /// From then on no call is sent to a cell: those that wait for a ticket are refused.
     dispatch_until: Micros,
     /// From then on no cell is waited for: calls at a cell get an answer of unknown fate.
-    answer_until: Micros,
+    response_until: Micros,
 }
 
 impl StopDeadlines {
     /// The first half of a stop may still begin work, the second half is for work to end.
     fn of_a_stop(began: Micros, within: Duration) -> StopDeadlines {
-        let leave = (within / ANSWERS_LEAVE_PART).clamp(ANSWERS_LEAVE_AT_LEAST, ANSWERS_LEAVE_AT_MOST);
+        let leave = (within / RESPONSES_LEAVE_SHARE).clamp(RESPONSES_LEAVE_AT_LEAST, RESPONSES_LEAVE_AT_MOST);
         let after = |span: Duration| began + Micros(span.as_micros() as u64);
-        StopDeadlines { dispatch_until: after(within / 2), answer_until: after(within.saturating_sub(leave)) }
+        StopDeadlines {
+            dispatch_until: after(within / 2),
+            response_until: after(within.saturating_sub(leave)),
+        }
     }
 }
 
@@ -55,13 +58,13 @@
     }
 
     /// Returns when no cell may be waited for any more.
-    pub(super) async fn answers_are_due(&self, clock: &MonotonicClock) {
-        self.reached(clock, |deadlines| deadlines.answer_until).await;
+    pub(super) async fn responses_are_due(&self, clock: &MonotonicClock) {
+        self.reached(clock, |deadlines| deadlines.response_until).await;
     }
 
     async fn reached(&self, clock: &MonotonicClock, deadline: impl Fn(&StopDeadlines) -> Micros) {
-        let mut told = self.0.subscribe();
-        let until = match told.wait_for(Option::is_some).await {
+        let mut reported = self.0.subscribe();
+        let until = match reported.wait_for(Option::is_some).await {
             Ok(deadlines) => deadlines.as_ref().map(&deadline),
             Err(_) => None,
         };
--- a/packages/gateway/src/front/request_facts.rs
+++ b/packages/gateway/src/gateway/request_facts.rs
@@ -1,37 +1,37 @@
 //! What the front reads from a request's head.
 
-use crate::call_dialect::CallDialect;
-use crate::lane_table::{LaneRow, LaneTable};
+use crate::header_conventions::HeaderConventions;
+use crate::route_table::{RouteEntry, RouteTable};
 use actix_http::header;
 use actix_http::{HttpMessage, Request};
 use monotonic_clock::Micros;
 
 /// What lanes are matched by; kept, since a newer generation may come while the call waits.
-pub(super) struct CallPlace {
+pub(super) struct RequestTarget {
     method: String,
     host: Option<String>,
     path: String,
 }
 
-impl CallPlace {
-    pub(super) fn of(request: &Request) -> CallPlace {
+impl RequestTarget {
+    pub(super) fn of(request: &Request) -> RequestTarget {
         let host_value = request.headers().get(header::HOST).and_then(|value| value.to_str().ok());
-        CallPlace {
+        RequestTarget {
             method: request.method().as_str().to_owned(),
             host: host_value.or_else(|| request.uri().host()).map(str::to_owned),
             path: request.path().to_owned(),
         }
     }
 
-    pub(super) fn find<'lanes>(&self, lanes: &'lanes LaneTable) -> Option<&'lanes LaneRow> {
-        lanes.find(&self.method, self.host.as_deref(), &self.path)
+    pub(super) fn find<'lanes>(&self, routes: &'lanes RouteTable) -> Option<&'lanes RouteEntry> {
+        routes.find(&self.method, self.host.as_deref(), &self.path)
     }
 }
 
 /// The length that a request tells of its body.
-pub(super) fn told_body_bytes(request: &Request) -> Option<u64> {
-    let told = request.headers().get(header::CONTENT_LENGTH)?;
-    told.to_str().ok()?.trim().parse().ok()
+pub(super) fn declared_body_bytes(request: &Request) -> Option<u64> {
+    let reported = request.headers().get(header::CONTENT_LENGTH)?;
+    reported.to_str().ok()?.trim().parse().ok()
 }
 
 /// The least number of bytes that this head takes on the wire.
@@ -50,11 +50,15 @@
 }
 
 /// The lane's patience, or less if the visitor or a calling cell names less.
-pub(super) fn time_left(request: &Request, lane: &LaneRow, dialect: &CallDialect) -> Micros {
+pub(super) fn time_left(
+    request: &Request,
+    route: &RouteEntry,
+    header_conventions: &HeaderConventions,
+) -> Micros {
     let named = request
         .headers()
-        .get(&dialect.time_left)
+        .get(&header_conventions.time_left)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.trim().parse::<u64>().ok());
-    named.map_or(lane.patience, |millis| lane.patience.min(Micros(millis.saturating_mul(1_000))))
+    named.map_or(route.timeout, |millis| route.timeout.min(Micros(millis.saturating_mul(1_000))))
 }
--- a/packages/gateway/src/front/answer_bodies.rs
+++ b/packages/gateway/src/gateway/response_bodies.rs
@@ -1,7 +1,7 @@
 //! The bodies of answers on their way to visitors.
 
-use super::call_guards::{Held, TicketGuard};
-use crate::cell_dispatch::AnswerRest;
+use super::call_guards::{Held, PermitGuard};
+use crate::instance_dispatch::ResponseRest;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
 use function_scheduler::{RAN, UNKNOWN};
@@ -11,12 +11,12 @@
 use std::task::{Context, Poll};
 
 /// A whole answer that keeps its memory counted until it is handed over.
-pub(super) struct WholeBody {
+pub(super) struct BufferedBody {
     pub(super) body: Option<Bytes>,
     pub(super) _held: Held,
 }
 
-impl MessageBody for WholeBody {
+impl MessageBody for BufferedBody {
     type Error = std::convert::Infallible;
 
     fn size(&self) -> BodySize {
@@ -35,10 +35,10 @@
 /// connection off instead of ending the answer cleanly.
 pub(super) struct StreamedBody {
     pub(super) begun: Option<Bytes>,
-    pub(super) rest: Box<AnswerRest>,
+    pub(super) rest: Box<ResponseRest>,
     pub(super) length: Option<u64>,
     pub(super) passed: u64,
-    pub(super) guard: TicketGuard,
+    pub(super) guard: PermitGuard,
     pub(super) _held: Held,
     pub(super) ends: Pin<Box<tokio::time::Sleep>>,
 }
@@ -46,7 +46,7 @@
 impl StreamedBody {
     fn cut(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
         self.guard.done(UNKNOWN);
-        self.guard.front.counts.cut_answers.fetch_add(1, Ordering::Relaxed);
+        self.guard.gateway.counts.cut_responses.fetch_add(1, Ordering::Relaxed);
         Poll::Ready(Some(Err(std::io::Error::other("the cell's answer was cut"))))
     }
 }
@@ -77,7 +77,7 @@
             }
             Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.passed) => {
                 self.guard.done(RAN);
-                self.guard.front.counts.answered.fetch_add(1, Ordering::Relaxed);
+                self.guard.gateway.counts.answered.fetch_add(1, Ordering::Relaxed);
                 Poll::Ready(None)
             }
             Poll::Ready(_) => self.cut(),
--- a/packages/gateway/src/call_dialect.rs
+++ b/packages/gateway/src/header_conventions.rs
@@ -2,13 +2,13 @@
 use actix_http::header::HeaderName;
 
 /// The headers by which visitors, cells and this front speak: plain data, so that a platform with
-/// other words needs other data and no other code. Example: `CallDialect::default().time_left`.
+/// other words needs other data and no other code. Example: `HeaderConventions::default().time_left`.
 #[derive(Clone, Debug)]
-pub struct CallDialect {
+pub struct HeaderConventions {
     /// Carries the time left in milliseconds, from visitors and to cells.
     pub time_left: HeaderName,
     /// Names the cell a dispatch is meant for; every other cell answers 421.
-    pub cell: HeaderName,
+    pub instance: HeaderName,
     /// Names the function a dispatch is meant for.
     pub function: Option<HeaderName>,
     /// Tells visitors how their call ended: `ran`, `not_run` or `unknown`.
@@ -29,10 +29,10 @@
     pub own_prefix: &'static str,
 }
 
-impl CallDialect {
+impl HeaderConventions {
     /// Whether visitors read this status alone as a promise that the call did not run and never will.
     /// Where an outcome header tells it, no status does.
-    /// Example: `dialect.promises_not_run(StatusCode::TOO_MANY_REQUESTS)`.
+    /// Example: `header_conventions.promises_not_run(StatusCode::TOO_MANY_REQUESTS)`.
     pub fn promises_not_run(&self, status: StatusCode) -> bool {
         self.outcome.is_none() && PROMISING_STATUSES.contains(&status)
     }
@@ -45,11 +45,11 @@
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-impl Default for CallDialect {
-    fn default() -> CallDialect {
-        CallDialect {
+impl Default for HeaderConventions {
+    fn default() -> HeaderConventions {
+        HeaderConventions {
             time_left: HeaderName::from_static(crate::TIME_LEFT_HEADER),
-            cell: HeaderName::from_static(crate::CELL_HEADER),
+            instance: HeaderName::from_static(crate::INSTANCE_HEADER),
             function: Some(HeaderName::from_static(crate::FUNCTION_HEADER)),
             outcome: Some(HeaderName::from_static(crate::OUTCOME_HEADER)),
             not_run: (HeaderName::from_static(crate::OUTCOME_HEADER), Some("not_run")),
--- a/packages/gateway/src/cell_dispatch.rs
+++ b/packages/gateway/src/instance_dispatch.rs
@@ -5,9 +5,9 @@
 //! `actix-http`'s client codec reads the answer; the end of the stream before the end of the framing
 //! is seen here as a cut, never as an end.
 
-use crate::call_dialect::CallDialect;
-use crate::cell_pool::{self, CellConnection, CellStream};
-use crate::connection_use::AnswerOwner;
+use crate::connection_pool::{self, InstanceConnection, InstanceStream};
+use crate::connection_use::ResponseOwner;
+use crate::header_conventions::HeaderConventions;
 use actix_codec::Framed;
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, Message, MessageType};
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What is carried to the cell. Example: see `Front`.
+/// What is carried to the cell. Example: see `Gateway`.
 #[derive(Clone, Debug)]
 pub struct DispatchCall {
     /// The visitor's method.
@@ -44,7 +44,7 @@
     /// A running call made it.
     pub is_nested: bool,
     /// The cell named by the ticket.
-    pub cell: String,
+    pub instance: String,
     /// Where the cell listens.
     pub address: SocketAddr,
     /// The call's time left.
@@ -67,9 +67,9 @@
     /// Idle connections kept to one cell; zero closes each after its answer.
     pub idle_limit: usize,
     /// How long a connection is kept where the cell does not say how long it may idle.
-    pub idle_untold: Duration,
+    pub idle_undeclared: Duration,
     /// The headers that cells speak by.
-    pub dialect: Arc<CallDialect>,
+    pub header_conventions: Arc<HeaderConventions>,
 }
 
 impl Default for DispatchSettings {
@@ -79,17 +79,17 @@
             connect_within: Duration::from_millis(1_000),
             silence_within: Duration::from_secs(4),
             idle_limit: 0,
-            idle_untold: Duration::ZERO,
-            dialect: Arc::new(CallDialect::default()),
+            idle_undeclared: Duration::ZERO,
+            header_conventions: Arc::new(HeaderConventions::default()),
         }
     }
 }
 
 /// The rest of an answer that is longer than the buffer.
-pub type AnswerRest = Framed<TcpStream, ClientPayloadCodec>;
+pub type ResponseRest = Framed<TcpStream, ClientPayloadCodec>;
 
 /// A cell's answer: whole, or its beginning with the rest to stream.
-pub struct CellAnswer {
+pub struct InstanceResponse {
     /// The cell's status.
     pub status: StatusCode,
     /// Its headers without hop-by-hop ones.
@@ -97,17 +97,17 @@
     /// The body, or its beginning.
     pub body: Bytes,
     /// What is still to come, if the body is longer than the buffer; with its whole length if told.
-    pub rest: Option<(Box<AnswerRest>, Option<u64>)>,
+    pub rest: Option<(Box<ResponseRest>, Option<u64>)>,
 }
 
 /// How a dispatch ended. Example: `DispatchOutcome::NotRun`.
 pub enum DispatchOutcome {
     /// A whole answer, or the beginning of a long one.
-    Answered(CellAnswer),
+    Answered(InstanceResponse),
     /// The connection was refused, or the listener is not the cell meant: it did not run.
     NotRun,
     /// The cell said that it did not run the call.
-    TurnedAway,
+    RefusedBusy,
     /// Bytes may have reached the cell and no whole answer came.
     Unknown(&'static str),
     /// The same, and the call's time is over.
@@ -154,8 +154,8 @@
     call: &DispatchCall,
     settings: &DispatchSettings,
     ends_at: Instant,
-) -> Option<CellConnection> {
-    if let Some(kept) = cell_pool::take(&call.cell, call.address) {
+) -> Option<InstanceConnection> {
+    if let Some(kept) = connection_pool::check_out(&call.instance, call.address) {
         return Some(kept);
     }
     let connects_until = ends_at.min(Instant::now() + settings.connect_within);
@@ -163,14 +163,14 @@
     let stream = connecting.await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(settings.silence_within));
-    Some(CellConnection::fresh(stream))
+    Some(InstanceConnection::fresh(stream))
 }
 
 /// Sends the call and reads its answer. From here on bytes may reach the cell: nothing may say that it
 /// did not run, except the cell itself.
 async fn exchange(
     call: DispatchCall,
-    mut connection: CellConnection,
+    mut connection: InstanceConnection,
     settings: &DispatchSettings,
 ) -> DispatchOutcome {
     let is_head = call.method == Method::HEAD;
@@ -179,21 +179,22 @@
         true => BodySize::None,
         false => BodySize::Sized(body.len() as u64),
     };
-    let place = (call.cell.clone(), call.address);
+    let place = (call.instance.clone(), call.address);
     let head = request_head(call, settings);
-    let call_id = settings.dialect.call_id.as_ref().and_then(|name| head.headers.get(name).cloned());
+    let call_id =
+        settings.header_conventions.call_id.as_ref().and_then(|name| head.headers.get(name).cloned());
     connection.usage.request_sent(call_id);
     if connection.stream.write_whole(head, body_size, body).await.is_err() {
         return DispatchOutcome::Unknown("the connection broke while sending");
     }
-    read_answer(connection, is_head, place, settings).await
+    read_response(connection, is_head, place, settings).await
 }
 
 trait WriteWhole {
     async fn write_whole(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()>;
 }
 
-impl WriteWhole for CellStream {
+impl WriteWhole for InstanceStream {
     /// Head and body leave together, in one write where the connection takes it.
     async fn write_whole(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()> {
         self.feed(Message::Item((RequestHeadType::from(head), size))).await?;
@@ -212,23 +213,23 @@
 }
 
 fn request_head(call: DispatchCall, settings: &DispatchSettings) -> RequestHead {
-    let dialect = &settings.dialect;
+    let header_conventions = &settings.header_conventions;
     let mut head = RequestHead::default();
     head.method = call.method;
     head.uri = call.uri;
     head.version = Version::HTTP_11;
     head.headers = call.headers;
     let named = [
-        (dialect.function.clone(), call.function),
-        (Some(dialect.cell.clone()), call.cell),
-        (Some(dialect.time_left.clone()), call.time_left.millis().to_string()),
+        (header_conventions.function.clone(), call.function),
+        (Some(header_conventions.instance.clone()), call.instance),
+        (Some(header_conventions.time_left.clone()), call.time_left.millis().to_string()),
     ];
     for (name, value) in named {
         if let (Some(name), Ok(header_value)) = (name, HeaderValue::from_str(&value)) {
             head.headers.insert(name, header_value);
         }
     }
-    if let (Some(name), Some(tenant)) = (&dialect.tenant, call.tenant)
+    if let (Some(name), Some(tenant)) = (&header_conventions.tenant, call.tenant)
         && let Ok(header_value) = HeaderValue::from_str(&tenant)
     {
         head.headers.insert(name.clone(), header_value);
@@ -244,33 +245,33 @@
 }
 
 /// How an answer's body is told to end.
-struct AnswerFraming {
-    told_length: Option<u64>,
+struct ResponseFraming {
+    declared_length: Option<u64>,
     has_no_body: bool,
 }
 
 /// The framing of an answer, unless it is ambiguous or ends with the connection alone.
-fn framing(head: &ResponseHead, is_head: bool) -> Result<AnswerFraming, &'static str> {
+fn framing(head: &ResponseHead, is_head: bool) -> Result<ResponseFraming, &'static str> {
     let lengths: Vec<&HeaderValue> = head.headers.get_all(header::CONTENT_LENGTH).collect();
-    let told_length: Option<u64> =
+    let declared_length: Option<u64> =
         lengths.first().and_then(|value| value.to_str().ok()).and_then(|text| text.trim().parse().ok());
     let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
     let has_no_body = is_head
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED
-        || (told_length == Some(0) && !is_chunked);
+        || (declared_length == Some(0) && !is_chunked);
     if lengths.len() > 1 || (is_chunked && !lengths.is_empty()) {
         return Err("the answer's length is told twice");
     }
-    if !has_no_body && told_length.is_none() && !is_chunked {
+    if !has_no_body && declared_length.is_none() && !is_chunked {
         return Err("the answer is framed by the connection's end alone");
     }
-    Ok(AnswerFraming { told_length, has_no_body })
+    Ok(ResponseFraming { declared_length, has_no_body })
 }
 
 /// Whether the answer says that the cell did not run the call.
-fn says_not_run(head: &ResponseHead, dialect: &CallDialect) -> bool {
-    let (name, meant) = &dialect.not_run;
+fn reports_not_run(head: &ResponseHead, header_conventions: &HeaderConventions) -> bool {
+    let (name, meant) = &header_conventions.not_run;
     let is_said = head
         .headers
         .get(name)
@@ -278,14 +279,14 @@
     is_said && !head.status.is_success()
 }
 
-async fn read_answer(
-    connection: CellConnection,
+async fn read_response(
+    connection: InstanceConnection,
     is_head: bool,
-    (cell, address): (String, SocketAddr),
+    (instance, address): (String, SocketAddr),
     settings: &DispatchSettings,
 ) -> DispatchOutcome {
-    let dialect = &settings.dialect;
-    let CellConnection { mut stream, mut usage } = connection;
+    let header_conventions = &settings.header_conventions;
+    let InstanceConnection { mut stream, mut usage } = connection;
     loop {
         let head: ResponseHead = match stream.next().await {
             Some(Ok(head)) => head,
@@ -296,26 +297,26 @@
             return DispatchOutcome::Unknown("an answer that nobody asked for");
         }
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-        let was_not_run = says_not_run(&head, dialect);
-        let answered_id = dialect.call_id.as_ref().and_then(|name| head.headers.get(name));
-        let owner = usage.answer_began(answered_id, was_not_run || is_misdirected);
-        if owner == AnswerOwner::Nobody {
+        let was_not_run = reports_not_run(&head, header_conventions);
+        let answered_id = header_conventions.call_id.as_ref().and_then(|name| head.headers.get(name));
+        let owner = usage.response_began(answered_id, was_not_run || is_misdirected);
+        if owner == ResponseOwner::Nobody {
             return DispatchOutcome::Unknown("an answer that nobody asked for");
         }
-        let is_awaited = owner == AnswerOwner::Awaited;
+        let is_awaited = owner == ResponseOwner::Awaited;
         if is_awaited && is_misdirected {
             return DispatchOutcome::NotRun;
         }
-        if is_awaited && !was_not_run && dialect.promises_not_run(head.status) {
+        if is_awaited && !was_not_run && header_conventions.promises_not_run(head.status) {
             return DispatchOutcome::Unknown("a status that promises what the cell does not say");
         }
-        let AnswerFraming { told_length, has_no_body } = match framing(&head, is_head) {
+        let ResponseFraming { declared_length, has_no_body } = match framing(&head, is_head) {
             Ok(framing) => framing,
             Err(reason) => return DispatchOutcome::Unknown(reason),
         };
         let status = head.status;
         let idle_span = idle_span(&head, settings);
-        let headers = end_to_end(head.headers(), dialect.own_prefix);
+        let headers = end_to_end(head.headers(), header_conventions.own_prefix);
         let is_bodiless = has_no_body || stream.codec_ref().message_type() == MessageType::None;
         let (body, back) = if is_bodiless {
             (Bytes::new(), stream)
@@ -335,11 +336,11 @@
                 if !is_awaited {
                     return DispatchOutcome::Unknown("an answer that nobody asked for");
                 }
-                let rest = Some((Box::new(payload), told_length));
+                let rest = Some((Box::new(payload), declared_length));
                 let body = body.freeze();
-                return DispatchOutcome::Answered(CellAnswer { status, headers, body, rest });
+                return DispatchOutcome::Answered(InstanceResponse { status, headers, body, rest });
             }
-            if told_length.is_some_and(|length| length != body.len() as u64) {
+            if declared_length.is_some_and(|length| length != body.len() as u64) {
                 return DispatchOutcome::Unknown("the answer's length differs from what it says");
             }
             (body.freeze(), payload.into_map_codec(ClientPayloadCodec::into_message_codec))
@@ -349,12 +350,12 @@
             stream = back;
             continue;
         }
-        let connection = CellConnection { stream: back, usage };
-        cell_pool::give_back(&cell, address, connection, idle_span, settings.idle_limit);
+        let connection = InstanceConnection { stream: back, usage };
+        connection_pool::put_back(&instance, address, connection, idle_span, settings.idle_limit);
         if was_not_run {
-            return DispatchOutcome::TurnedAway;
+            return DispatchOutcome::RefusedBusy;
         }
-        return DispatchOutcome::Answered(CellAnswer { status, headers, body, rest: None });
+        return DispatchOutcome::Answered(InstanceResponse { status, headers, body, rest: None });
     }
 }
 
@@ -367,11 +368,11 @@
     if closes || head.version != Version::HTTP_11 {
         return Duration::ZERO;
     }
-    let told = head.headers.get(header::HeaderName::from_static("keep-alive"));
-    let seconds = told.and_then(|value| value.to_str().ok()).and_then(|text| {
+    let reported = head.headers.get(header::HeaderName::from_static("keep-alive"));
+    let seconds = reported.and_then(|value| value.to_str().ok()).and_then(|text| {
         text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok())
     });
-    seconds.map_or(settings.idle_untold, |seconds| Duration::from_millis(seconds.min(3_600) * 700))
+    seconds.map_or(settings.idle_undeclared, |seconds| Duration::from_millis(seconds.min(3_600) * 700))
 }
 
 const HOP_BY_HOP: &[&str] = &[
--- a/packages/gateway/src/lib.rs
+++ b/packages/gateway/src/lib.rs
@@ -1,24 +1,26 @@
 //! The way of a call through a node: lane, ticket, dispatch, answer.
 //!
 //! The lane table is swapped by read-copy-update and counters are atomics: no lock is taken on the
-//! way. The node's protocol is reached through [`FrontLink`] messages.
+//! way. The node's protocol is reached through [`GatewayMessage`] messages.
 
-mod call_chart;
-mod call_dialect;
-mod cell_dispatch;
-mod cell_pool;
+mod call_state_machine;
+mod connection_pool;
 mod connection_use;
-mod front;
-mod lane_table;
+mod gateway;
+mod header_conventions;
+mod instance_dispatch;
 mod recording;
+mod route_table;
 
-pub use call_chart::{CallChart, CallState, DispatchEnd, NextStep};
-pub use call_dialect::CallDialect;
-pub use cell_dispatch::{CellAnswer, DispatchCall, DispatchOutcome, DispatchSettings, dispatch};
-pub use connection_use::{AnswerEnd, AnswerOwner, ConnectionUse, IdleCheck};
-pub use front::{Front, FrontAnswer, FrontCounts, FrontLink, FrontSettings, OpenCalls, TicketAnswer};
-pub use lane_table::{LaneRow, LaneTable, TenantRow};
+pub use call_state_machine::{CallState, CallStateMachine, DispatchEnd, NextStep};
+pub use connection_use::{ConnectionUse, IdleCheck, ResponseEnd, ResponseOwner};
+pub use gateway::{
+    Gateway, GatewayCounters, GatewayMessage, GatewayResponse, GatewaySettings, OpenCalls, PermitResponse,
+};
+pub use header_conventions::HeaderConventions;
+pub use instance_dispatch::{DispatchCall, DispatchOutcome, DispatchSettings, InstanceResponse, dispatch};
 pub use recording::{RecordedCall, Recorder};
+pub use route_table::{RouteEntry, RouteTable, TenantEntry};
 
 /// The header that says how the call ended: `ran`, `not_run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-vanelane-outcome";
@@ -27,7 +29,7 @@
 /// The header that names the function a dispatch is meant for.
 pub const FUNCTION_HEADER: &str = "x-vanelane-function";
 /// The header that names the cell a dispatch is meant for.
-pub const CELL_HEADER: &str = "x-vanelane-cell";
+pub const INSTANCE_HEADER: &str = "x-vanelane-cell";
 /// The header that carries a visitor's API key; it never goes on to a cell.
 pub const API_KEY_HEADER: &str = "x-vanelane-api-key";
 /// The header that tells a cell whose call it runs.
--- a/packages/gateway/src/recording.rs
+++ b/packages/gateway/src/recording.rs
@@ -12,7 +12,8 @@
     /// When the call came, in microseconds of the recording node.
     pub at_micros: u64,
     /// The lane that took it; empty for none.
-    pub lane: String,
+    #[serde(rename = "lane")]
+    pub route: String,
     /// Its method.
     pub method: String,
     /// Its path without the query.
--- a/packages/gateway/src/lane_table.rs
+++ b/packages/gateway/src/route_table.rs
@@ -1,5 +1,5 @@
 use configuration_schema::{
-    ApiKey, Configuration, ConfigurationDelta, Function, Lane, Tenant, VisitorLimits,
+    ApiKey, ClientLimits, Configuration, ConfigurationDelta, Function, Route, Tenant,
 };
 use imbl::HashMap;
 use monotonic_clock::Micros;
@@ -7,7 +7,7 @@
 
 /// A lane as calls are matched to it. Example: `table.find("POST", None, "/proof/1").unwrap().function`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LaneRow {
+pub struct RouteEntry {
     /// The lane's name.
     pub name: String,
     /// Where its calls go; the first of the split where it is split.
@@ -25,18 +25,18 @@
     /// Whether a call of unknown fate may be dispatched again.
     pub repeatable: bool,
     /// How long its calls may take.
-    pub patience: Micros,
+    pub timeout: Micros,
     host: Option<String>,
     methods: Vec<String>,
     prefix: String,
 }
 
-impl LaneRow {
-    /// The function for one call: by weight where the lane is split. `draw` is within 0 and 1.
+impl RouteEntry {
+    /// The function for one call: by weight where the lane is split. `random` is within 0 and 1.
     /// Example: a lane split 3 to 1 picks its first function for draws below 0.75.
-    pub fn pick(&self, draw: f64) -> &str {
+    pub fn pick(&self, random: f64) -> &str {
         let total: f64 = self.split.iter().map(|(_, weight)| weight).sum();
-        let mut left = draw * total;
+        let mut left = random * total;
         for (function, weight) in &self.split {
             left -= weight;
             if left < 0.0 {
@@ -52,25 +52,25 @@
     }
 }
 
-impl LaneRow {
-    fn new(name: &str, lane: &Lane) -> LaneRow {
-        let shares = lane.shares();
-        LaneRow {
+impl RouteEntry {
+    fn new(name: &str, route: &Route) -> RouteEntry {
+        let shares = route.shares();
+        RouteEntry {
             name: name.to_owned(),
             function: shares.first().map_or_else(String::new, |(function, _)| (*function).to_owned()),
-            split: match lane.split.is_empty() {
+            split: match route.split.is_empty() {
                 true => Vec::new(),
                 false => shares.into_iter().map(|(function, part)| (function.to_owned(), part)).collect(),
             },
-            dispatch_limit: lane.dispatch_limit,
-            target: lane.target_millis.map(Micros::from_millis),
-            rank: lane.rank,
-            is_public: lane.is_public,
-            repeatable: lane.repeatable,
-            patience: Micros::from_millis(lane.patience_millis),
-            host: lane.host.clone(),
-            methods: lane.methods.clone(),
-            prefix: lane.path_prefix.trim_end_matches('/').to_owned(),
+            dispatch_limit: route.dispatch_limit,
+            target: route.target_millis.map(Micros::from_millis),
+            rank: route.rank,
+            is_public: route.is_public,
+            repeatable: route.repeatable,
+            timeout: Micros::from_millis(route.timeout_millis),
+            host: route.host.clone(),
+            methods: route.methods.clone(),
+            prefix: route.path_prefix.trim_end_matches('/').to_owned(),
         }
     }
 
@@ -82,7 +82,7 @@
 
 /// A tenant as calls are told by its keys. Example: `table.tenant_of("k1").unwrap().name`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TenantRow {
+pub struct TenantEntry {
     /// The tenant's name.
     pub name: Arc<str>,
     /// Goes before the rank of lanes; zero is served first.
@@ -91,41 +91,41 @@
 
 /// What one cell of a function takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct CellLimits {
+struct InstanceLimits {
     /// Connections, from all nodes together, where they are bounded.
     connections: Option<u32>,
     calls_at_once: u32,
 }
 
 /// All lanes of one generation, by path prefix. Its maps are persistent: the table of the next generation
-/// shares with this one all that did not change. Example: `LaneTable::new(4, &configuration)`.
+/// shares with this one all that did not change. Example: `RouteTable::new(4, &configuration)`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LaneTable {
+pub struct RouteTable {
     /// The configuration's generation.
     pub generation: u64,
     /// Bounds on visitors, as far as the configuration names them.
-    pub visitor_limits: Option<VisitorLimits>,
-    cell_limits: HashMap<String, CellLimits>,
-    by_prefix: HashMap<String, Arc<Vec<LaneRow>>>,
+    pub client_limits: Option<ClientLimits>,
+    instance_limits: HashMap<String, InstanceLimits>,
+    by_prefix: HashMap<String, Arc<Vec<RouteEntry>>>,
     /// The prefix under which each lane stands.
     prefixes: HashMap<String, String>,
     /// Whether calls on lanes that are not public need a key.
     needs_keys: bool,
-    tenants_by_key: HashMap<ApiKey, TenantRow>,
+    tenants_by_key: HashMap<ApiKey, TenantEntry>,
     /// The keys under which each tenant stands.
     tenant_keys: HashMap<String, Vec<ApiKey>>,
 }
 
-impl LaneTable {
-    /// Lays out a configuration's lanes. Example: `LaneTable::new(0, &Configuration::empty())`.
-    pub fn new(generation: u64, configuration: &Configuration) -> LaneTable {
-        let mut table = LaneTable {
+impl RouteTable {
+    /// Lays out a configuration's lanes. Example: `RouteTable::new(0, &Configuration::empty())`.
+    pub fn new(generation: u64, configuration: &Configuration) -> RouteTable {
+        let mut table = RouteTable {
             generation,
-            visitor_limits: configuration.visitor_limits.clone(),
-            ..LaneTable::default()
+            client_limits: configuration.client_limits.clone(),
+            ..RouteTable::default()
         };
-        for (name, lane) in &configuration.lanes {
-            table.put_lane(name, lane);
+        for (name, route) in &configuration.routes {
+            table.put_route(name, route);
         }
         for (name, function) in &configuration.functions {
             table.put_function(name, function);
@@ -138,8 +138,8 @@
     }
 
     /// Becomes the table of a later generation: by what changed since this one, where the deltas tell all of
-    /// it, and anew otherwise. Example: `table.take_changed(5, &configuration, &deltas)`.
-    pub fn take_changed(
+    /// it, and anew otherwise. Example: `table.apply_changes(5, &configuration, &deltas)`.
+    pub fn apply_changes(
         &mut self,
         generation: u64,
         configuration: &Configuration,
@@ -147,26 +147,26 @@
     ) {
         for delta in deltas {
             if delta.base_generation == self.generation {
-                self.take_delta(delta);
+                self.apply_delta(delta);
             }
         }
         if self.generation != generation {
-            *self = LaneTable::new(generation, configuration);
+            *self = RouteTable::new(generation, configuration);
         }
     }
 
-    fn take_delta(&mut self, delta: &ConfigurationDelta) {
+    fn apply_delta(&mut self, delta: &ConfigurationDelta) {
         self.generation = delta.generation;
-        for (name, lane) in &delta.lanes {
-            self.remove_lane(name);
-            if let Some(lane) = lane {
-                self.put_lane(name, lane);
+        for (name, route) in &delta.routes {
+            self.remove_route(name);
+            if let Some(route) = route {
+                self.put_route(name, route);
             }
         }
         for (name, function) in &delta.functions {
             match function {
                 Some(function) => self.put_function(name, function),
-                None => drop(self.cell_limits.remove(name)),
+                None => drop(self.instance_limits.remove(name)),
             }
         }
         // A key may go from one tenant to another in one change: all that leave go first.
@@ -180,12 +180,12 @@
         }
         self.needs_keys = delta.has_tenants.unwrap_or(self.needs_keys);
         if let Some(changed) = &delta.limits {
-            self.visitor_limits.clone_from(&changed.limits);
+            self.client_limits.clone_from(&changed.limits);
         }
     }
 
-    fn put_lane(&mut self, name: &str, lane: &Lane) {
-        let row = LaneRow::new(name, lane);
+    fn put_route(&mut self, name: &str, route: &Route) {
+        let row = RouteEntry::new(name, route);
         self.prefixes.insert(name.to_owned(), row.prefix.clone());
         let rows = self.by_prefix.entry(row.prefix.clone()).or_default();
         let rows = Arc::make_mut(rows);
@@ -193,7 +193,7 @@
         rows.insert(place, row);
     }
 
-    fn remove_lane(&mut self, name: &str) {
+    fn remove_route(&mut self, name: &str) {
         let Some(prefix) = self.prefixes.remove(name) else { return };
         let Some(rows) = self.by_prefix.get_mut(&prefix) else { return };
         Arc::make_mut(rows).retain(|row| row.name != name);
@@ -204,12 +204,12 @@
 
     fn put_function(&mut self, name: &str, function: &Function) {
         let limits =
-            CellLimits { connections: function.connection_limit, calls_at_once: function.calls_at_once };
-        self.cell_limits.insert(name.to_owned(), limits);
+            InstanceLimits { connections: function.connection_limit, calls_at_once: function.calls_at_once };
+        self.instance_limits.insert(name.to_owned(), limits);
     }
 
     fn put_tenant(&mut self, name: &str, tenant: &Tenant) {
-        let row = TenantRow { name: Arc::from(name), rank: tenant.rank };
+        let row = TenantEntry { name: Arc::from(name), rank: tenant.rank };
         for key in &tenant.keys {
             self.tenants_by_key.insert(key.clone(), row.clone());
         }
@@ -223,26 +223,26 @@
     }
 
     /// Whether a call on this lane needs a tenant's key. Example: `!table.needs_key(public_lane)`.
-    pub fn needs_key(&self, lane: &LaneRow) -> bool {
-        self.needs_keys && !lane.is_public
+    pub fn needs_key(&self, route: &RouteEntry) -> bool {
+        self.needs_keys && !route.is_public
     }
 
     /// The tenant that a key belongs to. Example: `table.tenant_of("k1").is_none()` for an unknown key.
-    pub fn tenant_of(&self, key: &str) -> Option<&TenantRow> {
+    pub fn tenant_of(&self, key: &str) -> Option<&TenantEntry> {
         self.tenants_by_key.get(key)
     }
 
     /// Idle connections that one of so many nodes may keep to each cell of a function.
     /// Example: 106 connections over 10 nodes, for cells of six calls at once, are six.
     pub fn idle_limit(&self, function: &str, node_count: usize) -> usize {
-        let Some(limits) = self.cell_limits.get(function) else { return 0 };
+        let Some(limits) = self.instance_limits.get(function) else { return 0 };
         let calls_at_once = limits.calls_at_once as usize;
         limits.connections.map_or(calls_at_once, |all| (all as usize / node_count.max(1)).min(calls_at_once))
     }
 
     /// The lane for a call: the longest prefix of whole segments wins.
     /// Example: `/proof` takes `/proof` and `/proof/1`, not `/proofs`.
-    pub fn find(&self, method: &str, host: Option<&str>, path: &str) -> Option<&LaneRow> {
+    pub fn find(&self, method: &str, host: Option<&str>, path: &str) -> Option<&RouteEntry> {
         // A path that names its parents could be read as another by the cell: it has no lane.
         if path.split('/').any(|segment| segment == ".." || segment == ".") {
             return None;
--- a/packages/gateway/tests/call_model.rs
+++ b/packages/gateway/tests/call_model.rs
@@ -4,11 +4,11 @@
 //! The model plays callers, stewards, network and cells. Planted faults show that each rule bites.
 
 use gateway::{
-    AnswerEnd, AnswerOwner, CallChart, CallState, ConnectionUse, DispatchEnd, IdleCheck, NextStep,
+    CallState, CallStateMachine, ConnectionUse, DispatchEnd, IdleCheck, NextStep, ResponseEnd, ResponseOwner,
 };
 use monotonic_clock::Micros;
-use node_protocol::{TicketAdmission, TicketLedger};
-use peer_messages::{Address, Ticket};
+use node_protocol::{PermitAdmission, PermitLedger};
+use peer_messages::{Address, Permit};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -21,19 +21,19 @@
 
 /// A rule that some order of events broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Breach {
+enum Violation {
     /// An unrepeatable call was sent again though it may have run, or ran twice.
     Twice,
     /// A call that was refused as not run has run, or still may.
     RefusedAndRan,
     /// An answer was handed to a call whose id it does not bear.
-    AnotherCallsAnswer,
+    AnotherCallsResponse,
     /// A connection with something to read carried another request.
     UnreadBytes,
     /// A call reached more cells than its lane allows.
-    TooManyCells,
+    TooManyInstances,
     /// One ticket was used for two dispatches.
-    TicketTwice,
+    PermitTwice,
     /// A call was sent after its time.
     TooLate,
 }
@@ -45,28 +45,28 @@
     TimeoutCountsAsNotRun,
     IdsAreIgnored,
     UnreadBytesAreIgnored,
-    OneCellMore,
-    RepeatedTicketsAreUsed,
+    OneInstanceMore,
+    RepeatedPermitsAreUsed,
     TimeIsNotLookedAt,
 }
 
 /// How far a model goes.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
-    cells: usize,
-    tickets: u64,
+    instances: usize,
+    permits: u64,
     faults: u8,
 }
 
 /// One cell, whose connections both calls use, and two faults.
-const ONE_CELL: Bounds = Bounds { cells: 1, tickets: 3, faults: 2 };
+const ONE_INSTANCE: Bounds = Bounds { instances: 1, permits: 3, faults: 2 };
 /// Two cells and one fault.
-const TWO_CELLS: Bounds = Bounds { cells: 2, tickets: 3, faults: 1 };
+const TWO_INSTANCES: Bounds = Bounds { instances: 2, permits: 3, faults: 1 };
 
 /// What stands on a connection for the front to read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bytes {
-    Answer { id: u8, says_not_run: bool },
+    Response { id: u8, reports_not_run: bool },
     Garbage,
     End,
 }
@@ -76,16 +76,16 @@
     usage: ConnectionUse<u8>,
     unread: Vec<Bytes>,
     /// The cell may still repeat its answer to this call, later.
-    extra_answer: Option<u8>,
+    extra_response: Option<u8>,
     is_fresh: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
     New,
-    WaitsForTicket,
+    WaitsForPermit,
     Dispatched {
-        cell: usize,
+        instance: usize,
         connection: Connection,
     },
     Over(CallState),
@@ -95,7 +95,7 @@
 
 #[derive(Clone, Debug)]
 struct Call {
-    chart: CallChart,
+    state_machine: CallStateMachine,
     stage: Stage,
     /// Requests of it that cells have and may still run.
     undecided: u8,
@@ -105,56 +105,62 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Model {
     bounds: Bounds,
     calls: [Call; 2],
     idle: Vec<Vec<Connection>>,
     /// Grants on their way to the node.
     grants: Vec<(usize, u64, usize)>,
-    used_tickets: Vec<u64>,
-    tickets: u64,
-    ledger: TicketLedger,
+    used_permits: Vec<u64>,
+    permits: u64,
+    ledger: PermitLedger,
     faults: u8,
     now: Micros,
 }
 
 /// The worlds that follow, or the rule that a step broke.
-type Followers = Vec<Result<World, Breach>>;
+type Followers = Vec<Result<Model, Violation>>;
 
-impl World {
-    fn begin(bounds: Bounds) -> World {
-        let call = Call { chart: CallChart::begin(), stage: Stage::New, undecided: 0, runs: 0, arrivals: 0 };
-        World {
+impl Model {
+    fn begin(bounds: Bounds) -> Model {
+        let call = Call {
+            state_machine: CallStateMachine::begin(),
+            stage: Stage::New,
+            undecided: 0,
+            runs: 0,
+            arrivals: 0,
+        };
+        Model {
             bounds,
             calls: [call.clone(), call],
-            idle: vec![Vec::new(); bounds.cells],
+            idle: vec![Vec::new(); bounds.instances],
             grants: Vec::new(),
-            used_tickets: Vec::new(),
-            tickets: 0,
-            ledger: TicketLedger::default(),
+            used_permits: Vec::new(),
+            permits: 0,
+            ledger: PermitLedger::default(),
             faults: 0,
             now: Micros(0),
         }
     }
 
     /// Rules on what has been, however it came about.
-    fn check(self) -> Result<World, Breach> {
+    fn check(self) -> Result<Model, Violation> {
         for (call, repeatable) in self.calls.iter().zip(REPEATABLE) {
             if !repeatable && call.runs > 1 {
-                return Err(Breach::Twice);
+                return Err(Violation::Twice);
             }
             let is_refused = matches!(call.stage, Stage::Over(CallState::Refused));
             if is_refused && (call.runs > 0 || call.undecided > 0) {
-                return Err(Breach::RefusedAndRan);
+                return Err(Violation::RefusedAndRan);
             }
         }
         Ok(self)
     }
 
     /// The same world with one fault more, while there may be more.
-    fn with_fault(&self) -> Option<World> {
+    fn with_fault(&self) -> Option<Model> {
         let faults = self.faults + 1;
-        (faults <= self.bounds.faults).then(|| World { faults, ..self.clone() })
+        (faults <= self.bounds.faults).then(|| Model { faults, ..self.clone() })
     }
 
     fn followers(&self, planted: Option<Planted>) -> Followers {
@@ -165,33 +171,33 @@
         for grant in 0..self.grants.len() {
             self.steps_of_grant(grant, planted, &mut followers);
         }
-        for cell in 0..self.bounds.cells {
-            self.steps_of_idle(cell, &mut followers);
+        for instance in 0..self.bounds.instances {
+            self.steps_of_idle(instance, &mut followers);
         }
         if self.now < AFTER_A_FREEZE
             && let Some(frozen) = self.with_fault()
         {
-            followers.push(Ok(World { now: AFTER_A_FREEZE, ..frozen }));
+            followers.push(Ok(Model { now: AFTER_A_FREEZE, ..frozen }));
         }
-        followers.into_iter().map(|follower| follower.and_then(World::check)).collect()
+        followers.into_iter().map(|follower| follower.and_then(Model::check)).collect()
     }
 
     fn steps_of_call(&self, call: usize, planted: Option<Planted>, followers: &mut Followers) {
         match &self.calls[call].stage {
             Stage::New => {
                 let mut next = self.clone();
-                next.calls[call].chart.step(CallState::Matched);
-                next.calls[call].chart.step(CallState::TicketAsked);
-                next.calls[call].stage = Stage::WaitsForTicket;
+                next.calls[call].state_machine.step(CallState::Matched);
+                next.calls[call].state_machine.step(CallState::PermitRequested);
+                next.calls[call].stage = Stage::WaitsForPermit;
                 followers.push(Ok(next));
             }
-            Stage::WaitsForTicket => {
+            Stage::WaitsForPermit => {
                 let under_way = self.grants.iter().any(|(granted, ..)| *granted == call);
-                if self.tickets < self.bounds.tickets && (!under_way || self.faults < self.bounds.faults) {
-                    for cell in 0..self.bounds.cells {
+                if self.permits < self.bounds.permits && (!under_way || self.faults < self.bounds.faults) {
+                    for instance in 0..self.bounds.instances {
                         let mut next = self.clone();
-                        next.tickets += 1;
-                        next.grants.push((call, next.tickets, cell));
+                        next.permits += 1;
+                        next.grants.push((call, next.permits, instance));
                         followers.push(Ok(next));
                     }
                 }
@@ -200,7 +206,7 @@
                 followers.push(Ok(next));
                 if self.now >= CALLS_END_AT {
                     let mut next = self.clone();
-                    let final_state = next.calls[call].chart.give_up();
+                    let final_state = next.calls[call].state_machine.give_up();
                     next.calls[call].stage = Stage::Over(final_state);
                     followers.push(Ok(next));
                 }
@@ -223,39 +229,39 @@
     /// A grant arrives; a fault has it arrive once more later.
     fn steps_of_grant(&self, grant: usize, planted: Option<Planted>, followers: &mut Followers) {
         let mut arrived = self.clone();
-        let (call, ticket, cell) = arrived.grants.remove(grant);
-        followers.push(arrived.take_grant(call, ticket, cell, planted));
+        let (call, permit, instance) = arrived.grants.remove(grant);
+        followers.push(arrived.take_grant(call, permit, instance, planted));
         if let Some(kept) = self.with_fault() {
-            followers.push(kept.take_grant(call, ticket, cell, planted));
+            followers.push(kept.take_grant(call, permit, instance, planted));
         }
     }
 
     fn take_grant(
         mut self,
         call: usize,
-        ticket_id: u64,
-        cell: usize,
+        permit_id: u64,
+        instance: usize,
         planted: Option<Planted>,
-    ) -> Result<World, Breach> {
-        let waits = matches!(self.calls[call].stage, Stage::WaitsForTicket);
-        let ticket = Ticket {
-            id: ticket_id,
+    ) -> Result<Model, Violation> {
+        let waits = matches!(self.calls[call].stage, Stage::WaitsForPermit);
+        let permit = Permit {
+            id: permit_id,
             granted_by: 1,
-            steward_epoch: 1,
+            leader_epoch: 1,
             function: "f".into(),
-            cell: "c".into(),
+            instance: "c".into(),
             address: Address::from(SocketAddr::from(([127, 0, 0, 1], 1))),
         };
         let now = if planted == Some(Planted::TimeIsNotLookedAt) { Micros(0) } else { self.now };
-        let mut admission = self.ledger.admit(&ticket, waits.then_some(CALLS_END_AT), false, now);
-        if planted == Some(Planted::RepeatedTicketsAreUsed) && waits {
-            admission = TicketAdmission::Used;
+        let mut admission = self.ledger.admit(&permit, waits.then_some(CALLS_END_AT), false, now);
+        if planted == Some(Planted::RepeatedPermitsAreUsed) && waits {
+            admission = PermitAdmission::Used;
         }
-        if admission != TicketAdmission::Used {
+        if admission != PermitAdmission::Used {
             return Ok(self);
         }
-        match self.calls[call].chart.ticket_came(now < CALLS_END_AT, true) {
-            NextStep::Dispatch => self.begin_dispatch(call, ticket_id, cell, planted),
+        match self.calls[call].state_machine.permit_arrived(now < CALLS_END_AT, true) {
+            NextStep::Dispatch => self.begin_dispatch(call, permit_id, instance, planted),
             NextStep::GiveUp(final_state) => {
                 self.calls[call].stage = Stage::Over(final_state);
                 Ok(self)
@@ -267,43 +273,43 @@
     fn begin_dispatch(
         mut self,
         call: usize,
-        ticket_id: u64,
-        cell: usize,
+        permit_id: u64,
+        instance: usize,
         planted: Option<Planted>,
-    ) -> Result<World, Breach> {
+    ) -> Result<Model, Violation> {
         let sent = &self.calls[call];
         if !REPEATABLE[call] && (sent.runs > 0 || sent.undecided > 0) {
-            return Err(Breach::Twice);
+            return Err(Violation::Twice);
         }
-        if self.used_tickets.contains(&ticket_id) {
-            return Err(Breach::TicketTwice);
+        if self.used_permits.contains(&permit_id) {
+            return Err(Violation::PermitTwice);
         }
         if self.now >= CALLS_END_AT {
-            return Err(Breach::TooLate);
+            return Err(Violation::TooLate);
         }
-        self.used_tickets.push(ticket_id);
+        self.used_permits.push(permit_id);
         let mut taken = None;
-        while let Some(kept) = self.idle[cell].pop() {
+        while let Some(kept) = self.idle[instance].pop() {
             let has_unread_bytes = !kept.unread.is_empty() && planted != Some(Planted::UnreadBytesAreIgnored);
             let check = IdleCheck { is_same_address: true, is_expired: false, has_unread_bytes };
-            if kept.usage.may_take_up(check) {
+            if kept.usage.may_reuse(check) {
                 taken = Some(kept);
                 break;
             }
         }
         if taken.as_ref().is_some_and(|connection| !connection.unread.is_empty()) {
-            return Err(Breach::UnreadBytes);
+            return Err(Violation::UnreadBytes);
         }
         let mut connection = taken.unwrap_or_else(|| Connection {
             usage: ConnectionUse::fresh(),
             unread: Vec::new(),
-            extra_answer: None,
+            extra_response: None,
             is_fresh: true,
         });
         connection.usage.request_sent(Some(call as u8));
         self.calls[call].undecided += 1;
         self.calls[call].arrivals += 1;
-        self.calls[call].stage = Stage::Dispatched { cell, connection };
+        self.calls[call].stage = Stage::Dispatched { instance, connection };
         Ok(self)
     }
 
@@ -312,20 +318,20 @@
         let Stage::Dispatched { connection, .. } = &self.calls[call].stage else { return };
         let id = call as u8;
         let has_replied = connection.unread.iter().any(|bytes| match bytes {
-            Bytes::Answer { id: answered, .. } => *answered == id,
+            Bytes::Response { id: answered, .. } => *answered == id,
             Bytes::Garbage | Bytes::End => true,
         });
         if !has_replied && self.calls[call].undecided > 0 {
-            let sound = Bytes::Answer { id, says_not_run: false };
+            let sound = Bytes::Response { id, reports_not_run: false };
             followers.push(Ok(self.replied(call, 1, sound)));
-            followers.push(Ok(self.replied(call, 0, Bytes::Answer { id, says_not_run: true })));
+            followers.push(Ok(self.replied(call, 0, Bytes::Response { id, reports_not_run: true })));
             if let Some(faulty) = self.with_fault() {
                 for (runs, bytes) in [(0, Bytes::End), (1, Bytes::End), (1, Bytes::Garbage)] {
                     followers.push(Ok(faulty.replied(call, runs, bytes)));
                 }
                 let mut twofold = faulty.replied(call, 1, sound);
                 if let Stage::Dispatched { connection, .. } = &mut twofold.calls[call].stage {
-                    connection.extra_answer = Some(id);
+                    connection.extra_response = Some(id);
                 }
                 followers.push(Ok(twofold));
                 if connection.is_fresh {
@@ -337,11 +343,11 @@
             }
         }
         // An answer to an earlier call comes late, in the place of this one's or behind it.
-        if let Some(earlier) = connection.extra_answer {
+        if let Some(earlier) = connection.extra_response {
             let mut next = self.clone();
             if let Stage::Dispatched { connection, .. } = &mut next.calls[call].stage {
-                connection.extra_answer = None;
-                connection.unread.push(Bytes::Answer { id: earlier, says_not_run: false });
+                connection.extra_response = None;
+                connection.unread.push(Bytes::Response { id: earlier, reports_not_run: false });
             }
             followers.push(Ok(next));
         }
@@ -359,7 +365,7 @@
     }
 
     /// The cell decides on the request and sends something.
-    fn replied(&self, call: usize, runs: u8, bytes: Bytes) -> World {
+    fn replied(&self, call: usize, runs: u8, bytes: Bytes) -> Model {
         let mut next = self.clone();
         next.calls[call].undecided -= 1;
         next.calls[call].runs += runs;
@@ -370,32 +376,32 @@
     }
 
     /// The front reads what comes first.
-    fn read_bytes(&self, call: usize, planted: Option<Planted>) -> Result<World, Breach> {
+    fn read_bytes(&self, call: usize, planted: Option<Planted>) -> Result<Model, Violation> {
         let mut next = self.clone();
-        let Stage::Dispatched { cell, connection } = &mut next.calls[call].stage else { return Ok(next) };
-        let cell = *cell;
-        let Bytes::Answer { id, says_not_run } = connection.unread.remove(0) else {
+        let Stage::Dispatched { instance, connection } = &mut next.calls[call].stage else { return Ok(next) };
+        let instance = *instance;
+        let Bytes::Response { id, reports_not_run } = connection.unread.remove(0) else {
             return next.end_dispatch(call, DispatchEnd::Unknown, planted);
         };
         let seen_id = if planted == Some(Planted::IdsAreIgnored) { call as u8 } else { id };
-        match connection.usage.answer_began(Some(&seen_id), says_not_run) {
-            AnswerOwner::Nobody => return next.end_dispatch(call, DispatchEnd::Unknown, planted),
-            AnswerOwner::Earlier => return Ok(next),
-            AnswerOwner::Awaited => {}
+        match connection.usage.response_began(Some(&seen_id), reports_not_run) {
+            ResponseOwner::Nobody => return next.end_dispatch(call, DispatchEnd::Unknown, planted),
+            ResponseOwner::Earlier => return Ok(next),
+            ResponseOwner::Awaited => {}
         }
         if usize::from(id) != call {
-            return Err(Breach::AnotherCallsAnswer);
+            return Err(Violation::AnotherCallsResponse);
         }
-        let end = AnswerEnd {
+        let end = ResponseEnd {
             has_unread_bytes: !connection.unread.is_empty(),
             has_unsent_bytes: false,
-            cell_keeps_it: true,
+            instance_keeps_alive: true,
         };
-        if connection.usage.answer_ended(end) {
+        if connection.usage.response_ended(end) {
             let kept = Connection { is_fresh: false, ..connection.clone() };
-            next.idle[cell].push(kept);
+            next.idle[instance].push(kept);
         }
-        let end = if says_not_run { DispatchEnd::TurnedAway } else { DispatchEnd::Answered };
+        let end = if reports_not_run { DispatchEnd::RefusedBusy } else { DispatchEnd::Answered };
         next.end_dispatch(call, end, planted)
     }
 
@@ -404,23 +410,23 @@
         call: usize,
         end: DispatchEnd,
         planted: Option<Planted>,
-    ) -> Result<World, Breach> {
-        let told = match (planted, end) {
+    ) -> Result<Model, Violation> {
+        let reported = match (planted, end) {
             (Some(Planted::LostCountsAsNotRun), DispatchEnd::Unknown) => DispatchEnd::NotRun,
             (Some(Planted::TimeoutCountsAsNotRun), DispatchEnd::TimedOut) => DispatchEnd::NotRun,
             _ => end,
         };
-        let tries = if planted == Some(Planted::OneCellMore) { TRIES + 1 } else { TRIES };
+        let tries = if planted == Some(Planted::OneInstanceMore) { TRIES + 1 } else { TRIES };
         if self.calls[call].arrivals > TRIES {
-            return Err(Breach::TooManyCells);
+            return Err(Violation::TooManyInstances);
         }
         let ended = &mut self.calls[call];
-        ended.stage = match ended.chart.dispatch_ended(told, REPEATABLE[call], tries) {
-            NextStep::Answer => Stage::Over(CallState::Answered),
+        ended.stage = match ended.state_machine.dispatch_ended(reported, REPEATABLE[call], tries) {
+            NextStep::Response => Stage::Over(CallState::Answered),
             NextStep::GiveUp(final_state) => Stage::Over(final_state),
-            NextStep::AskAgain => {
-                ended.chart.step(CallState::TicketAsked);
-                Stage::WaitsForTicket
+            NextStep::RequestAgain => {
+                ended.state_machine.step(CallState::PermitRequested);
+                Stage::WaitsForPermit
             }
             other => unreachable!("{other:?}"),
         };
@@ -428,20 +434,20 @@
     }
 
     /// An idle connection gets a late answer, bytes that are none, or its end.
-    fn steps_of_idle(&self, cell: usize, followers: &mut Followers) {
-        for place in 0..self.idle[cell].len() {
-            if let Some(id) = self.idle[cell][place].extra_answer {
+    fn steps_of_idle(&self, instance: usize, followers: &mut Followers) {
+        for place in 0..self.idle[instance].len() {
+            if let Some(id) = self.idle[instance][place].extra_response {
                 let mut next = self.clone();
-                next.idle[cell][place].extra_answer = None;
-                next.idle[cell][place].unread.push(Bytes::Answer { id, says_not_run: false });
+                next.idle[instance][place].extra_response = None;
+                next.idle[instance][place].unread.push(Bytes::Response { id, reports_not_run: false });
                 followers.push(Ok(next));
             }
-            if self.idle[cell][place].unread.is_empty()
+            if self.idle[instance][place].unread.is_empty()
                 && let Some(faulty) = self.with_fault()
             {
                 for bytes in [Bytes::Garbage, Bytes::End] {
                     let mut next = faulty.clone();
-                    next.idle[cell][place].unread.push(bytes);
+                    next.idle[instance][place].unread.push(bytes);
                     followers.push(Ok(next));
                 }
             }
@@ -450,15 +456,15 @@
 }
 
 /// All states that can be reached, each once. Returns how many there are and every rule broken.
-fn explore(bounds: Bounds, planted: Option<(Planted, Breach)>) -> (usize, BTreeSet<Breach>) {
-    let mut breaches = BTreeSet::new();
+fn explore(bounds: Bounds, planted: Option<(Planted, Violation)>) -> (usize, BTreeSet<Violation>) {
+    let mut violations = BTreeSet::new();
     let mut seen = HashSet::new();
-    let mut waiting = VecDeque::from([World::begin(bounds)]);
-    while let Some(world) = waiting.pop_front() {
-        for follower in world.followers(planted.map(|(planted, _)| planted)) {
+    let mut waiting = VecDeque::from([Model::begin(bounds)]);
+    while let Some(model) = waiting.pop_front() {
+        for follower in model.followers(planted.map(|(planted, _)| planted)) {
             match follower {
-                Err(breach) => {
-                    breaches.insert(breach);
+                Err(violation) => {
+                    violations.insert(violation);
                 }
                 Ok(next) => {
                     if seen.insert(key(&next)) {
@@ -467,26 +473,26 @@
                 }
             }
         }
-        if planted.is_some_and(|(_, breach)| breaches.contains(&breach)) {
+        if planted.is_some_and(|(_, violation)| violations.contains(&violation)) {
             break;
         }
     }
-    (seen.len(), breaches)
+    (seen.len(), violations)
 }
 
 /// A state's whole content, hashed.
-fn key(world: &World) -> u128 {
-    let text = format!("{world:?}");
+fn key(model: &Model) -> u128 {
+    let text = format!("{model:?}");
     let half = |salt: &str| u128::from(peer_messages::stable_hash(format!("{salt}{text}").as_bytes()));
     (half("a") << 64) | half("b")
 }
 
 #[test]
 fn no_order_of_events_breaks_a_rule() {
-    for bounds in [ONE_CELL, TWO_CELLS] {
-        let (states, breaches) = explore(bounds, None);
+    for bounds in [ONE_INSTANCE, TWO_INSTANCES] {
+        let (states, violations) = explore(bounds, None);
         println!("{bounds:?}: {states} states");
-        assert_eq!(breaches, BTreeSet::new());
+        assert_eq!(violations, BTreeSet::new());
         assert!(states > 10_000, "the model is too small to show anything: {states}");
     }
 }
@@ -494,18 +500,18 @@
 #[test]
 fn every_rule_bites() {
     let expected = [
-        (Planted::LostCountsAsNotRun, Breach::Twice),
-        (Planted::TimeoutCountsAsNotRun, Breach::Twice),
-        (Planted::TimeoutCountsAsNotRun, Breach::RefusedAndRan),
-        (Planted::IdsAreIgnored, Breach::AnotherCallsAnswer),
-        (Planted::UnreadBytesAreIgnored, Breach::UnreadBytes),
-        (Planted::OneCellMore, Breach::TooManyCells),
-        (Planted::RepeatedTicketsAreUsed, Breach::TicketTwice),
-        (Planted::TimeIsNotLookedAt, Breach::TooLate),
+        (Planted::LostCountsAsNotRun, Violation::Twice),
+        (Planted::TimeoutCountsAsNotRun, Violation::Twice),
+        (Planted::TimeoutCountsAsNotRun, Violation::RefusedAndRan),
+        (Planted::IdsAreIgnored, Violation::AnotherCallsResponse),
+        (Planted::UnreadBytesAreIgnored, Violation::UnreadBytes),
+        (Planted::OneInstanceMore, Violation::TooManyInstances),
+        (Planted::RepeatedPermitsAreUsed, Violation::PermitTwice),
+        (Planted::TimeIsNotLookedAt, Violation::TooLate),
     ];
-    for (planted, breach) in expected {
-        let (states, breaches) = explore(ONE_CELL, Some((planted, breach)));
-        println!("{planted:?}: {breaches:?} after {states} states");
-        assert!(breaches.contains(&breach), "{planted:?} was not found: {breaches:?}");
+    for (planted, violation) in expected {
+        let (states, violations) = explore(ONE_INSTANCE, Some((planted, violation)));
+        println!("{planted:?}: {violations:?} after {states} states");
+        assert!(violations.contains(&violation), "{planted:?} was not found: {violations:?}");
     }
 }
--- a/packages/gateway/tests/kept_connections.rs
+++ b/packages/gateway/tests/kept_connections.rs
@@ -1,11 +1,11 @@
 //! Kept connections never mix answers: a cell that sends an extra answer, late, at every point.
 
-mod scripted_cell;
+mod scripted_instance;
 
 use actix_http::Method;
 use actix_http::header::HeaderName;
 use bytes::Bytes;
-use gateway::{CallDialect, DispatchCall, DispatchOutcome, DispatchSettings, dispatch};
+use gateway::{DispatchCall, DispatchOutcome, DispatchSettings, HeaderConventions, dispatch};
 use monotonic_clock::Micros;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -18,16 +18,16 @@
 enum Extra {
     Never,
     /// In one piece with the answer it belongs to.
-    WithAnswer,
+    WithResponse,
     /// Once the answer has been read, before the next call.
-    AfterAnswer,
+    AfterResponse,
     /// In the place where the next call's answer should come.
     BeforeNext,
     /// Bytes that are no answer, behind the answer.
     Garbage,
 }
 
-fn answer(id: &str) -> String {
+fn response_bytes(id: &str) -> String {
     let body = format!("answer to {id}");
     format!(
         "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nkeep-alive: timeout=5\r\ncontent-length: {}\r\n\r\n{body}",
@@ -35,7 +35,7 @@
     )
 }
 
-fn cell(extra: Extra, connections: Arc<AtomicUsize>) -> SocketAddr {
+fn instance(extra: Extra, connections: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -61,11 +61,11 @@
                     }
                     let mut text = String::new();
                     if let (Extra::BeforeNext, Some(earlier)) = (extra, previous.take()) {
-                        text.push_str(&answer(&earlier));
+                        text.push_str(&response_bytes(&earlier));
                     }
-                    text.push_str(&answer(&id));
-                    if extra == Extra::WithAnswer {
-                        text.push_str(&answer(&id));
+                    text.push_str(&response_bytes(&id));
+                    if extra == Extra::WithResponse {
+                        text.push_str(&response_bytes(&id));
                     }
                     if extra == Extra::Garbage {
                         text.push_str("\u{1}garbage");
@@ -73,8 +73,8 @@
                     if stream.write_all(text.as_bytes()).is_err() {
                         return;
                     }
-                    if extra == Extra::AfterAnswer {
-                        let _ = stream.write_all(answer(&id).as_bytes());
+                    if extra == Extra::AfterResponse {
+                        let _ = stream.write_all(response_bytes(&id).as_bytes());
                     }
                     previous = Some(id);
                 }
@@ -88,7 +88,7 @@
     let call = DispatchCall {
         method: Method::GET,
         body: Bytes::new(),
-        ..scripted_cell::call_to(address, id, Micros::from_secs(4))
+        ..scripted_instance::call_to(address, id, Micros::from_secs(4))
     };
     match dispatch(call, settings).await {
         DispatchOutcome::Answered(answered) => Some(answered.body),
@@ -97,18 +97,21 @@
 }
 
 #[test]
-fn an_extra_answer_at_any_point_is_never_handed_on() {
-    let dialect =
-        CallDialect { call_id: Some(HeaderName::from_static("request-id")), ..CallDialect::default() };
+fn an_extra_response_at_any_point_is_never_handed_on() {
+    let header_conventions = HeaderConventions {
+        call_id: Some(HeaderName::from_static("request-id")),
+        ..HeaderConventions::default()
+    };
     let settings = DispatchSettings {
         idle_limit: 2,
-        dialect: Arc::new(dialect),
+        header_conventions: Arc::new(header_conventions),
         connect_within: Duration::from_secs(5),
         ..DispatchSettings::default()
     };
-    for extra in [Extra::Never, Extra::WithAnswer, Extra::AfterAnswer, Extra::BeforeNext, Extra::Garbage] {
+    for extra in [Extra::Never, Extra::WithResponse, Extra::AfterResponse, Extra::BeforeNext, Extra::Garbage]
+    {
         let connections = Arc::new(AtomicUsize::new(0));
-        let address = cell(extra, connections.clone());
+        let address = instance(extra, connections.clone());
         actix_rt::System::new().block_on(async {
             for number in 0..20 {
                 let id = format!("{extra:?}-{number}").to_ascii_lowercase();
@@ -125,8 +128,8 @@
         let opened = connections.load(Ordering::SeqCst);
         match extra {
             Extra::Never | Extra::BeforeNext => assert_eq!(opened, 1, "{extra:?} is kept"),
-            Extra::WithAnswer | Extra::Garbage => assert_eq!(opened, 20, "{extra:?} is closed"),
-            Extra::AfterAnswer => assert!(opened >= 1),
+            Extra::WithResponse | Extra::Garbage => assert_eq!(opened, 20, "{extra:?} is closed"),
+            Extra::AfterResponse => assert!(opened >= 1),
         }
     }
 }
--- a/packages/gateway/tests/key_bench/mod.rs
+++ b/packages/gateway/tests/key_bench/mod.rs
@@ -5,9 +5,9 @@
 use actix_service::{Service, ServiceFactory};
 use call_traces::TraceWriter;
 use configuration_schema::Configuration;
-use function_scheduler::TicketWish;
-use gateway::{CallDialect, Front, FrontLink, FrontSettings, Recorder, TicketAnswer};
-use peer_messages::{Address, Ticket};
+use function_scheduler::PermitParameters;
+use gateway::{Gateway, GatewayMessage, GatewaySettings, HeaderConventions, PermitResponse, Recorder};
+use peer_messages::{Address, Permit};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,39 +19,40 @@
 use tokio::sync::mpsc;
 
 /// An answer that does not come within this time never comes.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+const RESPONSE_WITHIN: Duration = Duration::from_secs(20);
 /// How long a client looks for an answer that should not come.
 const SURPLUS_WITHIN: Duration = Duration::from_millis(300);
 
 /// The words of a dialect for the key and the tenant, in lower case.
 #[derive(Clone, Copy, Debug)]
-pub struct Words {
+pub struct HeaderNames {
     pub api_key: &'static str,
     pub tenant: &'static str,
     pub has_outcome: bool,
 }
 
-impl Words {
-    pub const NATIVE: Words =
-        Words { api_key: "x-vanelane-api-key", tenant: "x-vanelane-tenant", has_outcome: true };
+impl HeaderNames {
+    pub const NATIVE: HeaderNames =
+        HeaderNames { api_key: "x-vanelane-api-key", tenant: "x-vanelane-tenant", has_outcome: true };
     /// A platform's own words, beyond the native prefix.
-    pub const PLATFORM: Words = Words { api_key: "api-key", tenant: "tenant", has_outcome: false };
-    pub const ALL: [Words; 2] = [Words::NATIVE, Words::PLATFORM];
+    pub const PLATFORM: HeaderNames =
+        HeaderNames { api_key: "api-key", tenant: "tenant", has_outcome: false };
+    pub const ALL: [HeaderNames; 2] = [HeaderNames::NATIVE, HeaderNames::PLATFORM];
 
-    fn dialect(&self) -> CallDialect {
+    fn header_conventions(&self) -> HeaderConventions {
         match self.has_outcome {
-            true => CallDialect::default(),
-            false => CallDialect {
+            true => HeaderConventions::default(),
+            false => HeaderConventions {
                 api_key: Some(HeaderName::from_static(self.api_key)),
                 tenant: Some(HeaderName::from_static(self.tenant)),
-                ..crate::scripted_cell::platform_words()
+                ..crate::scripted_instance::platform_conventions()
             },
         }
     }
 }
 
 /// A configuration with the functions `f` and `g` and these further settings.
-pub fn lanes(settings: &str) -> Configuration {
+pub fn routes(settings: &str) -> Configuration {
     let document = format!(
         r#"{{"allowances": {{"all": {{"weight": 1}}}},
             "functions": {{"f": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}},
@@ -84,97 +85,105 @@
 }
 
 pub struct Bench {
-    pub front: Arc<Front>,
+    pub gateway: Arc<Gateway>,
     address: SocketAddr,
-    cell: SocketAddr,
+    instance: SocketAddr,
     /// Until all asks are granted.
-    links: Option<mpsc::Receiver<FrontLink>>,
-    wishes: Arc<Mutex<Vec<TicketWish>>>,
+    links: Option<mpsc::Receiver<GatewayMessage>>,
+    parameter_sets: Arc<Mutex<Vec<PermitParameters>>>,
     connections: Arc<AtomicUsize>,
 }
 
 impl Bench {
     /// A front whose every ask is granted at once.
-    pub async fn start(words: &Words, configuration: &Configuration, cell: SocketAddr) -> Bench {
-        let mut bench = Bench::start_holding(words, configuration, cell).await;
+    pub async fn start(
+        header_names: &HeaderNames,
+        configuration: &Configuration,
+        instance: SocketAddr,
+    ) -> Bench {
+        let mut bench = Bench::start_holding(header_names, configuration, instance).await;
         bench.grant_all();
         bench
     }
 
     /// A front whose asks wait for the test.
-    pub async fn start_holding(words: &Words, configuration: &Configuration, cell: SocketAddr) -> Bench {
-        Bench::start_with(words, configuration, cell, None).await
+    pub async fn start_holding(
+        header_names: &HeaderNames,
+        configuration: &Configuration,
+        instance: SocketAddr,
+    ) -> Bench {
+        Bench::start_with(header_names, configuration, instance, None).await
     }
 
     /// The same, with its calls recorded and traced.
     pub async fn start_recording(
-        words: &Words,
+        header_names: &HeaderNames,
         configuration: &Configuration,
-        cell: SocketAddr,
+        instance: SocketAddr,
         writers: Writers,
     ) -> Bench {
-        Bench::start_with(words, configuration, cell, Some(writers)).await
+        Bench::start_with(header_names, configuration, instance, Some(writers)).await
     }
 
     async fn start_with(
-        words: &Words,
+        header_names: &HeaderNames,
         configuration: &Configuration,
-        cell: SocketAddr,
+        instance: SocketAddr,
         writers: Option<Writers>,
     ) -> Bench {
         let (link, links) = mpsc::channel(64);
-        let dispatch = crate::scripted_cell::keeping(words.dialect());
-        let mut front = Front::new(FrontSettings { dispatch, ..FrontSettings::default() }, link);
+        let dispatch = crate::scripted_instance::keeping(header_names.header_conventions());
+        let mut gateway = Gateway::new(GatewaySettings { dispatch, ..GatewaySettings::default() }, link);
         if let Some(writers) = writers {
-            front.record_with(writers.recorder);
-            front.trace_with(writers.traces);
+            gateway.record_with(writers.recorder);
+            gateway.trace_with(writers.traces);
         }
-        front.take_configuration(1, configuration);
-        let front = Arc::new(front);
+        gateway.set_configuration(1, configuration);
+        let gateway = Arc::new(gateway);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let connections = Arc::new(AtomicUsize::new(0));
-        actix_rt::spawn(serve(listener, front.clone(), connections.clone()));
-        Bench { front, address, cell, links: Some(links), wishes: Arc::default(), connections }
+        actix_rt::spawn(serve(listener, gateway.clone(), connections.clone()));
+        Bench { gateway, address, instance, links: Some(links), parameter_sets: Arc::default(), connections }
     }
 
     /// Grants every ask from now on.
     pub fn grant_all(&mut self) {
         let Some(mut links) = self.links.take() else { return };
-        let (cell, wishes) = (self.cell, self.wishes.clone());
+        let (instance, parameter_sets) = (self.instance, self.parameter_sets.clone());
         actix_rt::spawn(async move {
             while let Some(said) = links.recv().await {
-                if let FrontLink::Ask { wish, .. } = &said {
-                    wishes.lock().expect("no test broke").push(wish.clone());
+                if let GatewayMessage::RequestPermit { parameters, .. } = &said {
+                    parameter_sets.lock().expect("no test broke").push(parameters.clone());
                 }
-                grant(said, cell);
+                grant(said, instance);
             }
         });
     }
 
     /// The next ask for a ticket, which waits.
-    pub async fn next_ask(&mut self) -> FrontLink {
+    pub async fn next_permit_request(&mut self) -> GatewayMessage {
         let links = self.links.as_mut().expect("asks wait");
         loop {
-            let said = tokio::time::timeout(ANSWER_WITHIN, links.recv()).await;
+            let said = tokio::time::timeout(RESPONSE_WITHIN, links.recv()).await;
             let said = said.expect("no ask came").expect("the front is there");
-            if matches!(said, FrontLink::Ask { .. }) {
+            if matches!(said, GatewayMessage::RequestPermit { .. }) {
                 return said;
             }
         }
     }
 
-    pub fn grant(&self, ask: FrontLink) {
-        grant(ask, self.cell);
+    pub fn grant(&self, permit_request: GatewayMessage) {
+        grant(permit_request, self.instance);
     }
 
     /// All asks of a front that grants them at once.
-    pub fn wishes(&self) -> Vec<TicketWish> {
-        self.wishes.lock().expect("no test broke").clone()
+    pub fn parameter_sets(&self) -> Vec<PermitParameters> {
+        self.parameter_sets.lock().expect("no test broke").clone()
     }
 
     pub fn count(&self, name: &str) -> u64 {
-        let counts = self.front.counts.all();
+        let counts = self.gateway.counts.all();
         counts.iter().find(|(named, _)| *named == name).map(|(_, count)| *count).expect("a count")
     }
 
@@ -188,37 +197,37 @@
     }
 
     /// One request on a connection of its own.
-    pub async fn call(&self, request: &[u8]) -> HttpAnswer {
+    pub async fn call(&self, request: &[u8]) -> HttpReply {
         self.connect().await.exchange(request).await
     }
 
     /// The same, while the test does something else.
-    pub fn begin(&self, request: &[u8]) -> actix_rt::task::JoinHandle<HttpAnswer> {
+    pub fn begin(&self, request: &[u8]) -> actix_rt::task::JoinHandle<HttpReply> {
         let (address, request) = (self.address, request.to_vec());
         actix_rt::spawn(async move { Client::connect(address).await.exchange(&request).await })
     }
 }
 
-fn grant(said: FrontLink, cell: SocketAddr) {
-    let FrontLink::Ask { call, wish, reply } = said else { return };
-    let ticket = Ticket {
+fn grant(said: GatewayMessage, instance: SocketAddr) {
+    let GatewayMessage::RequestPermit { call, parameters, reply } = said else { return };
+    let permit = Permit {
         id: call,
         granted_by: 1,
-        steward_epoch: 1,
-        function: wish.function.as_str().into(),
-        cell: "c".into(),
-        address: Address::from(cell),
+        leader_epoch: 1,
+        function: parameters.function.as_str().into(),
+        instance: "c".into(),
+        address: Address::from(instance),
     };
-    let _ = reply.send(TicketAnswer::Granted(ticket));
+    let _ = reply.send(PermitResponse::Granted(permit));
 }
 
-async fn serve(listener: TcpListener, front: Arc<Front>, connections: Arc<AtomicUsize>) {
+async fn serve(listener: TcpListener, gateway: Arc<Gateway>, connections: Arc<AtomicUsize>) {
     while let Ok((stream, peer)) = listener.accept().await {
         connections.fetch_add(1, Ordering::SeqCst);
-        let front = front.clone();
+        let gateway = gateway.clone();
         let factory = HttpService::build().h1(move |request| {
-            let front = front.clone();
-            async move { Ok::<_, Infallible>(front.call(request).await) }
+            let gateway = gateway.clone();
+            async move { Ok::<_, Infallible>(gateway.call(request).await) }
         });
         actix_rt::spawn(async move {
             if let Ok(service) = factory.new_service(()).await {
@@ -230,14 +239,14 @@
 
 /// An answer as it came.
 #[derive(Debug)]
-pub struct HttpAnswer {
+pub struct HttpReply {
     pub status: StatusCode,
     pub body: String,
     /// Head and body.
     pub whole: String,
 }
 
-impl HttpAnswer {
+impl HttpReply {
     pub fn has_header(&self, name: &str) -> bool {
         let head = self.whole.split("\r\n\r\n").next().unwrap_or_default().to_ascii_lowercase();
         head.contains(&format!("\r\n{name}:"))
@@ -261,23 +270,23 @@
         let _ = self.stream.write_all(bytes).await;
     }
 
-    pub async fn exchange(&mut self, request: &[u8]) -> HttpAnswer {
+    pub async fn exchange(&mut self, request: &[u8]) -> HttpReply {
         self.send(request).await;
-        let answer = tokio::time::timeout(ANSWER_WITHIN, self.read_answer()).await;
-        answer.expect("an answer in time").expect("an answer")
+        let response = tokio::time::timeout(RESPONSE_WITHIN, self.read_response()).await;
+        response.expect("an answer in time").expect("an answer")
     }
 
     /// An answer that may or may not come.
-    pub async fn next_answer(&mut self) -> Option<HttpAnswer> {
-        tokio::time::timeout(SURPLUS_WITHIN, self.read_answer()).await.ok().flatten()
+    pub async fn next_response(&mut self) -> Option<HttpReply> {
+        tokio::time::timeout(SURPLUS_WITHIN, self.read_response()).await.ok().flatten()
     }
 
     /// Reads a head and a body with a length; none at the connection's end.
-    async fn read_answer(&mut self) -> Option<HttpAnswer> {
+    async fn read_response(&mut self) -> Option<HttpReply> {
         loop {
-            if let Some((answer, length)) = whole_answer(&self.unread) {
+            if let Some((response, length)) = whole_response(&self.unread) {
                 self.unread.drain(..length);
-                return Some(answer);
+                return Some(response);
             }
             if self.stream.read_buf(&mut self.unread).await.unwrap_or(0) == 0 {
                 return None;
@@ -287,7 +296,7 @@
 }
 
 /// The first answer in these bytes and its length, once it is whole.
-fn whole_answer(bytes: &[u8]) -> Option<(HttpAnswer, usize)> {
+fn whole_response(bytes: &[u8]) -> Option<(HttpReply, usize)> {
     let text = std::str::from_utf8(bytes).expect("text");
     let (head, rest) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
@@ -298,7 +307,7 @@
         .unwrap_or(0);
     let body = rest.get(..length)?.to_owned();
     let end = head.len() + "\r\n\r\n".len() + length;
-    Some((HttpAnswer { status, body, whole: text[..end].to_owned() }, end))
+    Some((HttpReply { status, body, whole: text[..end].to_owned() }, end))
 }
 
 /// What these files hold once each has so many lines.
@@ -310,7 +319,7 @@
         if texts.iter().all(|text| text.lines().count() >= lines) {
             return texts.concat();
         }
-        assert!(began.elapsed() < ANSWER_WITHIN, "not written: {texts:?}");
+        assert!(began.elapsed() < RESPONSE_WITHIN, "not written: {texts:?}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/packages/gateway/tests/scripted_cell/mod.rs
+++ b/packages/gateway/tests/scripted_instance/mod.rs
@@ -4,7 +4,7 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Uri};
 use bytes::Bytes;
-use gateway::{CallDialect, DispatchCall, DispatchSettings};
+use gateway::{DispatchCall, DispatchSettings, HeaderConventions};
 use monotonic_clock::Micros;
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -37,7 +37,7 @@
 type Script = Box<dyn Fn(usize, &str) -> Reply + Send + Sync>;
 
 /// A running cell, with what it saw.
-pub struct ScriptedCell {
+pub struct ScriptedInstance {
     pub address: SocketAddr,
     connections: Arc<AtomicUsize>,
     requests: Arc<Mutex<Vec<SeenRequest>>>,
@@ -51,8 +51,8 @@
     text: String,
 }
 
-impl ScriptedCell {
-    pub fn start(script: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> ScriptedCell {
+impl ScriptedInstance {
+    pub fn start(script: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> ScriptedInstance {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         let (connections, requests) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
@@ -66,7 +66,7 @@
                 std::thread::spawn(move || converse(stream, &script, &requests));
             }
         });
-        ScriptedCell { address, connections, requests }
+        ScriptedInstance { address, connections, requests }
     }
 
     /// Connections accepted so far.
@@ -136,28 +136,36 @@
 }
 
 /// A whole answer with these headers (each with its line end).
-pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
+pub fn response_bytes(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// The sound answer to a request, on a connection that may be kept.
-pub fn sound_answer(id: &str) -> Vec<u8> {
-    answer("200 OK", &format!("request-id: {id}\r\nkeep-alive: timeout=5\r\n"), &format!("answer to {id}"))
+pub fn sound_response(id: &str) -> Vec<u8> {
+    response_bytes(
+        "200 OK",
+        &format!("request-id: {id}\r\nkeep-alive: timeout=5\r\n"),
+        &format!("answer to {id}"),
+    )
 }
 
 /// Words of a platform whose calls have ids and whose statuses are promises.
-pub fn platform_words() -> CallDialect {
-    CallDialect {
+pub fn platform_conventions() -> HeaderConventions {
+    HeaderConventions {
         call_id: Some(HeaderName::from_static("request-id")),
         not_run: (HeaderName::from_static("not-run"), None),
         outcome: None,
-        ..CallDialect::default()
+        ..HeaderConventions::default()
     }
 }
 
 /// Dispatch settings that keep connections.
-pub fn keeping(dialect: CallDialect) -> DispatchSettings {
-    DispatchSettings { idle_limit: 2, dialect: Arc::new(dialect), ..DispatchSettings::default() }
+pub fn keeping(header_conventions: HeaderConventions) -> DispatchSettings {
+    DispatchSettings {
+        idle_limit: 2,
+        header_conventions: Arc::new(header_conventions),
+        ..DispatchSettings::default()
+    }
 }
 
 /// A call for the cell at this address; an empty id is none.
@@ -174,7 +182,7 @@
         function: "f".to_owned(),
         tenant: None,
         is_nested: false,
-        cell: format!("cell at {address}"),
+        instance: format!("cell at {address}"),
         address,
         time_left,
         client_left: CancellationToken::new(),
