--- a/packages/gateway/tests/tenant_keys.rs
+++ b/packages/gateway/tests/tenant_keys.rs
@@ -1,13 +1,13 @@
 //! Tenants' keys at the front: who is let in, what cells are told of it, and that keys go nowhere else.
 
 mod key_bench;
-mod scripted_cell;
+mod scripted_instance;
 
 use actix_http::{StatusCode, header};
 use configuration_schema::{Configuration, ConfigurationDelta};
-use gateway::{FrontLink, Recorder};
-use key_bench::{Bench, HttpAnswer, Words, lanes, request_bytes};
-use scripted_cell::{After, Reply, ScriptedCell, sound_answer};
+use gateway::{GatewayMessage, Recorder};
+use key_bench::{Bench, HeaderNames, HttpReply, request_bytes, routes};
+use scripted_instance::{After, Reply, ScriptedInstance, sound_response};
 use std::time::Duration;
 
 const SEEDS: u64 = 200;
@@ -22,8 +22,8 @@
     "lanes": {"private": {"function": "f", "path_prefix": "/private"},
         "public": {"function": "f", "path_prefix": "/public", "is_public": true}}"#;
 
-fn answering_cell() -> ScriptedCell {
-    ScriptedCell::start(|_, id| Reply { bytes: sound_answer(id), after: After::Next })
+fn answering_instance() -> ScriptedInstance {
+    ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next })
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -31,89 +31,100 @@
 }
 
 /// The text in a random mix of cases.
-fn any_case(dice: &mut fastrand::Rng, text: &str) -> String {
-    text.chars().map(|letter| if dice.bool() { letter.to_ascii_uppercase() } else { letter }).collect()
+fn any_case(rng: &mut fastrand::Rng, text: &str) -> String {
+    text.chars().map(|letter| if rng.bool() { letter.to_ascii_uppercase() } else { letter }).collect()
 }
 
 /// White space that may stand around a header's value.
-fn any_space(dice: &mut fastrand::Rng) -> &'static str {
-    ["", " ", "\t", "  \t "][dice.usize(..4)]
+fn any_space(rng: &mut fastrand::Rng) -> &'static str {
+    ["", " ", "\t", "  \t "][rng.usize(..4)]
 }
 
 /// One header line, its name and the space around its value drawn.
-fn any_line(dice: &mut fastrand::Rng, name: &str, value: &str) -> String {
-    format!("{}:{}{value}{}", any_case(dice, name), any_space(dice), any_space(dice))
+fn any_line(rng: &mut fastrand::Rng, name: &str, value: &str) -> String {
+    format!("{}:{}{value}{}", any_case(rng, name), any_space(rng), any_space(rng))
 }
 
 /// A request's head and body, with what the client sent of a key and of a tenant.
-struct DrawnRequest {
+struct RandomRequest {
     bytes: Vec<u8>,
     body: String,
 }
 
 /// Draws a request: its own tenant headers, names listed in `Connection`, a body with a length, or in
 /// chunks with trailers that name both headers.
-fn drawn_request(dice: &mut fastrand::Rng, words: &Words, path: &str, key_lines: &[String]) -> DrawnRequest {
+fn random_request(
+    rng: &mut fastrand::Rng,
+    header_names: &HeaderNames,
+    path: &str,
+    key_lines: &[String],
+) -> RandomRequest {
     let mut lines = key_lines.to_vec();
-    for _ in 0..dice.u8(..3) {
-        let forged = ["fifi", "lomi", "", "root", "lomi, fifi"][dice.usize(..5)];
-        lines.push(any_line(dice, words.tenant, forged));
+    for _ in 0..rng.u8(..3) {
+        let forged = ["fifi", "lomi", "", "root", "lomi, fifi"][rng.usize(..5)];
+        lines.push(any_line(rng, header_names.tenant, forged));
     }
-    if dice.bool() {
-        let listed = [words.api_key, words.tenant, "x-other"][dice.usize(..3)];
-        lines.push(format!("Connection: keep-alive, {}", any_case(dice, listed)));
+    if rng.bool() {
+        let listed = [header_names.api_key, header_names.tenant, "x-other"][rng.usize(..3)];
+        lines.push(format!("Connection: keep-alive, {}", any_case(rng, listed)));
     }
-    dice.shuffle(&mut lines);
-    let body = "body".repeat(dice.usize(..4));
-    if !dice.bool() {
-        return DrawnRequest { bytes: request_bytes(path, &lines, &body), body };
+    rng.shuffle(&mut lines);
+    let body = "body".repeat(rng.usize(..4));
+    if !rng.bool() {
+        return RandomRequest { bytes: request_bytes(path, &lines, &body), body };
     }
-    let api_key = any_case(dice, words.api_key);
-    let tenant = any_case(dice, words.tenant);
+    let api_key = any_case(rng, header_names.api_key);
+    let tenant = any_case(rng, header_names.tenant);
     lines.push(format!("Trailer: {api_key}, {tenant}"));
     let trailers = format!("{api_key}: key-of-fifi\r\n{tenant}: forged-in-trailer\r\n");
     let chunk = if body.is_empty() { String::new() } else { format!("{:x}\r\n{body}\r\n", body.len()) };
     let text = format!("{}{chunk}0\r\n{trailers}\r\n", key_bench::chunked_head(path, &lines));
-    DrawnRequest { bytes: text.into_bytes(), body }
+    RandomRequest { bytes: text.into_bytes(), body }
 }
 
 /// Checks what a cell got: exactly this tenant and nothing of any key.
-fn assert_cell_saw(received: &str, words: &Words, tenant: Option<&str>, body: &str, context: &str) {
+fn assert_instance_saw(
+    received: &str,
+    header_names: &HeaderNames,
+    tenant: Option<&str>,
+    body: &str,
+    context: &str,
+) {
     let lower = received.to_ascii_lowercase();
     let (head, received_body) = lower.split_once("\r\n\r\n").expect("a head and a body");
     assert!(!lower.contains("key-of-"), "{context}: a key went on: {received}");
-    assert!(!lower.contains(&format!("{}:", words.api_key)), "{context}: a key header went on");
+    assert!(!lower.contains(&format!("{}:", header_names.api_key)), "{context}: a key header went on");
     assert!(!lower.contains("forged"), "{context}: a trailer went on: {received}");
-    let prefix = format!("{}:", words.tenant);
+    let prefix = format!("{}:", header_names.tenant);
     let tenants: Vec<&str> =
         head.split("\r\n").filter_map(|line| line.strip_prefix(&prefix)).map(str::trim).collect();
     assert_eq!(tenants, tenant.into_iter().collect::<Vec<_>>(), "{context}: {received}");
     assert_eq!(received_body, body, "{context}");
 }
 
-fn assert_refused(answer: &HttpAnswer, words: &Words, context: &str) {
-    assert_eq!(answer.status, StatusCode::UNAUTHORIZED, "{context}");
-    assert!(!answer.has_header("retry-after"), "{context}: no time to come back helps");
-    assert!(answer.body.contains(r#""outcome":"not_run""#), "{context}: {}", answer.body);
-    assert!(!answer.whole.contains("key-of-"), "{context}: the answer tells a key: {}", answer.whole);
-    if words.has_outcome {
-        assert!(answer.has_header("x-vanelane-outcome"), "{context}");
+fn assert_refused(response: &HttpReply, header_names: &HeaderNames, context: &str) {
+    assert_eq!(response.status, StatusCode::UNAUTHORIZED, "{context}");
+    assert!(!response.has_header("retry-after"), "{context}: no time to come back helps");
+    assert!(response.body.contains(r#""outcome":"not_run""#), "{context}: {}", response.body);
+    assert!(!response.whole.contains("key-of-"), "{context}: the answer tells a key: {}", response.whole);
+    if header_names.has_outcome {
+        assert!(response.has_header("x-vanelane-outcome"), "{context}");
     }
 }
 
 /// Guards against UNASKED and ROUTE: calls ran whose key no configuration ever held.
 #[test]
-fn calls_without_one_known_key_are_refused_where_a_lane_needs_one() {
+fn calls_without_one_known_key_are_refused_where_a_route_needs_one() {
     run(async {
-        for words in Words::ALL {
-            let cell = answering_cell();
-            let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
+        for header_names in HeaderNames::ALL {
+            let instance = answering_instance();
+            let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
             for seed in 0..SEEDS {
-                let mut dice = fastrand::Rng::with_seed(seed);
+                let mut rng = fastrand::Rng::with_seed(seed);
                 let wrong =
                     ["key-of-nobody", "key-of-lom", "key-of-lomi2", "KEY-OF-LOMI", "key-of-lomi,key-of-lomi"];
-                let wrong = wrong[dice.usize(..wrong.len())];
-                let (values, is_key_sent): (&[&str], bool) = match dice.u8(..6) {
+                let wrong = wrong[rng.usize(..wrong.len())];
+                let (values, is_key_sent): (&[&str], bool) = match rng.u8(..6) {
                     0 => (&[], false),
                     1 => (&[""], false),
                     2 => (&[wrong], true),
@@ -122,50 +133,50 @@
                     _ => (&["key-of-fifi", "key-of-nobody", "key-of-lomi"], true),
                 };
                 let lines: Vec<String> =
-                    values.iter().map(|value| any_line(&mut dice, words.api_key, value)).collect();
-                let context = format!("{} seed {seed} {lines:?}", words.tenant);
+                    values.iter().map(|value| any_line(&mut rng, header_names.api_key, value)).collect();
+                let context = format!("{} seed {seed} {lines:?}", header_names.tenant);
                 let before = (bench.count("no_key"), bench.count("unknown_key"));
-                let request = drawn_request(&mut dice, &words, "/private/x", &lines);
-                assert_refused(&bench.call(&request.bytes).await, &words, &context);
+                let request = random_request(&mut rng, &header_names, "/private/x", &lines);
+                assert_refused(&bench.call(&request.bytes).await, &header_names, &context);
                 let after = (bench.count("no_key"), bench.count("unknown_key"));
                 let counted = (before.0 + u64::from(!is_key_sent), before.1 + u64::from(is_key_sent));
                 assert_eq!(after, counted, "{context}");
             }
-            assert!(bench.wishes().is_empty(), "no ticket is asked for a call that is not let in");
-            assert!(cell.received().is_empty());
+            assert!(bench.parameter_sets().is_empty(), "no ticket is asked for a call that is not let in");
+            assert!(instance.received().is_empty());
         }
     });
 }
 
 /// Guards against UNASKED: a cell was shown a key, or the tenant that the client had named.
 #[test]
-fn a_cell_is_told_the_tenant_of_the_key_once_and_never_a_key() {
+fn an_instance_is_told_the_tenant_of_the_key_once_and_never_a_key() {
     run(async {
-        for words in Words::ALL {
+        for header_names in HeaderNames::ALL {
             for (settings, has_tenants) in [(WITH_TENANTS, true), (WITHOUT_TENANTS, false)] {
-                let cell = answering_cell();
-                let bench = Bench::start(&words, &lanes(settings), cell.address).await;
+                let instance = answering_instance();
+                let bench = Bench::start(&header_names, &routes(settings), instance.address).await;
                 for seed in 0..SEEDS {
-                    let mut dice = fastrand::Rng::with_seed(seed);
-                    let is_public = dice.bool();
+                    let mut rng = fastrand::Rng::with_seed(seed);
+                    let is_public = rng.bool();
                     let keys =
                         [("key-of-lomi", "lomi"), ("second-key-of-lomi", "lomi"), ("key-of-fifi", "fifi")];
-                    let (key, tenant) = keys[dice.usize(..3)];
-                    let mut lines = vec![any_line(&mut dice, words.api_key, key)];
+                    let (key, tenant) = keys[rng.usize(..3)];
+                    let mut lines = vec![any_line(&mut rng, header_names.api_key, key)];
                     if is_public || !has_tenants {
                         // Where no key is needed none has to be right, and none goes on.
-                        for _ in 0..dice.u8(..3) {
-                            lines.push(any_line(&mut dice, words.api_key, "key-of-nobody"));
+                        for _ in 0..rng.u8(..3) {
+                            lines.push(any_line(&mut rng, header_names.api_key, "key-of-nobody"));
                         }
                     }
                     let path = if is_public { "/public/x" } else { "/private/x" };
-                    let context = format!("{} {has_tenants} seed {seed} {path}", words.tenant);
-                    let request = drawn_request(&mut dice, &words, path, &lines);
-                    let answer = bench.call(&request.bytes).await;
-                    assert_eq!(answer.status, StatusCode::OK, "{context}");
+                    let context = format!("{} {has_tenants} seed {seed} {path}", header_names.tenant);
+                    let request = random_request(&mut rng, &header_names, path, &lines);
+                    let response = bench.call(&request.bytes).await;
+                    assert_eq!(response.status, StatusCode::OK, "{context}");
                     let tenant = (has_tenants && !is_public).then_some(tenant);
-                    let received = cell.received().pop().expect("it reached the cell");
-                    assert_cell_saw(&received, &words, tenant, &request.body, &context);
+                    let received = instance.received().pop().expect("it reached the cell");
+                    assert_instance_saw(&received, &header_names, tenant, &request.body, &context);
                 }
                 assert_eq!((bench.count("no_key"), bench.count("unknown_key")), (0, 0));
             }
@@ -177,16 +188,17 @@
 #[test]
 fn a_second_try_is_told_the_same_tenant_and_no_key() {
     run(async {
-        for words in Words::ALL {
-            let cell = ScriptedCell::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
-            let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
-            let lines = [format!("{}: key-of-lomi", words.api_key), format!("{}: fifi", words.tenant)];
-            let answer = bench.call(&request_bytes("/private/x", &lines, "b")).await;
-            assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-            let received = cell.received();
+        for header_names in HeaderNames::ALL {
+            let instance = ScriptedInstance::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
+            let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
+            let lines =
+                [format!("{}: key-of-lomi", header_names.api_key), format!("{}: fifi", header_names.tenant)];
+            let response = bench.call(&request_bytes("/private/x", &lines, "b")).await;
+            assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+            let received = instance.received();
             assert!(received.len() > 1, "it was tried once: {received:?}");
             for (number, received) in received.iter().enumerate() {
-                assert_cell_saw(received, &words, Some("lomi"), "b", &format!("try {number}"));
+                assert_instance_saw(received, &header_names, Some("lomi"), "b", &format!("try {number}"));
             }
         }
     });
@@ -194,11 +206,11 @@
 
 /// Guards against UNASKED on connections to cells that are kept from one tenant's call to another's.
 #[test]
-fn each_call_on_a_kept_connection_to_a_cell_has_its_own_tenant() {
+fn each_call_on_a_kept_connection_to_an_instance_has_its_own_tenant() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
-        let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         for seed in 0..SEEDS {
             let calls = [
                 ("/private/x", "key-of-lomi", Some("lomi")),
@@ -207,12 +219,12 @@
                 ("/public/x", "", None),
             ];
             let (path, key, tenant) = calls[fastrand::Rng::with_seed(seed).usize(..calls.len())];
-            let lines = [format!("{}: {key}", words.api_key)];
+            let lines = [format!("{}: {key}", header_names.api_key)];
             assert_eq!(bench.call(&request_bytes(path, &lines, "")).await.status, StatusCode::OK);
-            let received = cell.received().pop().expect("it reached the cell");
-            assert_cell_saw(&received, &words, tenant, "", &format!("call {seed}"));
+            let received = instance.received().pop().expect("it reached the cell");
+            assert_instance_saw(&received, &header_names, tenant, "", &format!("call {seed}"));
         }
-        assert_eq!(cell.connections(), 1, "the connection was kept");
+        assert_eq!(instance.connections(), 1, "the connection was kept");
     });
 }
 
@@ -297,30 +309,33 @@
 #[test]
 fn a_call_that_waits_is_let_in_anew_by_a_later_configuration() {
     run(async {
-        for words in Words::ALL {
+        for header_names in HeaderNames::ALL {
             for change in &CHANGES {
-                let cell = answering_cell();
-                let mut bench = Bench::start_holding(&words, &lanes(WITH_TENANTS), cell.address).await;
-                let lines = [format!("{}: {}", words.api_key, change.key)];
+                let instance = answering_instance();
+                let mut bench =
+                    Bench::start_holding(&header_names, &routes(WITH_TENANTS), instance.address).await;
+                let lines = [format!("{}: {}", header_names.api_key, change.key)];
                 let call = bench.begin(&request_bytes(change.path, &lines, "b"));
-                let ask = bench.next_ask().await;
-                let FrontLink::Ask { wish, .. } = &ask else { unreachable!("an ask") };
-                let asked_for = wish.tenant.clone();
-                bench.front.take_configuration(2, &lanes(change.later));
-                bench.grant(ask);
+                let permit_request = bench.next_permit_request().await;
+                let GatewayMessage::RequestPermit { parameters, .. } = &permit_request else {
+                    unreachable!("an ask")
+                };
+                let requested_for = parameters.tenant.clone();
+                bench.gateway.set_configuration(2, &routes(change.later));
+                bench.grant(permit_request);
                 bench.grant_all();
-                let answer = call.await.expect("the client ended");
-                let context = format!("{}: {}", words.tenant, change.name);
-                assert_eq!(answer.status, change.status, "{context}: {}", answer.whole);
-                let received = cell.received();
+                let response = call.await.expect("the client ended");
+                let context = format!("{}: {}", header_names.tenant, change.name);
+                assert_eq!(response.status, change.status, "{context}: {}", response.whole);
+                let received = instance.received();
                 if change.status == StatusCode::OK {
                     assert_eq!(received.len(), 1, "{context}");
-                    assert_cell_saw(&received[0], &words, change.tenant, "b", &context);
+                    assert_instance_saw(&received[0], &header_names, change.tenant, "b", &context);
                     // A ticket is used for the tenant that it was asked for alone: usage is counted by it.
-                    let again = bench.wishes().pop().map(|wish| wish.tenant);
-                    assert_eq!(again.unwrap_or(asked_for).as_deref(), change.tenant, "{context}");
+                    let again = bench.parameter_sets().pop().map(|parameters| parameters.tenant);
+                    assert_eq!(again.unwrap_or(requested_for).as_deref(), change.tenant, "{context}");
                 } else {
-                    assert_refused(&answer, &words, &context);
+                    assert_refused(&response, &header_names, &context);
                     assert!(received.is_empty(), "{context}: it reached a cell");
                 }
             }
@@ -330,31 +345,32 @@
 
 /// Guards against REFUSED: a call that may have run is not told that it was not, whatever became of its key.
 #[test]
-fn a_call_that_may_have_run_is_of_unknown_fate_after_its_key_is_taken_away() {
+fn a_call_that_may_have_run_is_of_unknown_outcome_after_its_key_is_taken_away() {
     run(async {
-        for words in Words::ALL {
-            let cell = ScriptedCell::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
-            let mut bench = Bench::start_holding(&words, &lanes(WITH_TENANTS), cell.address).await;
-            let lines = [format!("{}: key-of-lomi", words.api_key)];
+        for header_names in HeaderNames::ALL {
+            let instance = ScriptedInstance::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
+            let mut bench =
+                Bench::start_holding(&header_names, &routes(WITH_TENANTS), instance.address).await;
+            let lines = [format!("{}: key-of-lomi", header_names.api_key)];
             let call = bench.begin(&request_bytes("/private/x", &lines, ""));
-            let first = bench.next_ask().await;
+            let first = bench.next_permit_request().await;
             bench.grant(first);
-            let second = bench.next_ask().await;
+            let second = bench.next_permit_request().await;
             let later =
                 r#""tenants": {}, "lanes": {"private": {"function": "f", "path_prefix": "/private"}}"#;
-            bench.front.take_configuration(2, &lanes(later));
+            bench.gateway.set_configuration(2, &routes(later));
             bench.grant(second);
-            let answer = call.await.expect("the client ended");
-            assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
-            assert!(answer.body.contains(r#""outcome":"unknown""#), "{}", answer.body);
-            assert!(!answer.has_header("retry-after"));
-            assert_eq!(cell.received().len(), 1, "no second cell runs it");
+            let response = call.await.expect("the client ended");
+            assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
+            assert!(response.body.contains(r#""outcome":"unknown""#), "{}", response.body);
+            assert!(!response.has_header("retry-after"));
+            assert_eq!(instance.received().len(), 1, "no second cell runs it");
         }
     });
 }
 
 fn key_change(keys: &str) -> Configuration {
-    lanes(&format!(
+    routes(&format!(
         r#""tenants": {{"lomi": {{"keys": [{keys}]}}}},
             "lanes": {{"private": {{"function": "f", "path_prefix": "/private"}}}}"#
     ))
@@ -364,29 +380,30 @@
 #[test]
 fn keys_that_are_taken_away_or_added_count_on_connections_that_are_open() {
     run(async {
-        for words in Words::ALL {
+        for header_names in HeaderNames::ALL {
             for by_delta in [false, true] {
-                let cell = answering_cell();
+                let instance = answering_instance();
                 let first = key_change(r#""key-of-lomi""#);
-                let bench = Bench::start(&words, &first, cell.address).await;
+                let bench = Bench::start(&header_names, &first, instance.address).await;
                 let mut client = bench.connect().await;
-                let call =
-                    |key: &str| request_bytes("/private/x", &[format!("{}: {key}", words.api_key)], "");
+                let call = |key: &str| {
+                    request_bytes("/private/x", &[format!("{}: {key}", header_names.api_key)], "")
+                };
                 assert_eq!(client.exchange(&call("key-of-lomi")).await.status, StatusCode::OK);
                 let added = client.exchange(&call("second-key-of-lomi")).await;
                 assert_eq!(added.status, StatusCode::UNAUTHORIZED);
                 let second = key_change(r#""second-key-of-lomi""#);
                 if by_delta {
                     let delta = ConfigurationDelta::between((1, &first), (2, &second));
-                    bench.front.take_changed_configuration(2, &second, &[delta]);
+                    bench.gateway.apply_changed_configuration(2, &second, &[delta]);
                 } else {
-                    bench.front.take_configuration(2, &second);
+                    bench.gateway.set_configuration(2, &second);
                 }
-                assert_refused(&client.exchange(&call("key-of-lomi")).await, &words, "taken away");
+                assert_refused(&client.exchange(&call("key-of-lomi")).await, &header_names, "taken away");
                 assert_eq!(client.exchange(&call("second-key-of-lomi")).await.status, StatusCode::OK);
                 // A tenant that is gone takes its keys along.
-                bench.front.take_configuration(3, &lanes(r#""tenants": {}, "lanes": {"private": {"function": "f", "path_prefix": "/private"}}"#));
-                assert_refused(&client.exchange(&call("second-key-of-lomi")).await, &words, "gone");
+                bench.gateway.set_configuration(3, &routes(r#""tenants": {}, "lanes": {"private": {"function": "f", "path_prefix": "/private"}}"#));
+                assert_refused(&client.exchange(&call("second-key-of-lomi")).await, &header_names, "gone");
                 assert_eq!(bench.connections(), 1, "all on one connection");
             }
         }
@@ -395,21 +412,22 @@
 
 /// Guards against CONFIG late in force: a node that knew that a newer configuration stood refused calls by its own.
 #[test]
-fn a_call_that_doubted_lanes_do_not_let_in_is_asked_to_come_back() {
+fn a_call_that_doubted_routes_do_not_let_in_is_asked_to_come_back() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
-        let bench = Bench::start(&words, &key_change(r#""key-of-lomi""#), cell.address).await;
-        let call = |path: &str, key: &str| request_bytes(path, &[format!("{}: {key}", words.api_key)], "");
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
+        let bench = Bench::start(&header_names, &key_change(r#""key-of-lomi""#), instance.address).await;
+        let call =
+            |path: &str, key: &str| request_bytes(path, &[format!("{}: {key}", header_names.api_key)], "");
         let refused = [call("/nowhere", "key-of-lomi"), call("/private/x", "another-key")];
-        bench.front.doubt_lanes(true);
+        bench.gateway.set_routes_suspect(true);
         for request in &refused {
-            let answer = bench.call(request).await;
-            assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-            assert!(answer.whole.to_ascii_lowercase().contains("retry-after: "), "{}", answer.whole);
+            let response = bench.call(request).await;
+            assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+            assert!(response.whole.to_ascii_lowercase().contains("retry-after: "), "{}", response.whole);
         }
         assert_eq!(bench.call(&call("/private/x", "key-of-lomi")).await.status, StatusCode::OK);
-        bench.front.doubt_lanes(false);
+        bench.gateway.set_routes_suspect(false);
         assert_eq!(bench.call(&refused[0]).await.status, StatusCode::NOT_FOUND);
         assert_eq!(bench.call(&refused[1]).await.status, StatusCode::UNAUTHORIZED);
     });
@@ -419,57 +437,57 @@
 #[test]
 fn a_refused_calls_unread_body_is_never_read_as_a_request() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
-        let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
-        let key_line = [format!("{}: key-of-lomi", words.api_key)];
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
+        let key_line = [format!("{}: key-of-lomi", header_names.api_key)];
         let hidden = String::from_utf8(request_bytes("/private/hidden", &key_line, "")).expect("text");
         // All at once, or the body only after the answer.
         for is_split in [false, true] {
             let refused = String::from_utf8(request_bytes("/private/x", &[], &hidden)).expect("text");
             let mut client = bench.connect().await;
             let sent = if is_split { refused.len() - hidden.len() } else { refused.len() };
-            let answer = client.exchange(&refused.as_bytes()[..sent]).await;
-            assert_refused(&answer, &words, "with a length");
+            let response = client.exchange(&refused.as_bytes()[..sent]).await;
+            assert_refused(&response, &header_names, "with a length");
             client.send(&refused.as_bytes()[sent..]).await;
-            assert!(client.next_answer().await.is_none(), "the body was answered");
+            assert!(client.next_response().await.is_none(), "the body was answered");
 
             let head = key_bench::chunked_head("/private/x", &[]);
             let chunked = format!("{head}{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
             let mut client = bench.connect().await;
             let sent = if is_split { head.len() } else { chunked.len() };
-            let answer = client.exchange(&chunked.as_bytes()[..sent]).await;
-            assert_refused(&answer, &words, "in chunks");
+            let response = client.exchange(&chunked.as_bytes()[..sent]).await;
+            assert_refused(&response, &header_names, "in chunks");
             client.send(&chunked.as_bytes()[sent..]).await;
             client.send(&request_bytes("/private/next", &key_line, "")).await;
             // The connection may be closed; if it is not, the next call's answer is the only one.
-            if let Some(answer) = client.next_answer().await {
-                assert_eq!(answer.status, StatusCode::OK);
-                assert!(client.next_answer().await.is_none());
+            if let Some(response) = client.next_response().await {
+                assert_eq!(response.status, StatusCode::OK);
+                assert!(client.next_response().await.is_none());
             }
         }
-        let received = cell.received();
+        let received = instance.received();
         assert!(!received.iter().any(|request| request.contains("hidden")), "{received:?}");
     });
 }
 
 /// Guards against tenants that are served without regard to their rank.
 #[test]
-fn a_ticket_is_asked_for_under_the_tenant_and_its_rank() {
+fn a_permit_is_asked_for_under_the_tenant_and_its_rank() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
-        let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
-        let asked = [
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
+        let requested = [
             ("/private/x", "key-of-lomi", Some("lomi"), (2 << 8) | 3),
             ("/private/x", "key-of-fifi", Some("fifi"), 3),
             ("/public/x", "key-of-lomi", None, 1),
         ];
-        for (path, key, tenant, rank) in asked {
-            let lines = [format!("{}: {key}", words.api_key)];
+        for (path, key, tenant, rank) in requested {
+            let lines = [format!("{}: {key}", header_names.api_key)];
             assert_eq!(bench.call(&request_bytes(path, &lines, "")).await.status, StatusCode::OK);
-            let wish = bench.wishes().pop().expect("an ask");
-            assert_eq!((wish.tenant.as_deref(), wish.rank), (tenant, rank), "{path} {key}");
+            let parameters = bench.parameter_sets().pop().expect("an ask");
+            assert_eq!((parameters.tenant.as_deref(), parameters.rank), (tenant, rank), "{path} {key}");
         }
     });
 }
@@ -478,14 +496,19 @@
 #[test]
 fn a_call_made_by_a_running_call_needs_a_key_like_any_other() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
-        let bench = Bench::start(&words, &lanes(WITH_TENANTS), cell.address).await;
-        bench.front.take_cell_hosts([std::net::IpAddr::from([127, 0, 0, 1])].into());
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
+        bench.gateway.set_instance_hosts([std::net::IpAddr::from([127, 0, 0, 1])].into());
         let refused = bench.call(&request_bytes("/private/x", &[], "")).await;
-        assert_refused(&refused, &words, "nested");
+        assert_refused(&refused, &header_names, "nested");
         assert_eq!(bench.call(&request_bytes("/public/x", &[], "")).await.status, StatusCode::OK);
-        assert!(bench.wishes().iter().all(|wish| wish.is_nested && wish.tenant.is_none()));
+        assert!(
+            bench
+                .parameter_sets()
+                .iter()
+                .all(|parameters| parameters.is_nested && parameters.tenant.is_none())
+        );
     });
 }
 
@@ -493,8 +516,8 @@
 #[test]
 fn no_key_is_in_records_traces_or_what_the_protocol_is_told() {
     run(async {
-        let words = Words::PLATFORM;
-        let cell = answering_cell();
+        let header_names = HeaderNames::PLATFORM;
+        let instance = answering_instance();
         let folder =
             std::env::temp_dir().join(format!("vanelane-keys-{}-{}", std::process::id(), fastrand::u64(..)));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -503,14 +526,15 @@
             recorder: Recorder::start(&records, 1 << 20).expect("a file"),
             traces: call_traces::TraceWriter::start(&traces, 1 << 20, 1.0, "zone").expect("a file"),
         };
-        let mut bench = Bench::start_recording(&words, &lanes(WITH_TENANTS), cell.address, writers).await;
+        let mut bench =
+            Bench::start_recording(&header_names, &routes(WITH_TENANTS), instance.address, writers).await;
         for key in ["key-of-lomi", "key-of-nobody"] {
-            let lines = [format!("{}: {key}", words.api_key)];
+            let lines = [format!("{}: {key}", header_names.api_key)];
             let call = bench.begin(&request_bytes("/private/x", &lines, ""));
             if key == "key-of-lomi" {
-                let ask = bench.next_ask().await;
-                assert!(!format!("{ask:?}").contains("key-of-"));
-                bench.grant(ask);
+                let permit_request = bench.next_permit_request().await;
+                assert!(!format!("{permit_request:?}").contains("key-of-"));
+                bench.grant(permit_request);
             }
             call.await.expect("the client ended");
         }
@@ -525,15 +549,15 @@
 #[test]
 fn a_call_that_is_not_let_in_is_refused_before_its_body_comes() {
     run(async {
-        let words = Words::PLATFORM;
-        let bench = Bench::start(&words, &lanes(WITH_TENANTS), answering_cell().address).await;
+        let header_names = HeaderNames::PLATFORM;
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), answering_instance().address).await;
         let whole = request_bytes("/private/x", &[], &"b".repeat(50_000));
         let head = whole.len() - 50_000;
-        let answer = tokio::time::timeout(Duration::from_secs(5), async {
+        let response = tokio::time::timeout(Duration::from_secs(5), async {
             bench.connect().await.exchange(&whole[..head]).await
         });
-        let answer = answer.await.expect("it waited for the body");
-        assert_refused(&answer, &words, "no body yet");
-        assert!(answer.has_header(header::CONTENT_TYPE.as_str()));
+        let response = response.await.expect("it waited for the body");
+        assert_refused(&response, &header_names, "no body yet");
+        assert!(response.has_header(header::CONTENT_TYPE.as_str()));
     });
 }
--- a/packages/gossip/src/body_delta.rs
+++ b/packages/gossip/src/body_delta.rs
@@ -70,8 +70,8 @@
 }
 
 /// A find, made as long as the bytes agree: back to what was not told yet, and forward.
-fn extended(base: &[u8], next: &[u8], base_place: usize, next_place: usize, told_to: usize) -> Stretch {
-    let before = base[..base_place].iter().rev().zip(next[told_to..next_place].iter().rev());
+fn extended(base: &[u8], next: &[u8], base_place: usize, next_place: usize, copied_to: usize) -> Stretch {
+    let before = base[..base_place].iter().rev().zip(next[copied_to..next_place].iter().rev());
     let back = before.take_while(|(old, new)| old == new).count();
     let behind = base[base_place..].iter().zip(&next[next_place..]);
     let forward = behind.take_while(|(old, new)| old == new).count();
@@ -100,8 +100,8 @@
 }
 
 /// The hash of the window one byte on.
-fn rolled(hash: u64, leaving: u8, entering: u8, out_factor: u64) -> u64 {
-    let kept = hash.wrapping_sub(u64::from(leaving).wrapping_mul(out_factor));
+fn rolled(hash: u64, draining: u8, entering: u8, out_factor: u64) -> u64 {
+    let kept = hash.wrapping_sub(u64::from(draining).wrapping_mul(out_factor));
     kept.wrapping_mul(ROLL).wrapping_add(u64::from(entering))
 }
 
--- a/packages/gossip/src/body_delta/tests.rs
+++ b/packages/gossip/src/body_delta/tests.rs
@@ -9,12 +9,12 @@
 #[test]
 fn changed_items_cost_little_and_come_out_exactly() {
     let base = lines(4_000).concat().into_bytes();
-    for luck_seed in 0..40 {
-        let mut dice = Rng::with_seed(luck_seed);
+    for random_seed in 0..40 {
+        let mut rng = Rng::with_seed(random_seed);
         let mut next_lines = lines(4_000);
         for _ in 0..10 {
-            let place = dice.usize(..next_lines.len());
-            match dice.u8(..3) {
+            let place = rng.usize(..next_lines.len());
+            match rng.u8(..3) {
                 0 => next_lines[place] = "\"changed\":{\"host\":\"other\"},".to_owned(),
                 1 => {
                     next_lines.remove(place);
@@ -25,32 +25,32 @@
         let next = next_lines.concat().into_bytes();
         let steps = delta(&base, &next).expect("little changed");
         let inserted_count: usize = steps.0.iter().map(|step| step.insert.0.len()).sum();
-        assert!(inserted_count < 3_000, "seed {luck_seed}: {inserted_count} bytes");
-        assert_eq!(patched(&base, &steps, next.len()).expect("fits"), next, "seed {luck_seed}");
+        assert!(inserted_count < 3_000, "seed {random_seed}: {inserted_count} bytes");
+        assert_eq!(patched(&base, &steps, next.len()).expect("fits"), next, "seed {random_seed}");
     }
 }
 
 #[test]
 fn bodies_of_any_shape_come_out_exactly_or_not_at_all() {
-    for luck_seed in 0..300 {
-        let mut dice = Rng::with_seed(luck_seed);
-        let base: Vec<u8> = (0..dice.usize(..600)).map(|_| dice.u8(..4)).collect();
+    for random_seed in 0..300 {
+        let mut rng = Rng::with_seed(random_seed);
+        let base: Vec<u8> = (0..rng.usize(..600)).map(|_| rng.u8(..4)).collect();
         let mut next = base.clone();
-        for _ in 0..dice.usize(..4) {
-            let place = dice.usize(..=next.len());
-            next.splice(place..place, (0..dice.usize(..9)).map(|_| dice.u8(..4)));
+        for _ in 0..rng.usize(..4) {
+            let place = rng.usize(..=next.len());
+            next.splice(place..place, (0..rng.usize(..9)).map(|_| rng.u8(..4)));
         }
         if let Some(steps) = delta(&base, &next) {
-            assert_eq!(patched(&base, &steps, next.len()).expect("fits"), next, "seed {luck_seed}");
+            assert_eq!(patched(&base, &steps, next.len()).expect("fits"), next, "seed {random_seed}");
         }
     }
 }
 
 #[test]
 fn another_body_altogether_has_no_delta_and_lying_steps_make_no_body() {
-    let mut dice = Rng::with_seed(1);
-    let base: Vec<u8> = (0..50_000).map(|_| dice.u8(..)).collect();
-    let other: Vec<u8> = (0..50_000).map(|_| dice.u8(..)).collect();
+    let mut rng = Rng::with_seed(1);
+    let base: Vec<u8> = (0..50_000).map(|_| rng.u8(..)).collect();
+    let other: Vec<u8> = (0..50_000).map(|_| rng.u8(..)).collect();
     assert!(delta(&base, &other).is_none());
     let beyond = DeltaStep { from: 49_990, length: 11, insert: Bytes::default() };
     assert!(patched(&base, &List(vec![beyond]), usize::MAX).is_none());
--- a/packages/gossip/src/lib.rs
+++ b/packages/gossip/src/lib.rs
@@ -18,11 +18,11 @@
 
 use body_delta::{delta, patched};
 use fastrand::Rng;
-use monotonic_clock::{ClockEvent, Micros};
+use monotonic_clock::{Micros, Ticker};
 pub use neighbours::Neighbours;
 use peer_messages::{
-    BodyChange, BucketDigest, Bytes, FRAME_LIMIT, LargeMark, List, Message, NewsItem, NewsMark, NodeId,
-    stable_hash, value_digest,
+    BodyChange, BucketDigest, Bytes, FRAME_LIMIT, GossipItem, GossipVersion, LargeBodyVersion, List, Message,
+    NodeId, stable_hash, value_digest,
 };
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,17 +44,17 @@
 const FEW_TOPICS: usize = 256;
 const BUCKETS_A_DIGEST: usize = 4;
 /// Of so many digests one goes over a border: of a relay to a relay, of other nodes about the fleet's own topics.
-const FAR_DIGEST_EACH: u64 = 4;
+const REMOTE_DIGEST_EVERY: u64 = 4;
 /// Of so many digests that others send over a border one is about all topics: what no relay carried is mended.
-const FAR_WHOLE_DIGEST_EACH: u64 = 10;
+const REMOTE_FULL_DIGEST_EVERY: u64 = 10;
 /// So many newer sequences of a large body are told apart by when they were first heard of.
-const HEARD_OF_LIMIT: usize = 64;
+const ANNOUNCED_LIMIT: usize = 64;
 /// So many changes of a large body are remembered for those that have an older one.
 const CHANGES_LIMIT: usize = 32;
 
 #[derive(Debug)]
-struct Told {
-    item: NewsItem,
+struct TopicState {
+    item: GossipItem,
     rounds_left: u32,
     bucket: usize,
     /// How a large body became what it is, newest last.
@@ -70,95 +70,95 @@
 
 /// A newer sequence of a large topic that a colleague told of, and when the first one did.
 #[derive(Debug)]
-struct HeardOf {
+struct Announced {
     sequence: u64,
     since: Micros,
 }
 
 /// What the spread wants sent to a colleague.
-pub type NewsSend = (NodeId, Message);
+pub type GossipSend = (NodeId, Message);
 
-/// One node's news. Example: `NewsSpread::new(7)`.
+/// One node's news. Example: `Gossip::new(7)`.
 #[derive(Debug)]
-pub struct NewsSpread {
-    topics: BTreeMap<String, Told>,
+pub struct Gossip {
+    topics: BTreeMap<String, TopicState>,
     digests: [u64; BUCKETS],
     next_bucket: usize,
     /// How often news is passed on, by the size of the fleet.
     rounds: u32,
-    rumour_event: ClockEvent,
-    digest_event: ClockEvent,
-    dice: Rng,
+    rumour_event: Ticker,
+    digest_event: Ticker,
+    rng: Rng,
     now: Micros,
     /// Bytes a second of this machine's link, where they are known.
     link_rate: Option<f64>,
     awaited: BTreeMap<String, Awaited>,
-    heard_of: BTreeMap<String, VecDeque<HeardOf>>,
+    announced: BTreeMap<String, VecDeque<Announced>>,
     own: Option<NodeId>,
     neighbours: Neighbours,
     /// Those whose news this node carries over borders if it is the zone's first relay.
     zone_members: BTreeSet<NodeId>,
-    colleagues: BTreeSet<NodeId>,
+    peers: BTreeSet<NodeId>,
     digest_count: u64,
 }
 
-impl NewsSpread {
-    /// No news yet. Example: `NewsSpread::new(7).sequence("configuration") == 0`.
-    pub fn new(luck_seed: u64) -> NewsSpread {
-        NewsSpread {
+impl Gossip {
+    /// No news yet. Example: `Gossip::new(7).sequence("configuration") == 0`.
+    pub fn new(random_seed: u64) -> Gossip {
+        Gossip {
             topics: BTreeMap::new(),
             digests: [0; BUCKETS],
             next_bucket: 0,
             rounds: ROUNDS,
-            rumour_event: ClockEvent::each(Micros::from_millis(100)),
-            digest_event: ClockEvent::each(Micros::from_millis(250)),
-            dice: Rng::with_seed(luck_seed),
+            rumour_event: Ticker::every(Micros::from_millis(100)),
+            digest_event: Ticker::every(Micros::from_millis(250)),
+            rng: Rng::with_seed(random_seed),
             now: Micros(0),
             link_rate: None,
             awaited: BTreeMap::new(),
-            heard_of: BTreeMap::new(),
+            announced: BTreeMap::new(),
             own: None,
             neighbours: Neighbours::default(),
             zone_members: BTreeSet::new(),
-            colleagues: BTreeSet::new(),
+            peers: BTreeSet::new(),
             digest_count: 0,
         }
     }
 
-    /// Tells who the colleagues are, whenever they change. Example: `news.take_neighbours(own, neighbours)`.
-    pub fn take_neighbours(&mut self, own: NodeId, neighbours: Neighbours) {
+    /// Tells who the colleagues are, whenever they change. Example: `gossip.set_neighbours(own, neighbours)`.
+    pub fn set_neighbours(&mut self, own: NodeId, neighbours: Neighbours) {
         self.own = Some(own);
         self.zone_members = neighbours.zone_members(self.own);
-        self.colleagues = neighbours.everybody().into_iter().collect();
+        self.peers = neighbours.everybody().into_iter().collect();
         self.rounds = if neighbours.count() <= SMALL_FLEET { ROUNDS } else { LARGE_FLEET_ROUNDS };
         self.neighbours = neighbours;
     }
 
     /// Tells how fast this machine's link is: a large body is not asked for again before it can have
-    /// come over it. Example: `news.take_link_rate(250_000.0)`.
-    pub fn take_link_rate(&mut self, bytes_a_second: f64) {
+    /// come over it. Example: `gossip.set_link_rate(250_000.0)`.
+    pub fn set_link_rate(&mut self, bytes_a_second: f64) {
         self.link_rate = Some(bytes_a_second);
     }
 
-    /// The newest sequence known of a topic, zero for none. Example: `news.sequence("disks")`.
+    /// The newest sequence known of a topic, zero for none. Example: `gossip.sequence("disks")`.
     pub fn sequence(&self, topic: &str) -> u64 {
-        self.topics.get(topic).map_or(0, |told| told.item.sequence)
+        self.topics.get(topic).map_or(0, |topic_state| topic_state.item.sequence)
     }
 
-    /// The newest body known of a topic. Example: `news.body("configuration")`.
+    /// The newest body known of a topic. Example: `gossip.body("configuration")`.
     pub fn body(&self, topic: &str) -> Option<&Bytes> {
-        self.topics.get(topic).map(|told| &told.item.body)
+        self.topics.get(topic).map(|topic_state| &topic_state.item.body)
     }
 
     /// Publishes own news or takes news from elsewhere; an older sequence changes nothing.
-    /// Example: `news.publish("configuration", own, 4, body) == true` the first time.
+    /// Example: `gossip.publish("configuration", own, 4, body) == true` the first time.
     pub fn publish(&mut self, topic: &str, origin: NodeId, sequence: u64, body: Bytes) -> bool {
-        let item = NewsItem { topic: topic.into(), origin, sequence, body };
-        self.take(item)
+        let item = GossipItem { topic: topic.into(), origin, sequence, body };
+        self.accept_item(item)
     }
 
     /// Publishes own news of a large topic and says what changed since the last: colleagues that have the
-    /// last get both. Example: `news.publish_changed("configuration", own, 5, body, meaning)`.
+    /// last get both. Example: `gossip.publish_changed("configuration", own, 5, body, meaning)`.
     pub fn publish_changed(
         &mut self,
         topic: &str,
@@ -167,22 +167,22 @@
         body: Bytes,
         meaning: Bytes,
     ) -> bool {
-        let item = NewsItem { topic: topic.into(), origin, sequence, body };
+        let item = GossipItem { topic: topic.into(), origin, sequence, body };
         let change = self.change_to(&item).map(|change| BodyChange { meaning, ..change });
-        self.take_changed(item, change.into_iter().collect())
+        self.accept_changed_item(item, change.into_iter().collect())
     }
 
-    fn take(&mut self, item: NewsItem) -> bool {
+    fn accept_item(&mut self, item: GossipItem) -> bool {
         let change = self.change_to(&item);
-        self.take_changed(item, change.into_iter().collect())
+        self.accept_changed_item(item, change.into_iter().collect())
     }
 
-    fn change_to(&self, item: &NewsItem) -> Option<BodyChange> {
-        self.topics.get(&item.topic.0).and_then(|told| change_between(&told.item, item))
+    fn change_to(&self, item: &GossipItem) -> Option<BodyChange> {
+        self.topics.get(&item.topic.0).and_then(|topic_state| change_between(&topic_state.item, item))
     }
 
     /// What the publishers said of each change of a topic since a sequence; none where some change since is
-    /// not known here, or has no meaning. Example: `news.meanings_since("configuration", 4)`.
+    /// not known here, or has no meaning. Example: `gossip.meanings_since("configuration", 4)`.
     pub fn meanings_since(&self, topic: &str, sequence: u64) -> Option<Vec<Bytes>> {
         let changes = self.topics.get(topic)?.changes_since(sequence)?;
         let meanings = changes.into_iter().map(|change| change.meaning);
@@ -190,7 +190,7 @@
     }
 
     /// Takes an item whose body came of the known one by these changes.
-    fn take_changed(&mut self, item: NewsItem, changes: Vec<BodyChange>) -> bool {
+    fn accept_changed_item(&mut self, item: GossipItem, changes: Vec<BodyChange>) -> bool {
         let topic = item.topic.0.clone();
         if item.sequence <= self.sequence(&topic) {
             return false;
@@ -199,51 +199,53 @@
             return false;
         }
         let bucket = bucket_of(&topic);
-        self.digests[bucket] ^= mark_hash(&topic, item.sequence);
+        self.digests[bucket] ^= version_hash(&topic, item.sequence);
         self.awaited.remove(&topic);
-        if let Some(heard_of) = self.heard_of.get_mut(&topic) {
-            heard_of.retain(|heard| heard.sequence > item.sequence);
+        if let Some(announced) = self.announced.get_mut(&topic) {
+            announced.retain(|received| received.sequence > item.sequence);
         }
         let changes: VecDeque<BodyChange> = changes.into();
-        let told = Told { item, rounds_left: self.rounds, bucket, changes };
-        if let Some(mut previous) = self.topics.insert(topic.clone(), told) {
-            self.digests[bucket] ^= mark_hash(&previous.item.topic.0, previous.item.sequence);
-            if let Some(told) = self.topics.get_mut(&topic).filter(|told| !told.changes.is_empty()) {
-                previous.changes.append(&mut told.changes);
+        let topic_state = TopicState { item, rounds_left: self.rounds, bucket, changes };
+        if let Some(mut previous) = self.topics.insert(topic.clone(), topic_state) {
+            self.digests[bucket] ^= version_hash(&previous.item.topic.0, previous.item.sequence);
+            if let Some(topic_state) =
+                self.topics.get_mut(&topic).filter(|topic_state| !topic_state.changes.is_empty())
+            {
+                previous.changes.append(&mut topic_state.changes);
                 let surplus_count = previous.changes.len().saturating_sub(CHANGES_LIMIT);
                 previous.changes.drain(..surplus_count);
-                told.changes = previous.changes;
+                topic_state.changes = previous.changes;
             }
         }
         true
     }
 
     /// Forgets topics, such as those of a function or a node that is no more.
-    /// Example: `news.forget(|topic| topic == "demand/7")`.
+    /// Example: `gossip.forget(|topic| topic == "demand/7")`.
     pub fn forget(&mut self, is_forgotten: impl Fn(&str) -> bool) {
         let digests = &mut self.digests;
-        self.topics.retain(|topic, told| {
+        self.topics.retain(|topic, topic_state| {
             let is_kept = !is_forgotten(topic);
             if !is_kept {
-                digests[told.bucket] ^= mark_hash(topic, told.item.sequence);
+                digests[topic_state.bucket] ^= version_hash(topic, topic_state.item.sequence);
             }
             is_kept
         });
     }
 
-    /// Topics that start with a prefix. Example: `news.topics("demand/")`.
-    pub fn topics<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a NewsItem> {
+    /// Topics that start with a prefix. Example: `gossip.topics("demand/")`.
+    pub fn topics<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a GossipItem> {
         self.topics
             .range(prefix.to_owned()..)
             .take_while(move |(topic, _)| topic.starts_with(prefix))
-            .map(|(_, told)| &told.item)
+            .map(|(_, topic_state)| &topic_state.item)
     }
 
-    /// Sends rumours and digests that are due. Example: `for (node, message) in news.tick(now) { .. }`.
-    pub fn tick(&mut self, now: Micros) -> Vec<NewsSend> {
+    /// Sends rumours and digests that are due. Example: `for (node, message) in gossip.tick(now) { .. }`.
+    pub fn tick(&mut self, now: Micros) -> Vec<GossipSend> {
         let mut sends = Vec::new();
         self.now = now;
-        if self.colleagues.is_empty() {
+        if self.peers.is_empty() {
             return sends;
         }
         if self.rumour_event.due(now) {
@@ -256,31 +258,31 @@
     }
 
     /// Compares topics with a near colleague, and now and then with one beyond a border.
-    fn send_digests(&mut self, sends: &mut Vec<NewsSend>) {
+    fn send_digests(&mut self, sends: &mut Vec<GossipSend>) {
         self.digest_count += 1;
-        if let Some(near) = self.dice.choice(self.neighbours.near.iter().copied()) {
-            sends.push((near, Message::NewsDigest { digests: self.next_digests() }));
+        if let Some(local) = self.rng.choice(self.neighbours.local.iter().copied()) {
+            sends.push((local, Message::GossipDigest { digests: self.next_digests() }));
         }
-        if self.neighbours.far.is_empty() || !self.digest_count.is_multiple_of(FAR_DIGEST_EACH) {
+        if self.neighbours.remote.is_empty() || !self.digest_count.is_multiple_of(REMOTE_DIGEST_EVERY) {
             return;
         }
-        let far_digest_count = self.digest_count / FAR_DIGEST_EACH;
-        let is_whole_due = far_digest_count.is_multiple_of(FAR_WHOLE_DIGEST_EACH);
+        let remote_digest_count = self.digest_count / REMOTE_DIGEST_EVERY;
+        let is_whole_due = remote_digest_count.is_multiple_of(REMOTE_FULL_DIGEST_EVERY);
         let digests = match self.is_relay() || is_whole_due {
             true => self.next_digests(),
             false => List(vec![self.digest_of(FLEET_BUCKET)]),
         };
-        if let Some(far) = self.far_partner() {
-            sends.push((far, Message::NewsDigest { digests }));
+        if let Some(remote) = self.remote_partner() {
+            sends.push((remote, Message::GossipDigest { digests }));
         }
     }
 
     /// Whom to compare with beyond a border: relays do with relays, others with anybody.
-    fn far_partner(&mut self) -> Option<NodeId> {
-        let relays: Vec<NodeId> = self.neighbours.far_relays.iter().flatten().copied().collect();
+    fn remote_partner(&mut self) -> Option<NodeId> {
+        let relays: Vec<NodeId> = self.neighbours.remote_relays.iter().flatten().copied().collect();
         match self.is_relay() && !relays.is_empty() {
-            true => self.dice.choice(relays),
-            false => self.dice.choice(self.neighbours.far.iter().copied()),
+            true => self.rng.choice(relays),
+            false => self.rng.choice(self.neighbours.remote.iter().copied()),
         }
     }
 
@@ -305,111 +307,115 @@
         std::iter::once(FLEET_BUCKET).chain(named).map(|bucket| self.digest_of(bucket)).collect()
     }
 
-    fn send_rumours(&mut self, sends: &mut Vec<NewsSend>) {
+    fn send_rumours(&mut self, sends: &mut Vec<GossipSend>) {
         let is_first_relay = self.is_first_relay();
         let mut items = Vec::new();
         let mut crossing = Vec::new();
         let mut large = Vec::new();
-        for told in self.topics.values_mut().filter(|told| told.rounds_left > 0) {
+        for topic_state in self.topics.values_mut().filter(|topic_state| topic_state.rounds_left > 0) {
             if items.len() + large.len() >= ITEMS_A_MESSAGE {
                 break;
             }
-            let is_first_round = told.rounds_left == self.rounds;
-            told.rounds_left -= 1;
-            if is_large(&told.item) {
-                large.push(large_mark(&told.item));
+            let is_first_round = topic_state.rounds_left == self.rounds;
+            topic_state.rounds_left -= 1;
+            if is_large(&topic_state.item) {
+                large.push(large_body_version(&topic_state.item));
                 continue;
             }
             // What began in this zone crosses each border once; what came over one is spread here alone.
-            if is_first_relay && is_first_round && self.zone_members.contains(&told.item.origin) {
-                crossing.push(told.item.clone());
+            if is_first_relay && is_first_round && self.zone_members.contains(&topic_state.item.origin) {
+                crossing.push(topic_state.item.clone());
             }
-            items.push(told.item.clone());
+            items.push(topic_state.item.clone());
         }
         let fanout = if self.neighbours.count() <= SMALL_FLEET { FANOUT } else { LARGE_FLEET_FANOUT };
-        for near in self.picked(&self.neighbours.near.clone(), fanout) {
-            sends.extend(tell_items(near, &items));
+        for local in self.picked(&self.neighbours.local.clone(), fanout) {
+            sends.extend(items_message(local, &items));
         }
         self.send_to_relays(&items, sends);
-        for far_relays in &self.neighbours.far_relays {
-            sends.extend(far_relays.first().and_then(|relay| tell_items(*relay, &crossing)));
+        for remote_relays in &self.neighbours.remote_relays {
+            sends.extend(remote_relays.first().and_then(|relay| items_message(*relay, &crossing)));
         }
         let everybody = self.neighbours.everybody();
         for node in self.picked(&everybody, fanout) {
-            sends.extend(tell_large(node, large.clone()));
+            sends.extend(large_versions_message(node, large.clone()));
         }
         self.send_fleet_topics(&items, fanout, sends);
     }
 
     /// Own news goes to the zone's relays at once, which carry it on.
-    fn send_to_relays(&self, items: &[NewsItem], sends: &mut Vec<NewsSend>) {
-        let is_own = |item: &&NewsItem| Some(item.origin) == self.own;
-        let own_items: Vec<NewsItem> = items.iter().filter(is_own).cloned().collect();
+    fn send_to_relays(&self, items: &[GossipItem], sends: &mut Vec<GossipSend>) {
+        let is_own = |item: &&GossipItem| Some(item.origin) == self.own;
+        let own_items: Vec<GossipItem> = items.iter().filter(is_own).cloned().collect();
         let relays = self.neighbours.own_relays.iter().filter(|relay| Some(**relay) != self.own);
-        sends.extend(relays.filter_map(|relay| tell_items(*relay, &own_items)));
+        sends.extend(relays.filter_map(|relay| items_message(*relay, &own_items)));
     }
 
     /// The fleet's own topics cross borders by anybody: no relay's loss may hold up a new voter set.
-    fn send_fleet_topics(&mut self, items: &[NewsItem], fanout: usize, sends: &mut Vec<NewsSend>) {
-        let is_fleets = |item: &&NewsItem| bucket_of(&item.topic.0) == FLEET_BUCKET;
-        let fleet_items: Vec<NewsItem> = items.iter().filter(is_fleets).cloned().collect();
+    fn send_fleet_topics(&mut self, items: &[GossipItem], fanout: usize, sends: &mut Vec<GossipSend>) {
+        let is_fleets = |item: &&GossipItem| bucket_of(&item.topic.0) == FLEET_BUCKET;
+        let fleet_items: Vec<GossipItem> = items.iter().filter(is_fleets).cloned().collect();
         if fleet_items.is_empty() {
             return;
         }
-        for far in self.picked(&self.neighbours.far.clone(), fanout) {
-            sends.extend(tell_items(far, &fleet_items));
+        for remote in self.picked(&self.neighbours.remote.clone(), fanout) {
+            sends.extend(items_message(remote, &fleet_items));
         }
     }
 
     /// Some of these nodes, at random.
     fn picked(&mut self, nodes: &[NodeId], count: usize) -> Vec<NodeId> {
-        self.dice.choose_multiple(nodes.iter().copied(), count)
+        self.rng.choose_multiple(nodes.iter().copied(), count)
     }
 
     /// Takes a colleague's news, digest, marks or question. The topics that became newer are
-    /// returned with what to send. Example: `let (newer, sends) = news.received(from, message);`.
-    pub fn received(&mut self, from: NodeId, message: Message) -> (Vec<String>, Vec<NewsSend>) {
+    /// returned with what to send. Example: `let (newer, sends) = gossip.received(from, message);`.
+    pub fn received(&mut self, from: NodeId, message: Message) -> (Vec<String>, Vec<GossipSend>) {
         match message {
-            Message::News { items } => {
+            Message::Gossip { items } => {
                 let newer_topics = items
                     .0
                     .into_iter()
                     .filter_map(|item| {
                         let topic = item.topic.0.clone();
-                        self.take(item).then_some(topic)
+                        self.accept_item(item).then_some(topic)
                     })
                     .collect();
                 (newer_topics, Vec::new())
             }
-            Message::NewsDigest { digests } => {
-                let is_other = |told: &&BucketDigest| {
-                    self.digests.get(usize::from(told.bucket)).is_some_and(|own| *own != told.digest)
+            Message::GossipDigest { digests } => {
+                let is_other = |topic_state: &&BucketDigest| {
+                    self.digests
+                        .get(usize::from(topic_state.bucket))
+                        .is_some_and(|own| *own != topic_state.digest)
                 };
                 let full_buckets: List<u8> =
-                    digests.0.iter().filter(is_other).map(|told| told.bucket).collect();
+                    digests.0.iter().filter(is_other).map(|topic_state| topic_state.bucket).collect();
                 if full_buckets.0.is_empty() {
                     return (Vec::new(), Vec::new());
                 }
-                let told_items: Vec<&NewsItem> =
-                    self.topics_in(&full_buckets).map(|told| &told.item).collect();
-                let marks = told_items.iter().filter(|item| !is_large(item)).map(|item| mark(item)).collect();
-                let large = told_items.iter().filter(|item| is_large(item)).map(|item| large_mark(item));
+                let sent_items: Vec<&GossipItem> =
+                    self.topics_in(&full_buckets).map(|topic_state| &topic_state.item).collect();
+                let versions =
+                    sent_items.iter().filter(|item| !is_large(item)).map(|item| version(item)).collect();
+                let large =
+                    sent_items.iter().filter(|item| is_large(item)).map(|item| large_body_version(item));
                 let large = large.collect();
-                (Vec::new(), vec![(from, Message::NewsMarks { full_buckets, marks, large })])
+                (Vec::new(), vec![(from, Message::GossipVersions { full_buckets, versions, large })])
             }
-            Message::NewsMarks { full_buckets, marks, large } => {
-                (Vec::new(), self.compare(from, &full_buckets, marks, &large))
+            Message::GossipVersions { full_buckets, versions, large } => {
+                (Vec::new(), self.compare(from, &full_buckets, versions, &large))
             }
-            Message::NewsAsk { known } => (Vec::new(), self.answer_ask(from, &known)),
-            Message::NewsChanges { topic, origin, changes } => {
-                self.take_changes(from, topic, origin, changes.0)
+            Message::GossipRequest { known } => (Vec::new(), self.respond_to_request(from, &known)),
+            Message::GossipBodyChanges { topic, origin, changes } => {
+                self.accept_changes(from, topic, origin, changes.0)
             }
             _ => (Vec::new(), Vec::new()),
         }
     }
 
-    fn topics_in(&self, buckets: &List<u8>) -> impl Iterator<Item = &Told> {
-        self.topics.values().filter(|told| buckets.0.contains(&(told.bucket as u8)))
+    fn topics_in(&self, buckets: &List<u8>) -> impl Iterator<Item = &TopicState> {
+        self.topics.values().filter(|topic_state| buckets.0.contains(&(topic_state.bucket as u8)))
     }
 
     /// Asks for what the colleague has newer and sends what it has older. Of a large body only the mark
@@ -418,105 +424,118 @@
         &mut self,
         from: NodeId,
         full_buckets: &List<u8>,
-        marks: List<NewsMark>,
-        large: &List<LargeMark>,
-    ) -> Vec<NewsSend> {
+        versions: List<GossipVersion>,
+        large: &List<LargeBodyVersion>,
+    ) -> Vec<GossipSend> {
         let mut known = Vec::new();
         let mut newer_items = Vec::new();
-        for their_mark in &marks.0 {
-            let own_sequence = self.sequence(&their_mark.topic.0);
-            if their_mark.sequence > own_sequence {
-                known.push(NewsMark { topic: their_mark.topic.clone(), sequence: own_sequence });
+        for their_version in &versions.0 {
+            let own_sequence = self.sequence(&their_version.topic.0);
+            if their_version.sequence > own_sequence {
+                known.push(GossipVersion { topic: their_version.topic.clone(), sequence: own_sequence });
             }
-            if their_mark.sequence < own_sequence
-                && let Some(told) = self.topics.get(&their_mark.topic.0)
+            if their_version.sequence < own_sequence
+                && let Some(topic_state) = self.topics.get(&their_version.topic.0)
             {
-                newer_items.push(told.item.clone());
+                newer_items.push(topic_state.item.clone());
             }
         }
         let mut sends = Vec::new();
-        for their_mark in &large.0 {
-            sends.extend(self.ask_for_large(from, their_mark));
-            let told = self.topics.get(&their_mark.topic.0);
+        for their_version in &large.0 {
+            sends.extend(self.request_large_bodies(from, their_version));
+            let topic_state = self.topics.get(&their_version.topic.0);
             newer_items.extend(
-                told.filter(|told| told.item.sequence > their_mark.sequence).map(|told| told.item.clone()),
+                topic_state
+                    .filter(|topic_state| topic_state.item.sequence > their_version.sequence)
+                    .map(|topic_state| topic_state.item.clone()),
             );
         }
         if !full_buckets.0.is_empty() {
-            let small_topics = marks.0.iter().map(|mark| mark.topic.0.as_str());
-            let large_topics = large.0.iter().map(|mark| mark.topic.0.as_str());
+            let small_topics = versions.0.iter().map(|version| version.topic.0.as_str());
+            let large_topics = large.0.iter().map(|version| version.topic.0.as_str());
             let their_topics: BTreeSet<&str> = small_topics.chain(large_topics).collect();
             let unknown_items = self
                 .topics_in(full_buckets)
-                .filter(|told| !their_topics.contains(told.item.topic.0.as_str()));
-            newer_items.extend(unknown_items.map(|told| told.item.clone()));
+                .filter(|topic_state| !their_topics.contains(topic_state.item.topic.0.as_str()));
+            newer_items.extend(unknown_items.map(|topic_state| topic_state.item.clone()));
         }
-        let (large_items, small_items): (Vec<NewsItem>, Vec<NewsItem>) =
+        let (large_items, small_items): (Vec<GossipItem>, Vec<GossipItem>) =
             newer_items.into_iter().partition(is_large);
         sends.extend(send_items(from, small_items));
-        sends.extend(tell_large(from, large_items.iter().map(large_mark).collect()));
+        sends.extend(large_versions_message(from, large_items.iter().map(large_body_version).collect()));
         if !known.is_empty() {
-            sends.push((from, Message::NewsAsk { known: List(known) }));
+            sends.push((from, Message::GossipRequest { known: List(known) }));
         }
         sends
     }
 
     /// Asks for a large body that a colleague has newer, but not while it may still be on its way.
-    fn ask_for_large(&mut self, from: NodeId, their_mark: &LargeMark) -> Option<NewsSend> {
-        let topic = &their_mark.topic;
+    fn request_large_bodies(&mut self, from: NodeId, their_version: &LargeBodyVersion) -> Option<GossipSend> {
+        let topic = &their_version.topic;
         let own_sequence = self.sequence(&topic.0);
-        if their_mark.sequence <= own_sequence {
+        if their_version.sequence <= own_sequence {
             return None;
         }
-        self.note_heard_of(their_mark);
+        self.note_announced(their_version);
         let awaited = self.awaited.get(&topic.0);
-        let awaited = awaited.filter(|awaited| awaited.sequence >= their_mark.sequence);
+        let awaited = awaited.filter(|awaited| awaited.sequence >= their_version.sequence);
         if awaited.is_some_and(|awaited| self.now < awaited.until) {
             return None;
         }
         // Whoever was asked in vain is not asked a second time.
-        let is_origin_near = awaited.is_none() && self.colleagues.contains(&their_mark.origin);
-        let asked_node = if is_origin_near { their_mark.origin } else { from };
-        let seconds = self.link_rate.map_or(0.0, |rate| f64::from(their_mark.bytes) / rate);
+        let is_origin_local = awaited.is_none() && self.peers.contains(&their_version.origin);
+        let requested_node = if is_origin_local { their_version.origin } else { from };
+        let seconds = self.link_rate.map_or(0.0, |rate| f64::from(their_version.bytes) / rate);
         let until = self.now + Micros((seconds * 1e6) as u64);
-        self.awaited.insert(topic.0.clone(), Awaited { sequence: their_mark.sequence, until });
-        let known = List(vec![NewsMark { topic: topic.clone(), sequence: own_sequence }]);
-        Some((asked_node, Message::NewsAsk { known }))
+        self.awaited.insert(topic.0.clone(), Awaited { sequence: their_version.sequence, until });
+        let known = List(vec![GossipVersion { topic: topic.clone(), sequence: own_sequence }]);
+        Some((requested_node, Message::GossipRequest { known }))
     }
 
-    fn note_heard_of(&mut self, their_mark: &LargeMark) {
-        let heard_of = self.heard_of.entry(their_mark.topic.0.clone()).or_default();
-        let is_new = heard_of.back().is_none_or(|newest| newest.sequence < their_mark.sequence);
-        if is_new && heard_of.len() < HEARD_OF_LIMIT {
-            heard_of.push_back(HeardOf { sequence: their_mark.sequence, since: self.now });
+    fn note_announced(&mut self, their_version: &LargeBodyVersion) {
+        let announced = self.announced.entry(their_version.topic.0.clone()).or_default();
+        let is_new = announced.back().is_none_or(|newest| newest.sequence < their_version.sequence);
+        if is_new && announced.len() < ANNOUNCED_LIMIT {
+            announced.push_back(Announced { sequence: their_version.sequence, since: self.now });
         }
     }
 
     /// Since when a newer sequence of a large topic is known to exist that is not here yet, the oldest one.
-    /// Example: `news.awaited_since("configuration") == None` while nobody told of a newer one.
+    /// Example: `gossip.awaited_since("configuration") == None` while nobody told of a newer one.
     pub fn awaited_since(&self, topic: &str) -> Option<Micros> {
-        self.heard_of.get(topic)?.front().map(|oldest| oldest.since)
+        self.announced.get(topic)?.front().map(|oldest| oldest.since)
     }
 
     /// Tells one colleague of a topic, which it asks for if it has an older one.
-    /// Example: `news.tell(reader, "configuration")`.
-    pub fn tell(&self, node: NodeId, topic: &str) -> Option<NewsSend> {
-        tell_large(node, self.topics.get(topic).map(|told| large_mark(&told.item)).into_iter().collect())
+    /// Example: `gossip.send_topic_to(reader, "configuration")`.
+    pub fn send_topic_to(&self, node: NodeId, topic: &str) -> Option<GossipSend> {
+        large_versions_message(
+            node,
+            self.topics
+                .get(topic)
+                .map(|topic_state| large_body_version(&topic_state.item))
+                .into_iter()
+                .collect(),
+        )
     }
 
     /// Whole items, or the changes since what the asker has.
-    fn answer_ask(&self, from: NodeId, known: &List<NewsMark>) -> Vec<NewsSend> {
+    fn respond_to_request(&self, from: NodeId, known: &List<GossipVersion>) -> Vec<GossipSend> {
         let mut items = Vec::new();
         let mut sends = Vec::new();
-        for their_mark in &known.0 {
-            let told = self.topics.get(&their_mark.topic.0);
-            let Some(told) = told.filter(|told| told.item.sequence > their_mark.sequence) else { continue };
-            match told.changes_since(their_mark.sequence) {
+        for their_version in &known.0 {
+            let topic_state = self.topics.get(&their_version.topic.0);
+            let Some(topic_state) =
+                topic_state.filter(|topic_state| topic_state.item.sequence > their_version.sequence)
+            else {
+                continue;
+            };
+            match topic_state.changes_since(their_version.sequence) {
                 Some(changes) => {
-                    let (topic, origin) = (their_mark.topic.clone(), told.item.origin);
-                    sends.push((from, Message::NewsChanges { topic, origin, changes: List(changes) }));
+                    let (topic, origin) = (their_version.topic.clone(), topic_state.item.origin);
+                    sends.push((from, Message::GossipBodyChanges { topic, origin, changes: List(changes) }));
                 }
-                None => items.push(told.item.clone()),
+                None => items.push(topic_state.item.clone()),
             }
         }
         sends.extend(send_items(from, items));
@@ -524,13 +543,13 @@
     }
 
     /// Applies changes to the body known here; where they do not fit, the whole body is asked for.
-    fn take_changes(
+    fn accept_changes(
         &mut self,
         from: NodeId,
         topic: peer_messages::Text,
         origin: NodeId,
         changes: Vec<BodyChange>,
-    ) -> (Vec<String>, Vec<NewsSend>) {
+    ) -> (Vec<String>, Vec<GossipSend>) {
         let own_sequence = self.sequence(&topic.0);
         let fitting: Vec<BodyChange> =
             changes.into_iter().skip_while(|change| change.base < own_sequence).collect();
@@ -541,19 +560,19 @@
         let own_body = self.body(&topic.0).unwrap_or(&no_body);
         match changed_body(own_body, own_sequence, &fitting) {
             Some(body) => {
-                let item = NewsItem { topic: topic.clone(), origin, sequence, body };
-                let is_taken = self.take_changed(item, fitting);
+                let item = GossipItem { topic: topic.clone(), origin, sequence, body };
+                let is_taken = self.accept_changed_item(item, fitting);
                 (is_taken.then_some(topic.0).into_iter().collect(), Vec::new())
             }
             None => {
-                let known = List(vec![NewsMark { topic, sequence: 0 }]);
-                (Vec::new(), vec![(from, Message::NewsAsk { known })])
+                let known = List(vec![GossipVersion { topic, sequence: 0 }]);
+                (Vec::new(), vec![(from, Message::GossipRequest { known })])
             }
         }
     }
 }
 
-impl Told {
+impl TopicState {
     /// The changes that lead from an older sequence to this body, if all of them are remembered.
     fn changes_since(&self, sequence: u64) -> Option<Vec<BodyChange>> {
         let first = self.changes.iter().position(|change| change.base == sequence)?;
@@ -565,7 +584,7 @@
 }
 
 /// How a large body became its successor, where that is told shorter than the successor itself.
-fn change_between(previous: &NewsItem, next: &NewsItem) -> Option<BodyChange> {
+fn change_between(previous: &GossipItem, next: &GossipItem) -> Option<BodyChange> {
     if next.sequence <= previous.sequence || !is_large(previous) || !is_large(next) {
         return None;
     }
@@ -589,29 +608,29 @@
     Some(Bytes(body.into_owned()))
 }
 
-fn is_large(item: &NewsItem) -> bool {
+fn is_large(item: &GossipItem) -> bool {
     item.body.0.len() > SMALL_BODY
 }
 
-fn tell_items(node: NodeId, items: &[NewsItem]) -> Option<NewsSend> {
-    (!items.is_empty()).then(|| (node, Message::News { items: List(items.to_vec()) }))
+fn items_message(node: NodeId, items: &[GossipItem]) -> Option<GossipSend> {
+    (!items.is_empty()).then(|| (node, Message::Gossip { items: List(items.to_vec()) }))
 }
 
-fn tell_large(node: NodeId, large: Vec<LargeMark>) -> Option<NewsSend> {
+fn large_versions_message(node: NodeId, large: Vec<LargeBodyVersion>) -> Option<GossipSend> {
     if large.is_empty() {
         return None;
     }
-    let (full_buckets, marks) = (List(Vec::new()), List(Vec::new()));
-    Some((node, Message::NewsMarks { full_buckets, marks, large: List(large) }))
+    let (full_buckets, versions) = (List(Vec::new()), List(Vec::new()));
+    Some((node, Message::GossipVersions { full_buckets, versions, large: List(large) }))
 }
 
-fn large_mark(item: &NewsItem) -> LargeMark {
+fn large_body_version(item: &GossipItem) -> LargeBodyVersion {
     let (topic, bytes) = (item.topic.clone(), item.body.0.len() as u32);
-    LargeMark { topic, sequence: item.sequence, origin: item.origin, bytes }
+    LargeBodyVersion { topic, sequence: item.sequence, origin: item.origin, bytes }
 }
 
 /// Items in messages of bounded size.
-fn send_items(node: NodeId, items: Vec<NewsItem>) -> Vec<NewsSend> {
+fn send_items(node: NodeId, items: Vec<GossipItem>) -> Vec<GossipSend> {
     let mut sends = Vec::new();
     let mut group_items = Vec::new();
     let mut group_bytes = 0;
@@ -619,18 +638,18 @@
         group_bytes += item.body.0.len();
         group_items.push(item);
         if group_bytes > SMALL_BODY * 4 || group_items.len() >= ITEMS_A_MESSAGE {
-            sends.push((node, Message::News { items: List(std::mem::take(&mut group_items)) }));
+            sends.push((node, Message::Gossip { items: List(std::mem::take(&mut group_items)) }));
             group_bytes = 0;
         }
     }
     if !group_items.is_empty() {
-        sends.push((node, Message::News { items: List(group_items) }));
+        sends.push((node, Message::Gossip { items: List(group_items) }));
     }
     sends
 }
 
-fn mark(item: &NewsItem) -> NewsMark {
-    NewsMark { topic: item.topic.clone(), sequence: item.sequence }
+fn version(item: &GossipItem) -> GossipVersion {
+    GossipVersion { topic: item.topic.clone(), sequence: item.sequence }
 }
 
 /// The fleet's own topics come first, in a bucket that is always compared.
@@ -641,7 +660,7 @@
     }
 }
 
-fn mark_hash(topic: &str, sequence: u64) -> u64 {
+fn version_hash(topic: &str, sequence: u64) -> u64 {
     stable_hash(format!("{topic}#{sequence}").as_bytes())
 }
 
--- a/packages/gossip/src/neighbours.rs
+++ b/packages/gossip/src/neighbours.rs
@@ -13,33 +13,33 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Neighbours {
     /// Colleagues in this node's zone.
-    pub near: Vec<NodeId>,
+    pub local: Vec<NodeId>,
     /// Colleagues in other zones.
-    pub far: Vec<NodeId>,
+    pub remote: Vec<NodeId>,
     /// The relays of this node's zone, the first one first; this node may be among them.
     pub own_relays: Vec<NodeId>,
     /// The relays of each other zone, the first one first.
-    pub far_relays: Vec<Vec<NodeId>>,
+    pub remote_relays: Vec<Vec<NodeId>>,
 }
 
 impl Neighbours {
     /// A fleet without borders. Example: `Neighbours::of_one_zone(vec![7]).count() == 1`.
-    pub fn of_one_zone(colleagues: Vec<NodeId>) -> Neighbours {
-        Neighbours { near: colleagues, ..Neighbours::default() }
+    pub fn of_one_zone(peers: Vec<NodeId>) -> Neighbours {
+        Neighbours { local: peers, ..Neighbours::default() }
     }
 
     /// All colleagues. Example: `neighbours.count() == 9`.
     pub fn count(&self) -> usize {
-        self.near.len() + self.far.len()
+        self.local.len() + self.remote.len()
     }
 
     /// All colleagues, the near ones first. Example: `neighbours.everybody().len() == 9`.
     pub fn everybody(&self) -> Vec<NodeId> {
-        self.near.iter().chain(&self.far).copied().collect()
+        self.local.iter().chain(&self.remote).copied().collect()
     }
 
     /// The colleagues in this node's zone, and this node. Example: news of theirs is carried over borders here.
     pub(crate) fn zone_members(&self, own: Option<NodeId>) -> BTreeSet<NodeId> {
-        self.near.iter().copied().chain(own).collect()
+        self.local.iter().copied().chain(own).collect()
     }
 }
--- a/packages/gossip/src/tests.rs
+++ b/packages/gossip/src/tests.rs
@@ -1,20 +1,19 @@
 use super::*;
 
 #[test]
-fn large_and_small_news_reach_all_within_three_seconds_and_gaps_mend() {
-    for luck_seed in 0..20 {
-        let mut fleet: Vec<NewsSpread> =
-            (0..10).map(|node| NewsSpread::new(luck_seed * 100 + node)).collect();
-        let mut loss = Rng::with_seed(luck_seed);
+fn large_and_small_gossip_reach_all_within_three_seconds_and_gaps_mend() {
+    for random_seed in 0..20 {
+        let mut fleet: Vec<Gossip> = (0..10).map(|node| Gossip::new(random_seed * 100 + node)).collect();
+        let mut loss = Rng::with_seed(random_seed);
         fleet[0].publish("small", 0, 1, Bytes(vec![1; 10]));
         fleet[0].publish("large", 0, 7, Bytes(vec![2; 3_000_000]));
         let mut held_at = None;
         for millisecond in (0..3_000u64).step_by(100) {
             let now = Micros::from_millis(millisecond);
-            let mut waiting: Vec<(NodeId, NewsSend)> = Vec::new();
+            let mut waiting: Vec<(NodeId, GossipSend)> = Vec::new();
             for node in 0..10u64 {
-                let colleagues: Vec<NodeId> = (0..10).filter(|other| *other != node).collect();
-                fleet[node as usize].take_neighbours(node, Neighbours::of_one_zone(colleagues));
+                let peers: Vec<NodeId> = (0..10).filter(|other| *other != node).collect();
+                fleet[node as usize].set_neighbours(node, Neighbours::of_one_zone(peers));
                 let sends = fleet[node as usize].tick(now);
                 waiting.extend(sends.into_iter().map(|send| (node, send)));
             }
@@ -25,35 +24,35 @@
                 let (_, sends) = fleet[receiver as usize].received(sender, message);
                 waiting.extend(sends.into_iter().map(|send| (receiver, send)));
             }
-            if fleet.iter().all(|news| news.sequence("small") == 1 && news.sequence("large") == 7) {
+            if fleet.iter().all(|gossip| gossip.sequence("small") == 1 && gossip.sequence("large") == 7) {
                 held_at = held_at.or(Some(millisecond));
             }
         }
-        assert!(held_at.is_some(), "seed {luck_seed}: three tenths of messages lost");
+        assert!(held_at.is_some(), "seed {random_seed}: three tenths of messages lost");
         assert!(!fleet[3].publish("large", 3, 6, Bytes::default()), "no way back");
     }
 }
 
 /// Passes messages on without loss; returns how many bytes were said.
-fn play(fleet: &mut [NewsSpread], from_millis: u64, to_millis: u64) -> usize {
+fn play(fleet: &mut [Gossip], from_millis: u64, to_millis: u64) -> usize {
     let count = fleet.len() as u64;
     for node in 0..count {
-        let colleagues: Vec<NodeId> = (0..count).filter(|other| *other != node).collect();
-        fleet[node as usize].take_neighbours(node, Neighbours::of_one_zone(colleagues));
+        let peers: Vec<NodeId> = (0..count).filter(|other| *other != node).collect();
+        fleet[node as usize].set_neighbours(node, Neighbours::of_one_zone(peers));
     }
     pass_on(fleet, (from_millis, to_millis), &|_, _| true)
 }
 
 /// The same among neighbours that are told already; only bytes between the counted pairs are returned.
 fn pass_on(
-    fleet: &mut [NewsSpread],
+    fleet: &mut [Gossip],
     (from_millis, to_millis): (u64, u64),
     is_counted: &dyn Fn(NodeId, NodeId) -> bool,
 ) -> usize {
-    let mut said_bytes = 0;
+    let mut sent_bytes = 0;
     let count = fleet.len() as u64;
     for millisecond in (from_millis..to_millis).step_by(50) {
-        let mut waiting: Vec<(NodeId, NewsSend)> = Vec::new();
+        let mut waiting: Vec<(NodeId, GossipSend)> = Vec::new();
         for node in 0..count {
             let sends = fleet[node as usize].tick(Micros::from_millis(millisecond));
             waiting.extend(sends.into_iter().map(|send| (node, send)));
@@ -67,43 +66,43 @@
                 message,
             };
             if is_counted(sender, receiver) {
-                said_bytes += envelope.frame().expect("a frame").len();
+                sent_bytes += envelope.frame().expect("a frame").len();
             }
             let (_, sends) = fleet[receiver as usize].received(sender, envelope.message);
             waiting.extend(sends.into_iter().map(|send| (receiver, send)));
         }
     }
-    said_bytes
+    sent_bytes
 }
 
 #[test]
 fn a_large_fleet_with_many_topics_in_motion_says_little_and_misses_nothing() {
-    let mut fleet: Vec<NewsSpread> = (0..77).map(NewsSpread::new).collect();
+    let mut fleet: Vec<Gossip> = (0..77).map(Gossip::new).collect();
     for number in 0..1_030u64 {
-        for news in &mut fleet {
-            news.publish(&format!("cells/function-{number}"), 0, 1, Bytes(vec![1; 40]));
+        for gossip in &mut fleet {
+            gossip.publish(&format!("cells/function-{number}"), 0, 1, Bytes(vec![1; 40]));
         }
     }
     play(&mut fleet, 0, 3_000);
-    let mut said_bytes = 0;
+    let mut sent_bytes = 0;
     // Forty functions' cells change each second.
     for second in 3..6u64 {
-        for (number, news) in fleet.iter_mut().enumerate().take(40) {
+        for (number, gossip) in fleet.iter_mut().enumerate().take(40) {
             let topic = format!("cells/function-{number}");
-            news.publish(&topic, number as u64, second, Bytes(vec![2; 40]));
+            gossip.publish(&topic, number as u64, second, Bytes(vec![2; 40]));
         }
-        said_bytes += play(&mut fleet, second * 1_000, second * 1_000 + 1_000);
+        sent_bytes += play(&mut fleet, second * 1_000, second * 1_000 + 1_000);
     }
-    let bytes_a_node = said_bytes / 3 / 77;
+    let bytes_a_node = sent_bytes / 3 / 77;
     assert!(bytes_a_node < 50_000, "{bytes_a_node} bytes a second");
     fleet[0].publish("configuration", 0, 9, Bytes(vec![3; 100_000]));
     play(&mut fleet, 6_000, 8_000);
-    assert!(fleet.iter().all(|news| news.sequence("configuration") == 9));
+    assert!(fleet.iter().all(|gossip| gossip.sequence("configuration") == 9));
     play(&mut fleet, 8_000, 12_000);
-    let is_known = |news: &NewsSpread| (0..40).all(|n| news.sequence(&format!("cells/function-{n}")) == 5);
+    let is_known = |gossip: &Gossip| (0..40).all(|n| gossip.sequence(&format!("cells/function-{n}")) == 5);
     assert!(fleet.iter().all(is_known));
     // A newcomer has everything within five seconds.
-    fleet.push(NewsSpread::new(99));
+    fleet.push(Gossip::new(99));
     play(&mut fleet, 12_000, 17_000);
     assert!((0..1_030).all(|n| fleet[77].sequence(&format!("cells/function-{n}")) > 0));
 }
@@ -119,42 +118,44 @@
 
 #[test]
 fn a_change_of_a_large_body_is_told_as_a_change_also_to_those_who_missed_some() {
-    let mut fleet: Vec<NewsSpread> = (0..20).map(NewsSpread::new).collect();
+    let mut fleet: Vec<Gossip> = (0..20).map(Gossip::new).collect();
     fleet[0].publish("configuration", 0, 1, body(&[]));
     play(&mut fleet, 0, 3_000);
-    assert!(fleet.iter().all(|news| news.sequence("configuration") == 1));
+    assert!(fleet.iter().all(|gossip| gossip.sequence("configuration") == 1));
     let late = fleet.pop().expect("a node");
     // What the nodes say to each other while nothing changes.
     let idle_bytes = play(&mut fleet, 3_000, 6_000);
     let body_bytes = body(&[]).0.len();
     fleet[0].publish("configuration", 0, 2, body(&[5]));
-    let said_bytes = play(&mut fleet, 6_000, 9_000);
-    assert!(fleet.iter().all(|news| news.body("configuration") == Some(&body(&[5]))));
-    assert!(said_bytes < idle_bytes + body_bytes / 2, "{said_bytes} bytes said, {idle_bytes} when idle");
+    let sent_bytes = play(&mut fleet, 6_000, 9_000);
+    assert!(fleet.iter().all(|gossip| gossip.body("configuration") == Some(&body(&[5]))));
+    assert!(sent_bytes < idle_bytes + body_bytes / 2, "{sent_bytes} bytes said, {idle_bytes} when idle");
     fleet[3].publish("configuration", 3, 4, body(&[5, 2_000]));
     play(&mut fleet, 9_000, 12_000);
     fleet.push(late);
-    let said_bytes = play(&mut fleet, 12_000, 15_000);
-    assert!(fleet.iter().all(|news| news.body("configuration") == Some(&body(&[5, 2_000]))));
-    assert!(said_bytes < idle_bytes * 2 + body_bytes / 2, "{said_bytes} bytes said, {idle_bytes} when idle");
+    let sent_bytes = play(&mut fleet, 12_000, 15_000);
+    assert!(fleet.iter().all(|gossip| gossip.body("configuration") == Some(&body(&[5, 2_000]))));
+    assert!(sent_bytes < idle_bytes * 2 + body_bytes / 2, "{sent_bytes} bytes said, {idle_bytes} when idle");
 }
 
 #[test]
 fn changes_that_do_not_fit_are_dropped_and_the_whole_body_is_asked_for() {
-    let mut teller = NewsSpread::new(1);
-    let mut other = NewsSpread::new(2);
-    teller.publish("configuration", 1, 1, body(&[]));
-    teller.publish("configuration", 1, 2, body(&[9]));
+    let mut reporter = Gossip::new(1);
+    let mut other = Gossip::new(2);
+    reporter.publish("configuration", 1, 1, body(&[]));
+    reporter.publish("configuration", 1, 2, body(&[9]));
     // The same sequence with other bytes: the digest tells.
     other.publish("configuration", 2, 1, body(&[7]));
-    let known = List(vec![NewsMark { topic: "configuration".into(), sequence: 1 }]);
-    let (_, sends) = teller.received(2, Message::NewsAsk { known });
-    let [(2, changes @ Message::NewsChanges { .. })] = &sends[..] else { panic!("changes, not {sends:?}") };
+    let known = List(vec![GossipVersion { topic: "configuration".into(), sequence: 1 }]);
+    let (_, sends) = reporter.received(2, Message::GossipRequest { known });
+    let [(2, changes @ Message::GossipBodyChanges { .. })] = &sends[..] else {
+        panic!("changes, not {sends:?}")
+    };
     let (newer_topics, sends) = other.received(1, changes.clone());
     assert!(newer_topics.is_empty());
-    let [(1, Message::NewsAsk { known })] = &sends[..] else { panic!("a question, not {sends:?}") };
+    let [(1, Message::GossipRequest { known })] = &sends[..] else { panic!("a question, not {sends:?}") };
     assert_eq!(known.0[0].sequence, 0);
-    let (_, sends) = teller.received(2, sends[0].1.clone());
+    let (_, sends) = reporter.received(2, sends[0].1.clone());
     let (newer_topics, _) = other.received(1, sends[0].1.clone());
     assert_eq!(newer_topics, ["configuration"]);
     assert_eq!(other.body("configuration"), Some(&body(&[9])));
@@ -162,22 +163,26 @@
 
 #[test]
 fn a_large_body_is_asked_for_once_while_it_may_be_on_its_way() {
-    let mut news = NewsSpread::new(1);
-    news.take_link_rate(50_000.0);
-    news.take_neighbours(1, Neighbours::of_one_zone(vec![7, 8, 9]));
-    news.tick(Micros(0));
-    let large = vec![LargeMark { topic: "configuration".into(), sequence: 3, origin: 7, bytes: 100_000 }];
-    let marks = |large: &Vec<LargeMark>| Message::NewsMarks {
+    let mut gossip = Gossip::new(1);
+    gossip.set_link_rate(50_000.0);
+    gossip.set_neighbours(1, Neighbours::of_one_zone(vec![7, 8, 9]));
+    gossip.tick(Micros(0));
+    let large =
+        vec![LargeBodyVersion { topic: "configuration".into(), sequence: 3, origin: 7, bytes: 100_000 }];
+    let versions = |large: &Vec<LargeBodyVersion>| Message::GossipVersions {
         full_buckets: List(Vec::new()),
-        marks: List(Vec::new()),
+        versions: List(Vec::new()),
         large: List(large.clone()),
     };
-    let (_, sends) = news.received(8, marks(&large));
-    assert!(matches!(sends[..], [(7, Message::NewsAsk { .. })]), "who published it is asked: {sends:?}");
-    assert!(news.received(9, marks(&large)).1.is_empty(), "it may be on its way");
-    news.tick(Micros::from_millis(2_001));
-    let (_, sends) = news.received(9, marks(&large));
-    assert!(matches!(sends[..], [(9, Message::NewsAsk { .. })]), "somebody else is asked: {sends:?}");
+    let (_, sends) = gossip.received(8, versions(&large));
+    assert!(
+        matches!(sends[..], [(7, Message::GossipRequest { .. })]),
+        "who published it is asked: {sends:?}"
+    );
+    assert!(gossip.received(9, versions(&large)).1.is_empty(), "it may be on its way");
+    gossip.tick(Micros::from_millis(2_001));
+    let (_, sends) = gossip.received(9, versions(&large));
+    assert!(matches!(sends[..], [(9, Message::GossipRequest { .. })]), "somebody else is asked: {sends:?}");
 }
 
 const ZONES: u64 = 4;
@@ -188,23 +193,23 @@
 }
 
 /// Four zones of 23 nodes, of which the first two of each zone that are not down relay.
-fn zoned_fleet(down: &[NodeId]) -> Vec<NewsSpread> {
+fn zoned_fleet(down: &[NodeId]) -> Vec<Gossip> {
     let nodes = || (0..ZONES * ZONE_SIZE).filter(|node| !down.contains(node));
     let relays = |zone: u64| nodes().filter(|node| zone_of(*node) == zone).take(2).collect::<Vec<NodeId>>();
-    let mut fleet: Vec<NewsSpread> = (0..ZONES * ZONE_SIZE).map(NewsSpread::new).collect();
-    for (node, news) in fleet.iter_mut().enumerate() {
+    let mut fleet: Vec<Gossip> = (0..ZONES * ZONE_SIZE).map(Gossip::new).collect();
+    for (node, gossip) in fleet.iter_mut().enumerate() {
         let node = node as NodeId;
-        let (near, far) =
+        let (local, remote) =
             nodes().filter(|other| *other != node).partition(|other| zone_of(*other) == zone_of(node));
-        let far_relays = (0..ZONES).filter(|zone| *zone != zone_of(node)).map(relays).collect();
-        let neighbours = Neighbours { near, far, own_relays: relays(zone_of(node)), far_relays };
-        news.take_neighbours(node, neighbours);
+        let remote_relays = (0..ZONES).filter(|zone| *zone != zone_of(node)).map(relays).collect();
+        let neighbours = Neighbours { local, remote, own_relays: relays(zone_of(node)), remote_relays };
+        gossip.set_neighbours(node, neighbours);
     }
     fleet
 }
 
 #[test]
-fn news_of_a_zone_crosses_each_border_about_once_and_reaches_everybody() {
+fn gossip_of_a_zone_crosses_each_border_about_once_and_reaches_everybody() {
     let mut fleet = zoned_fleet(&[]);
     let is_crossing = |sender, receiver| zone_of(sender) != zone_of(receiver);
     let mut crossing_bytes = 0;
@@ -224,7 +229,7 @@
     );
     pass_on(&mut fleet, (4_000, 5_000), &is_crossing);
     let topics: Vec<String> = (0..ZONES * ZONE_SIZE).map(|node| format!("demand/{node}")).collect();
-    assert!(fleet.iter().all(|news| topics.iter().all(|topic| news.sequence(topic) == seconds)));
+    assert!(fleet.iter().all(|gossip| topics.iter().all(|topic| gossip.sequence(topic) == seconds)));
 }
 
 #[test]
@@ -236,9 +241,9 @@
     fleet[30].publish("demand/30", 30, 1, Bytes(vec![2; 40]));
     let mut is_known_by_all = false;
     for millisecond in (0..40_000u64).step_by(50) {
-        let mut waiting: Vec<(NodeId, NewsSend)> = Vec::new();
-        for (node, news) in fleet.iter_mut().enumerate() {
-            let sends = news.tick(Micros::from_millis(millisecond));
+        let mut waiting: Vec<(NodeId, GossipSend)> = Vec::new();
+        for (node, gossip) in fleet.iter_mut().enumerate() {
+            let sends = gossip.tick(Micros::from_millis(millisecond));
             waiting.extend(sends.into_iter().map(|send| (node as NodeId, send)));
         }
         while let Some((sender, (receiver, message))) = waiting.pop() {
@@ -251,7 +256,7 @@
         let living = fleet.iter().enumerate().filter(|(node, _)| !down.contains(&(*node as NodeId)));
         is_known_by_all = living
             .into_iter()
-            .all(|(_, news)| news.sequence("demand/5") == 1 && news.sequence("demand/30") == 1);
+            .all(|(_, gossip)| gossip.sequence("demand/5") == 1 && gossip.sequence("demand/30") == 1);
         if is_known_by_all {
             break;
         }
@@ -263,28 +268,28 @@
 /// oldest one that is not here.
 #[test]
 fn a_newer_body_is_awaited_since_it_was_first_heard_of() {
-    let told = |sequence: u64| {
-        let mark = LargeMark { topic: "configuration".into(), sequence, origin: 7, bytes: 20_000 };
-        Message::NewsMarks {
+    let topic_state = |sequence: u64| {
+        let version = LargeBodyVersion { topic: "configuration".into(), sequence, origin: 7, bytes: 20_000 };
+        Message::GossipVersions {
             full_buckets: List(Vec::new()),
-            marks: List(Vec::new()),
-            large: List(vec![mark]),
+            versions: List(Vec::new()),
+            large: List(vec![version]),
         }
     };
-    let mut news = NewsSpread::new(1);
-    news.take_neighbours(1, Neighbours::of_one_zone(vec![7, 8]));
-    assert_eq!(news.awaited_since("configuration"), None);
+    let mut gossip = Gossip::new(1);
+    gossip.set_neighbours(1, Neighbours::of_one_zone(vec![7, 8]));
+    assert_eq!(gossip.awaited_since("configuration"), None);
     for (millis, sequence) in [(1_000, 5), (1_200, 5), (1_500, 6)] {
-        news.tick(Micros::from_millis(millis));
-        news.received(8, told(sequence));
+        gossip.tick(Micros::from_millis(millis));
+        gossip.received(8, topic_state(sequence));
     }
-    assert_eq!(news.awaited_since("configuration"), Some(Micros::from_millis(1_000)));
-    news.publish("configuration", 7, 5, Bytes(vec![1; 20_000]));
+    assert_eq!(gossip.awaited_since("configuration"), Some(Micros::from_millis(1_000)));
+    gossip.publish("configuration", 7, 5, Bytes(vec![1; 20_000]));
     assert_eq!(
-        news.awaited_since("configuration"),
+        gossip.awaited_since("configuration"),
         Some(Micros::from_millis(1_500)),
         "the sixth is not here"
     );
-    news.publish("configuration", 7, 6, Bytes(vec![2; 20_000]));
-    assert_eq!(news.awaited_since("configuration"), None);
+    gossip.publish("configuration", 7, 6, Bytes(vec![2; 20_000]));
+    assert_eq!(gossip.awaited_since("configuration"), None);
 }
--- a/packages/history_checker/src/checkers.rs
+++ b/packages/history_checker/src/checkers.rs
@@ -5,9 +5,9 @@
 use crate::{Line, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that was broken, and where. Example: `Breach { rule: "no double run", .. }`.
+/// A rule that was broken, and where. Example: `Violation { rule: "no double run", .. }`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// The rule's short name.
     pub rule: &'static str,
     /// What was seen.
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub struct CheckSettings {
     /// Refused dispatches (turned away) allowed for a function in five seconds.
-    pub turned_away_in_five_seconds: usize,
+    pub refused_busy_in_five_seconds: usize,
     /// Microseconds after which a leaving cell gets no new call.
-    pub leaving_grace: u64,
+    pub draining_grace: u64,
     /// Microseconds after its acknowledgement by which a change holds everywhere.
     pub apply_within: u64,
     /// Microseconds within which a node may still use an older generation than it did.
@@ -30,9 +30,9 @@
     /// Microseconds for which an allowance's ceiling may be passed while news is on its way.
     pub ceiling_lag: u64,
     /// Starts and stops beyond the platform's rate in a second, over the whole fleet: a tenth of it.
-    pub acts_throttled_in_a_second: usize,
+    pub operations_throttled_per_second: usize,
     /// Microseconds within which a node that reaches no majority of the disks says that it cannot.
-    pub inability_told_within: u64,
+    pub inability_reported_within: u64,
     /// Microseconds within which any node that is awake answers an order or a read.
     pub order_answered_within: u64,
     /// Microseconds of a leader's lease: within it no holder acts after another that acted after it.
@@ -46,14 +46,14 @@
 impl Default for CheckSettings {
     fn default() -> CheckSettings {
         CheckSettings {
-            turned_away_in_five_seconds: 12,
-            leaving_grace: 3_000_000,
+            refused_busy_in_five_seconds: 12,
+            draining_grace: 3_000_000,
             apply_within: 3_000_000,
             fall_back_within: 250_000,
             admitted_within: 50_000,
             ceiling_lag: 3_000_000,
-            acts_throttled_in_a_second: 8,
-            inability_told_within: 1_500_000,
+            operations_throttled_per_second: 8,
+            inability_reported_within: 1_500_000,
             order_answered_within: 6_500_000,
             lease: 3_000_000,
             refusals_fixed: 5,
@@ -63,34 +63,34 @@
 }
 
 /// Runs every checker. Example: `assert!(check_all(&lines, &CheckSettings::default()).is_empty())`.
-pub fn check_all(lines: &[Line], settings: &CheckSettings) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    check_runs(lines, &mut breaches);
-    check_answers(lines, &mut breaches);
-    let spans = lane_spans(lines, settings);
-    check_services(lines, &spans, &mut breaches);
-    check_turned_away(lines, settings, &mut breaches);
-    check_leaving(lines, settings, &mut breaches);
-    check_extra_tries(lines, &mut breaches);
-    check_refusals(lines, settings, &spans, &mut breaches);
-    check_generations(lines, &mut breaches);
-    check_changes(lines, &mut breaches);
-    check_epochs(lines, &mut breaches);
-    check_fences(lines, settings, &mut breaches);
-    check_planned_stops(lines, &mut breaches);
-    check_ceilings(lines, settings, &mut breaches);
-    check_acts(lines, settings, &mut breaches);
-    check_voters(lines, &mut breaches);
-    check_matched(lines, settings, &mut breaches);
-    check_admission(lines, settings, &mut breaches);
-    check_orders(lines, settings, &mut breaches);
-    check_register(lines, &mut breaches);
-    check_usage(lines, &mut breaches);
-    breaches
+pub fn check_all(lines: &[Line], settings: &CheckSettings) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_runs(lines, &mut violations);
+    check_responses(lines, &mut violations);
+    let spans = route_spans(lines, settings);
+    check_services(lines, &spans, &mut violations);
+    check_refused_busy(lines, settings, &mut violations);
+    check_draining(lines, settings, &mut violations);
+    check_extra_tries(lines, &mut violations);
+    check_refusals(lines, settings, &spans, &mut violations);
+    check_generations(lines, &mut violations);
+    check_changes(lines, &mut violations);
+    check_epochs(lines, &mut violations);
+    check_fences(lines, settings, &mut violations);
+    check_planned_stops(lines, &mut violations);
+    check_ceilings(lines, settings, &mut violations);
+    check_operations(lines, settings, &mut violations);
+    check_voters(lines, &mut violations);
+    check_matched(lines, settings, &mut violations);
+    check_admission(lines, settings, &mut violations);
+    check_orders(lines, settings, &mut violations);
+    check_register(lines, &mut violations);
+    check_usage(lines, &mut violations);
+    violations
 }
 
-pub(crate) fn broken(breaches: &mut Vec<Breach>, rule: &'static str, seen: String) {
-    breaches.push(Breach { rule, seen });
+pub(crate) fn broken(violations: &mut Vec<Violation>, rule: &'static str, seen: String) {
+    violations.push(Violation { rule, seen });
 }
 
 struct SentCall<'a> {
@@ -113,7 +113,7 @@
 fn run_counts(lines: &[Line]) -> BTreeMap<&str, usize> {
     let mut counts = BTreeMap::new();
     for line in lines {
-        if let Line::CellTook { call, ran: true, .. } = line {
+        if let Line::InstanceReceivedCall { call, ran: true, .. } = line {
             *counts.entry(call.as_str()).or_default() += 1;
         }
     }
@@ -121,52 +121,52 @@
 }
 
 /// A call that may not be repeated runs once at most; one refused as not run never runs.
-fn check_runs(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_runs(lines: &[Line], violations: &mut Vec<Violation>) {
     let calls = sent_calls(lines);
     let counts = run_counts(lines);
     for (call, count) in &counts {
         let is_repeatable = calls.get(call).is_some_and(|sent| sent.repeatable);
         if *count > 1 && !is_repeatable {
-            broken(breaches, "no double run", format!("{call} ran {count} times"));
+            broken(violations, "no double run", format!("{call} ran {count} times"));
         }
     }
     for line in lines {
         if let Line::CallEnded { call, outcome: Outcome::NotRun, .. } = line
             && counts.contains_key(call.as_str())
         {
-            broken(breaches, "not run is true", format!("{call} was refused as not run and ran"));
+            broken(violations, "not run is true", format!("{call} was refused as not run and ran"));
         }
     }
 }
 
 /// An answer that looks complete is the call's own, whole, and some cell ran it.
-fn check_answers(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_responses(lines: &[Line], violations: &mut Vec<Violation>) {
     let counts = run_counts(lines);
     for line in lines {
         if let Line::CallEnded { call, outcome: Outcome::Ran, is_own, .. } = line {
             if !is_own {
-                broken(breaches, "own whole answer", format!("{call} got bytes not its own whole answer"));
+                broken(violations, "own whole answer", format!("{call} got bytes not its own whole answer"));
             }
             if !counts.contains_key(call.as_str()) {
-                broken(breaches, "own whole answer", format!("{call} was answered and never ran"));
+                broken(violations, "own whole answer", format!("{call} was answered and never ran"));
             }
         }
     }
 }
 
 /// One generation's lanes with the times between which calls may go by them.
-struct LaneSpan {
+struct RouteSpan {
     generation: u64,
     from: u64,
     until: u64,
-    lanes: BTreeMap<String, String>,
+    routes: BTreeMap<String, String>,
 }
 
 /// Where a path's calls go: the longest prefix of whole segments wins.
-fn lane_of<'lanes>(lanes: &'lanes BTreeMap<String, String>, path: &str) -> Option<&'lanes str> {
+fn route_of<'lanes>(routes: &'lanes BTreeMap<String, String>, path: &str) -> Option<&'lanes str> {
     let mut prefix = path.trim_end_matches('/');
     loop {
-        if let Some(function) = lanes.get(prefix) {
+        if let Some(function) = routes.get(prefix) {
             return Some(function);
         }
         prefix = &prefix[..prefix.rfind('/')?];
@@ -175,18 +175,18 @@
 
 /// A generation's lanes hold from when the first node has them until a newer generation was
 /// acknowledged and the time to apply it everywhere is over.
-fn lane_spans(lines: &[Line], settings: &CheckSettings) -> Vec<LaneSpan> {
-    let mut spans: Vec<LaneSpan> = Vec::new();
-    let mut lanes = BTreeMap::new();
+fn route_spans(lines: &[Line], settings: &CheckSettings) -> Vec<RouteSpan> {
+    let mut spans: Vec<RouteSpan> = Vec::new();
+    let mut routes = BTreeMap::new();
     for line in lines {
-        let Line::LanesChanged { at, generation, lanes: changed } = line else { continue };
+        let Line::RoutesChanged { at, generation, routes: changed } = line else { continue };
         for (prefix, function) in changed {
             match function {
-                Some(function) => lanes.insert(prefix.clone(), function.clone()),
-                None => lanes.remove(prefix),
+                Some(function) => routes.insert(prefix.clone(), function.clone()),
+                None => routes.remove(prefix),
             };
         }
-        spans.push(LaneSpan { generation: *generation, from: *at, until: u64::MAX, lanes: lanes.clone() });
+        spans.push(RouteSpan { generation: *generation, from: *at, until: u64::MAX, routes: routes.clone() });
     }
     let mut acknowledged: Vec<(u64, u64)> = lines
         .iter()
@@ -198,7 +198,7 @@
     acknowledged.sort_unstable();
     for place in 0..spans.len() {
         // The lanes are over once a generation that has others was acknowledged.
-        let other = spans[place + 1..].iter().find(|later| later.lanes != spans[place].lanes);
+        let other = spans[place + 1..].iter().find(|later| later.routes != spans[place].routes);
         let Some(other_generation) = other.map(|later| later.generation) else { continue };
         let replaced = acknowledged.iter().filter(|(generation, _)| *generation >= other_generation);
         let replaced_at = replaced.map(|(_, at)| *at).min();
@@ -208,18 +208,18 @@
 }
 
 /// Calls reach only cells of a function that the lanes send them to, by a generation that holds then.
-fn check_services(lines: &[Line], spans: &[LaneSpan], breaches: &mut Vec<Breach>) {
+fn check_services(lines: &[Line], spans: &[RouteSpan], violations: &mut Vec<Violation>) {
     let calls = sent_calls(lines);
     for line in lines {
-        let Line::CellTook { at, call, function, cell, .. } = line else { continue };
+        let Line::InstanceReceivedCall { at, call, function, instance, .. } = line else { continue };
         let Some(sent) = calls.get(call.as_str()) else { continue };
         let is_allowed = spans
             .iter()
             .filter(|span| span.from <= *at && *at <= span.until)
-            .any(|span| lane_of(&span.lanes, sent.path) == Some(function.as_str()));
+            .any(|span| route_of(&span.routes, sent.path) == Some(function.as_str()));
         if !is_allowed {
-            let seen = format!("{call} to {} reached {cell} of {function} at {at}", sent.path);
-            broken(breaches, "only allowed services", seen);
+            let seen = format!("{call} to {} reached {instance} of {function} at {at}", sent.path);
+            broken(violations, "only allowed services", seen);
         }
     }
 }
@@ -237,13 +237,15 @@
     most
 }
 
-fn check_turned_away(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+fn check_refused_busy(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut times: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in lines {
         match line {
-            Line::CellTook { at, function, ran: false, .. } => times.entry(function).or_default().push(*at),
-            Line::CellTook { cell, in_flight, limit, ran: true, .. } if in_flight > limit => {
-                broken(breaches, "cell limits", format!("{cell} ran {in_flight} at once of {limit}"));
+            Line::InstanceReceivedCall { at, function, ran: false, .. } => {
+                times.entry(function).or_default().push(*at)
+            }
+            Line::InstanceReceivedCall { instance, in_flight, limit, ran: true, .. } if in_flight > limit => {
+                broken(violations, "cell limits", format!("{instance} ran {in_flight} at once of {limit}"));
             }
             _ => {}
         }
@@ -251,41 +253,41 @@
     for (function, mut function_times) in times {
         function_times.sort_unstable();
         let most = most_within(&function_times, 5_000_000);
-        if most > settings.turned_away_in_five_seconds {
-            broken(breaches, "cell limits", format!("{function}: {most} turned away in five seconds"));
+        if most > settings.refused_busy_in_five_seconds {
+            broken(violations, "cell limits", format!("{function}: {most} turned away in five seconds"));
         }
     }
 }
 
-fn check_leaving(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
-    let mut leaving_since: BTreeMap<&str, u64> = BTreeMap::new();
+fn check_draining(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
+    let mut draining_since: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
-        if let Line::CellShownLeaving { at, cell } = line {
-            leaving_since.entry(cell).or_insert(*at);
+        if let Line::InstanceShownDraining { at, instance } = line {
+            draining_since.entry(instance).or_insert(*at);
         }
     }
     for line in lines {
-        if let Line::CellTook { at, call, cell, .. } = line
-            && let Some(since) = leaving_since.get(cell.as_str())
-            && *at > since + settings.leaving_grace
+        if let Line::InstanceReceivedCall { at, call, instance, .. } = line
+            && let Some(since) = draining_since.get(instance.as_str())
+            && *at > since + settings.draining_grace
         {
             let late = (at - since) / 1_000;
             broken(
-                breaches,
+                violations,
                 "leaving cells",
-                format!("{cell} got {call} {late} ms after it was shown leaving"),
+                format!("{instance} got {call} {late} ms after it was shown leaving"),
             );
         }
     }
 }
 
 /// Dispatches beyond each call's first: one in five calls plus sixty, for a function in ten seconds.
-fn check_extra_tries(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_extra_tries(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut seen_calls = BTreeSet::new();
     let mut firsts: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     let mut extras: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in lines {
-        if let Line::CellTook { at, call, function, .. } = line {
+        if let Line::InstanceReceivedCall { at, call, function, .. } = line {
             let times = if seen_calls.insert(call.as_str()) { &mut firsts } else { &mut extras };
             times.entry(function).or_default().push(*at);
         }
@@ -299,7 +301,7 @@
             let call_count = call_times.iter().filter(within).count();
             if extra_count > call_count / 5 + 60 {
                 let seen = format!("{function}: {extra_count} extra tries beside {call_count} calls");
-                broken(breaches, "extra tries", seen);
+                broken(violations, "extra tries", seen);
                 break;
             }
         }
@@ -307,18 +309,18 @@
 }
 
 /// Runs of cells by function, and when each node could reach no majority of the disks.
-struct Circumstances<'a> {
+struct FaultContext<'a> {
     running: BTreeMap<&'a str, Vec<(u64, u64)>>,
     without_control: BTreeMap<&'a str, Vec<(u64, u64)>>,
     frozen: BTreeMap<&'a str, Vec<(u64, u64)>>,
 }
 
-impl<'a> Circumstances<'a> {
-    fn of(lines: &'a [Line]) -> Circumstances<'a> {
+impl<'a> FaultContext<'a> {
+    fn of(lines: &'a [Line]) -> FaultContext<'a> {
         let mut ends: BTreeMap<&str, u64> = BTreeMap::new();
         for line in lines {
-            if let Line::CellEnded { at, cell } | Line::CellStopped { at, cell } = line {
-                let end = ends.entry(cell).or_insert(*at);
+            if let Line::InstanceEnded { at, instance } | Line::InstanceStopped { at, instance } = line {
+                let end = ends.entry(instance).or_insert(*at);
                 *end = (*end).min(*at);
             }
         }
@@ -327,8 +329,8 @@
         let mut frozen: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for line in lines {
             match line {
-                Line::CellStarted { cell, function, runs_from, .. } => {
-                    let end = ends.get(cell.as_str()).copied().unwrap_or(u64::MAX);
+                Line::InstanceStarted { instance, function, runs_from, .. } => {
+                    let end = ends.get(instance.as_str()).copied().unwrap_or(u64::MAX);
                     running.entry(function).or_default().push((*runs_from, end));
                 }
                 Line::NodeFrozen { at, node, until } => {
@@ -346,7 +348,7 @@
                 _ => {}
             }
         }
-        Circumstances { running, without_control, frozen }
+        FaultContext { running, without_control, frozen }
     }
 
     fn was_frozen(&self, node: &str, sent_at: u64, ended_at: u64) -> bool {
@@ -366,18 +368,23 @@
 /// A proper call reached a live, ready node that stayed awake, every generation that held when it was sent had a lane
 /// for it, and some cell of its function ran or the node could reach a majority of the disks. Few of
 /// them are refused, whatever fails.
-fn check_refusals(lines: &[Line], settings: &CheckSettings, spans: &[LaneSpan], breaches: &mut Vec<Breach>) {
+fn check_refusals(
+    lines: &[Line],
+    settings: &CheckSettings,
+    spans: &[RouteSpan],
+    violations: &mut Vec<Violation>,
+) {
     if !settings.count_refusals {
         return;
     }
-    let circumstances = Circumstances::of(lines);
+    let fault_context = FaultContext::of(lines);
     let is_proper = |sent_at: u64, ended_at: u64, node: &str, path: &str| {
         let held = spans.iter().filter(|span| span.from <= ended_at && sent_at <= span.until);
-        let mut functions = held.map(|span| lane_of(&span.lanes, path));
-        let was_frozen = circumstances.was_frozen(node, sent_at, ended_at);
+        let mut functions = held.map(|span| route_of(&span.routes, path));
+        let was_frozen = fault_context.was_frozen(node, sent_at, ended_at);
         !was_frozen
             && functions.all(|function| {
-                function.is_some_and(|function| !circumstances.could_not_start(node, function, sent_at))
+                function.is_some_and(|function| !fault_context.could_not_start(node, function, sent_at))
             })
     };
     let mut sent: BTreeMap<&str, (u64, &str, &str)> = BTreeMap::new();
@@ -396,19 +403,19 @@
     }
     if refused > settings.refusals_fixed + sent.len() / 500 {
         let seen = format!("{refused} proper calls of {} were refused", sent.len());
-        broken(breaches, "few refusals", seen);
+        broken(violations, "few refusals", seen);
     }
 }
 
 /// A node's process never goes back a generation.
-fn check_generations(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_generations(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut held: BTreeMap<(&str, &str), (u64, u64)> = BTreeMap::new();
     for line in lines {
-        if let Line::GenerationHeld { at, node, life, generation } = line {
-            let entry = held.entry((node, life)).or_insert((*at, *generation));
+        if let Line::GenerationHeld { at, node, incarnation, generation } = line {
+            let entry = held.entry((node, incarnation)).or_insert((*at, *generation));
             if entry.0 <= *at && entry.1 > *generation {
                 let seen = format!("{node} went from {} back to {generation}", entry.1);
-                broken(breaches, "no generation back", seen);
+                broken(violations, "no generation back", seen);
             }
             *entry = (*at, *generation);
         }
@@ -417,7 +424,7 @@
 
 /// Two acknowledged changes never share a generation, and every acknowledged change stands in what
 /// the nodes hold later; a refused one never does.
-fn check_changes(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_changes(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut accepted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut refused = BTreeSet::new();
     let mut by_generation: BTreeMap<u64, &str> = BTreeMap::new();
@@ -428,7 +435,7 @@
                 let first = by_generation.entry(*generation).or_insert(change);
                 if *first != change {
                     let seen = format!("{first} and {change} were both accepted as {generation}");
-                    broken(breaches, "one change a generation", seen);
+                    broken(violations, "one change a generation", seen);
                 }
             }
             Line::ChangeRefused { change, .. } => {
@@ -438,52 +445,52 @@
         }
     }
     for line in lines {
-        let Line::ChangesStand { node, generation, changes, .. } = line else { continue };
+        let Line::ChangesInForce { node, generation, changes, .. } = line else { continue };
         for (change, (_, accepted_as)) in &accepted {
             if accepted_as <= generation && !changes.iter().any(|standing| standing == change) {
                 let seen =
                     format!("{change}, accepted as {accepted_as}, is missing at {node} in {generation}");
-                broken(breaches, "no acknowledged change lost", seen);
+                broken(violations, "no acknowledged change lost", seen);
             }
         }
         for standing in changes.iter().filter(|standing| refused.contains(standing.as_str())) {
             let seen = format!("{standing} was refused and stands at {node}");
-            broken(breaches, "refused changes never stand", seen);
+            broken(violations, "refused changes never stand", seen);
         }
     }
 }
 
 /// One node for each (function, steward epoch), among those that took it and those that acted.
-fn check_epochs(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_epochs(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
-        let (Line::StewardTaken { node, function, epoch, .. }
-        | Line::StewardActed { node, function, epoch, .. }) = line
+        let (Line::LeadershipTaken { node, function, epoch, .. }
+        | Line::LeaderActed { node, function, epoch, .. }) = line
         else {
             continue;
         };
         let holder = holders.entry((function, *epoch)).or_insert(node);
         if *holder != node {
             let seen = format!("{holder} and {node} are both steward of {function} in epoch {epoch}");
-            broken(breaches, "one steward an epoch", seen);
+            broken(violations, "one steward an epoch", seen);
         }
-        if matches!(line, Line::StewardActed { .. }) {
+        if matches!(line, Line::LeaderActed { .. }) {
             let newest_epoch = newest.entry(function).or_default();
             if *epoch < *newest_epoch {
                 let seen =
                     format!("{node} acted for {function} in {epoch} after {newest_epoch} had begun to act");
-                broken(breaches, "one steward an epoch", seen);
+                broken(violations, "one steward an epoch", seen);
             }
             *newest_epoch = (*newest_epoch).max(*epoch);
         }
     }
 }
 
-fn check_planned_stops(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_planned_stops(lines: &[Line], violations: &mut Vec<Violation>) {
     for line in lines {
         if let Line::DroppedInPlannedStop { call, .. } = line {
-            broken(breaches, "planned stops drop nothing", format!("{call} was dropped"));
+            broken(violations, "planned stops drop nothing", format!("{call} was dropped"));
         }
     }
 }
@@ -491,32 +498,31 @@
 /// Memory of the cells below each allowance, against its ceiling. Each function may have one cell
 /// whatever its share, and a passing is broken only once it lasts: stewards hear of each other's
 /// demand with the news.
-fn check_ceilings(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+fn check_ceilings(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut parents: BTreeMap<&str, Option<&str>> = BTreeMap::new();
     let mut ceilings: BTreeMap<&str, f64> = BTreeMap::new();
     let mut functions: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
-    let mut cells: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut instances: BTreeMap<&str, &str> = BTreeMap::new();
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     let mut passed_since: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
         let at = match line {
-            Line::AllowancesHeld { at, allowances, functions: held } => {
-                parents =
-                    allowances.iter().map(|(name, parent, _)| (name.as_str(), parent.as_deref())).collect();
+            Line::QuotasHeld { at, quotas, functions: held } => {
+                parents = quotas.iter().map(|(name, parent, _)| (name.as_str(), parent.as_deref())).collect();
                 let capped =
-                    allowances.iter().filter_map(|(name, _, ceiling)| Some((name.as_str(), (*ceiling)?)));
+                    quotas.iter().filter_map(|(name, _, ceiling)| Some((name.as_str(), (*ceiling)?)));
                 ceilings = capped.collect();
                 functions =
                     held.iter().map(|(name, own, memory)| (name.as_str(), (own.as_str(), *memory))).collect();
                 *at
             }
-            Line::CellStarted { at, cell, function, .. } => {
-                cells.insert(cell, function);
+            Line::InstanceStarted { at, instance, function, .. } => {
+                instances.insert(instance, function);
                 *counts.entry(function).or_default() += 1;
                 *at
             }
-            Line::CellStopped { at, cell } | Line::CellEnded { at, cell } => {
-                let Some(function) = cells.remove(cell.as_str()) else { continue };
+            Line::InstanceStopped { at, instance } | Line::InstanceEnded { at, instance } => {
+                let Some(function) = instances.remove(instance.as_str()) else { continue };
                 *counts.entry(function).or_default() -= 1;
                 *at
             }
@@ -525,11 +531,11 @@
         for (name, ceiling) in &ceilings {
             let is_below = |own: &str| {
                 let mut place = Some(own);
-                while let Some(allowance) = place {
-                    if allowance == *name {
+                while let Some(quota) = place {
+                    if quota == *name {
                         return true;
                     }
-                    place = parents.get(allowance).copied().flatten();
+                    place = parents.get(quota).copied().flatten();
                 }
                 false
             };
@@ -550,7 +556,7 @@
                 let seen = format!(
                     "{name}: {used} MB beside the first cells of its functions, over {ceiling}, at {at}"
                 );
-                broken(breaches, "allowances hold", seen);
+                broken(violations, "allowances hold", seen);
             }
         }
     }
@@ -558,7 +564,7 @@
 
 /// Calls at a node, whichever process it is, are matched by no older generation than a quarter of a
 /// second before.
-fn check_matched(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+fn check_matched(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     // Per node: the newest generation used, with the time of its first use.
     let mut used: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     for line in lines {
@@ -569,14 +575,14 @@
         }
         if *generation < newest.0 && *at > newest.1 + settings.fall_back_within {
             let seen = format!("{call} was matched by {generation} at {node}, which had used {}", newest.0);
-            broken(breaches, "no generation back", seen);
+            broken(violations, "no generation back", seen);
         }
     }
 }
 
 /// A call is matched, and so admitted or refused, as soon as it has reached its node, whoever is
 /// steward or is not.
-fn check_admission(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+fn check_admission(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut arrived: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
         match line {
@@ -588,7 +594,7 @@
                 if *at > reached_at + settings.admitted_within {
                     let seen =
                         format!("{call} waited {} ms at {node} to be matched", (at - reached_at) / 1_000);
-                    broken(breaches, "admission never waits on election", seen);
+                    broken(violations, "admission never waits on election", seen);
                 }
             }
             _ => {}
@@ -597,30 +603,30 @@
 }
 
 /// A generation of the voter set is one set, whoever goes by it.
-fn check_voters(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_voters(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut sets: BTreeMap<u64, (&Vec<u64>, &Vec<u64>)> = BTreeMap::new();
     for line in lines {
         let Line::VotersSeen { node, generation, disks, joining, .. } = line else { continue };
         let first = sets.entry(*generation).or_insert((disks, joining));
         if *first != (disks, joining) {
             let seen = format!("generation {generation} is {first:?}, and {disks:?} {joining:?} at {node}");
-            broken(breaches, "one voter set a generation", seen);
+            broken(violations, "one voter set a generation", seen);
         }
     }
 }
 
 /// Starts and stops that the platform turned away, in any second.
-fn check_acts(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+fn check_operations(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let throttled: Vec<u64> = lines
         .iter()
         .filter_map(|line| match line {
-            Line::ActThrottled { at } => Some(*at),
+            Line::OperationThrottled { at } => Some(*at),
             _ => None,
         })
         .collect();
     let most = most_within(&throttled, 1_000_000);
-    if most > settings.acts_throttled_in_a_second {
-        broken(breaches, "start rate", format!("{most} starts and stops turned away in a second"));
+    if most > settings.operations_throttled_per_second {
+        broken(violations, "start rate", format!("{most} starts and stops turned away in a second"));
     }
 }
 
--- a/packages/history_checker/src/checkers/tests.rs
+++ b/packages/history_checker/src/checkers/tests.rs
@@ -5,11 +5,11 @@
 }
 
 fn took(at: u64, call: &str, function: &str, ran: bool) -> Line {
-    Line::CellTook {
+    Line::InstanceReceivedCall {
         at,
         call: call.into(),
         function: function.into(),
-        cell: "c1".into(),
+        instance: "c1".into(),
         ran,
         in_flight: 1,
         limit: 2,
@@ -20,44 +20,44 @@
     Line::CallEnded { at: 9, call: call.into(), outcome, is_own, latency: 9 }
 }
 
-fn cell_started(at: u64, cell: &str) -> Line {
-    let (cell, function, worker) = (cell.into(), "proof".into(), "w".into());
-    Line::CellStarted { at, cell, function, worker, memory_mb: 100, runs_from: at }
+fn instance_started(at: u64, instance: &str) -> Line {
+    let (instance, function, worker) = (instance.into(), "proof".into(), "w".into());
+    Line::InstanceStarted { at, instance, function, worker, memory_mb: 100, runs_from: at }
 }
 
-fn act(at: u64, holder: &str, fence: u64) -> Line {
+fn action(at: u64, holder: &str, fence: u64) -> Line {
     let (holder, function) = (holder.into(), "proof".into());
-    Line::PlatformAct { at, holder, function, fence, is_accepted: true }
+    Line::PlatformOperation { at, holder, function, fence, is_accepted: true }
 }
 
-fn refused_act(at: u64, holder: &str, fence: u64) -> Line {
+fn refused_operation(at: u64, holder: &str, fence: u64) -> Line {
     let (holder, function) = (holder.into(), "proof".into());
-    Line::PlatformAct { at, holder, function, fence, is_accepted: false }
+    Line::PlatformOperation { at, holder, function, fence, is_accepted: false }
 }
 
 fn sound_history() -> Vec<Line> {
     let mut lines = vec![
-        Line::LanesChanged {
+        Line::RoutesChanged {
             at: 0,
             generation: 1,
-            lanes: vec![("/proof".into(), Some("proof".into())), ("/late".into(), Some("late".into()))],
+            routes: vec![("/proof".into(), Some("proof".into())), ("/late".into(), Some("late".into()))],
         },
         sent("1"),
         took(1, "1", "proof", true),
         ended("1", Outcome::Ran, true),
         Line::ChangeAccepted { at: 1, change: "a".into(), generation: 1 },
         Line::ChangeRefused { at: 2, change: "b".into() },
-        Line::ChangesStand { at: 3, node: "n1".into(), generation: 1, changes: vec!["a".into()] },
-        Line::GenerationHeld { at: 3, node: "n1".into(), life: "x".into(), generation: 1 },
-        Line::StewardTaken { at: 1, node: "n1".into(), function: "proof".into(), epoch: 4 },
-        Line::StewardActed { at: 2, node: "n1".into(), function: "proof".into(), epoch: 4 },
-        Line::CellShownLeaving { at: 10, cell: "c1".into() },
-        act(100, "n1", 4),
-        act(3_000_000, "n2", 6),
+        Line::ChangesInForce { at: 3, node: "n1".into(), generation: 1, changes: vec!["a".into()] },
+        Line::GenerationHeld { at: 3, node: "n1".into(), incarnation: "x".into(), generation: 1 },
+        Line::LeadershipTaken { at: 1, node: "n1".into(), function: "proof".into(), epoch: 4 },
+        Line::LeaderActed { at: 2, node: "n1".into(), function: "proof".into(), epoch: 4 },
+        Line::InstanceShownDraining { at: 10, instance: "c1".into() },
+        action(100, "n1", 4),
+        action(3_000_000, "n2", 6),
         // A lease after its own last act it may act again, though the other did just now.
-        act(3_000_100, "n1", 9),
+        action(3_000_100, "n1", 9),
         // What the platform refuses breaks nothing.
-        refused_act(3_000_200, "n2", 6),
+        refused_operation(3_000_200, "n2", 6),
     ];
     lines.extend((0..100).map(|number| sent(&format!("many-{number}"))));
     lines
@@ -65,11 +65,11 @@
 
 fn rules(doctored: Vec<Line>) -> BTreeSet<&'static str> {
     let lines: Vec<Line> = sound_history().into_iter().chain(doctored).collect();
-    check_all(&lines, &CheckSettings::default()).into_iter().map(|breach| breach.rule).collect()
+    check_all(&lines, &CheckSettings::default()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn every_checker_catches_its_planted_breach_and_no_other_fires() {
+fn every_checker_catches_its_planted_violation_and_no_other_fires() {
     assert_eq!(rules(Vec::new()), BTreeSet::new());
     let took_from = |count: u64, ran: bool| -> Vec<Line> {
         (0..count).map(|number| took(20 + number, &format!("many-{number}"), "proof", ran)).collect()
@@ -85,7 +85,7 @@
         (
             "only allowed services",
             vec![
-                Line::LanesChanged { at: 2, generation: 2, lanes: vec![("/proof".into(), None)] },
+                Line::RoutesChanged { at: 2, generation: 2, routes: vec![("/proof".into(), None)] },
                 Line::ChangeAccepted { at: 2, change: "moved".into(), generation: 2 },
                 took(3_000_003, "many-1", "proof", true),
             ],
@@ -94,16 +94,16 @@
         ("few refusals", (0..6).map(|_| ended("many-1", Outcome::NotRun, false)).collect()),
         (
             "no generation back",
-            vec![Line::GenerationHeld { at: 4, node: "n1".into(), life: "x".into(), generation: 0 }],
+            vec![Line::GenerationHeld { at: 4, node: "n1".into(), incarnation: "x".into(), generation: 0 }],
         ),
         ("one change a generation", vec![Line::ChangeAccepted { at: 2, change: "c".into(), generation: 1 }]),
         (
             "no acknowledged change lost",
-            vec![Line::ChangesStand { at: 5, node: "n2".into(), generation: 2, changes: vec![] }],
+            vec![Line::ChangesInForce { at: 5, node: "n2".into(), generation: 2, changes: vec![] }],
         ),
         (
             "refused changes never stand",
-            vec![Line::ChangesStand {
+            vec![Line::ChangesInForce {
                 at: 5,
                 node: "n2".into(),
                 generation: 1,
@@ -112,34 +112,34 @@
         ),
         (
             "one steward an epoch",
-            vec![Line::StewardActed { at: 3, node: "n2".into(), function: "proof".into(), epoch: 4 }],
+            vec![Line::LeaderActed { at: 3, node: "n2".into(), function: "proof".into(), epoch: 4 }],
         ),
         (
             "one steward an epoch",
-            vec![Line::StewardActed { at: 3, node: "n2".into(), function: "proof".into(), epoch: 3 }],
+            vec![Line::LeaderActed { at: 3, node: "n2".into(), function: "proof".into(), epoch: 3 }],
         ),
-        ("one holder a fence", vec![act(9_000_000, "n3", 9)]),
-        ("deposed holders stop", (0..4).map(|number| refused_act(4_000_000 + number, "n2", 6)).collect()),
-        ("fences rise", vec![act(9_000_000, "n1", 8)]),
-        ("no holder there and back", vec![act(5_000_000, "n2", 10), act(6_000_000, "n1", 12)]),
-        ("start rate", (0..9).map(|number| Line::ActThrottled { at: 50 + number }).collect()),
+        ("one holder a fence", vec![action(9_000_000, "n3", 9)]),
+        (
+            "deposed holders stop",
+            (0..4).map(|number| refused_operation(4_000_000 + number, "n2", 6)).collect(),
+        ),
+        ("fences rise", vec![action(9_000_000, "n1", 8)]),
+        ("no holder there and back", vec![action(5_000_000, "n2", 10), action(6_000_000, "n1", 12)]),
+        ("start rate", (0..9).map(|number| Line::OperationThrottled { at: 50 + number }).collect()),
         (
             "allowances hold",
             [
-                Line::AllowancesHeld {
+                Line::QuotasHeld {
                     at: 10,
-                    allowances: vec![
-                        ("all".into(), None, Some(250.0)),
-                        ("low".into(), Some("all".into()), None),
-                    ],
+                    quotas: vec![("all".into(), None, Some(250.0)), ("low".into(), Some("all".into()), None)],
                     functions: vec![("proof".into(), "low".into(), 100)],
                 },
-                cell_started(20, "a"),
-                cell_started(30, "b"),
-                cell_started(40, "c"),
-                cell_started(50, "d"),
-                Line::CellStopped { at: 2_000_000, cell: "gone".into() },
-                cell_started(3_000_060, "e"),
+                instance_started(20, "a"),
+                instance_started(30, "b"),
+                instance_started(40, "c"),
+                instance_started(50, "d"),
+                Line::InstanceStopped { at: 2_000_000, instance: "gone".into() },
+                instance_started(3_000_060, "e"),
             ]
             .into(),
         ),
--- a/packages/history_checker/src/lib.rs
+++ b/packages/history_checker/src/lib.rs
@@ -11,8 +11,8 @@
 mod test_orders;
 mod usage_rules;
 
-pub use checkers::{Breach, CheckSettings, check_all};
-pub use order_lines::{OrderAnswer, ReadAnswer};
+pub use checkers::{CheckSettings, Violation, check_all};
+pub use order_lines::{OrderResponse, ReadResponse};
 pub use usage_rules::{UsageWindows, usage_windows};
 
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,8 @@
     /// Told to be of unknown fate.
     Unknown,
     /// The node never answered: killed, cut off, or too late.
-    NoAnswer,
+    #[serde(rename = "no_answer")]
+    NoResponse,
 }
 
 /// One thing that somebody saw, at microseconds of the history's clock.
@@ -41,9 +42,28 @@
     /// A caller's call ends; `is_own` when a `ran` answer is the call's own, whole.
     CallEnded { at: u64, call: String, outcome: Outcome, is_own: bool, latency: u64 },
     /// A call reached a cell; `ran` false when the cell turned it away.
-    CellTook { at: u64, call: String, function: String, cell: String, ran: bool, in_flight: u32, limit: u32 },
+    #[serde(rename = "cell_took")]
+    InstanceReceivedCall {
+        at: u64,
+        call: String,
+        function: String,
+        #[serde(rename = "cell")]
+        instance: String,
+        ran: bool,
+        in_flight: u32,
+        limit: u32,
+    },
     /// The platform started a cell; it takes calls from `runs_from` on.
-    CellStarted { at: u64, cell: String, function: String, worker: String, memory_mb: u64, runs_from: u64 },
+    #[serde(rename = "cell_started")]
+    InstanceStarted {
+        at: u64,
+        #[serde(rename = "cell")]
+        instance: String,
+        function: String,
+        worker: String,
+        memory_mb: u64,
+        runs_from: u64,
+    },
     /// A node's machine stands still until a time: its calls are none of a live node's.
     NodeFrozen { at: u64, node: String, until: u64 },
     /// A call reached its node, which is awake.
@@ -52,23 +72,41 @@
     CallMatched { at: u64, call: String, node: String, generation: u64 },
     /// The allowances and functions of a generation: names with parent and memory ceiling, names with
     /// allowance and memory of one cell.
-    AllowancesHeld {
+    #[serde(rename = "allowances_held")]
+    QuotasHeld {
         at: u64,
-        allowances: Vec<(String, Option<String>, Option<f64>)>,
+        #[serde(rename = "allowances")]
+        quotas: Vec<(String, Option<String>, Option<f64>)>,
         functions: Vec<(String, String, u64)>,
     },
     /// The platform took a stop.
-    CellStopped { at: u64, cell: String },
+    #[serde(rename = "cell_stopped")]
+    InstanceStopped {
+        at: u64,
+        #[serde(rename = "cell")]
+        instance: String,
+    },
     /// The platform turned a start or stop away: too many in a second.
-    ActThrottled { at: u64 },
+    #[serde(rename = "act_throttled")]
+    OperationThrottled { at: u64 },
     /// A cell is gone with its memory.
-    CellEnded { at: u64, cell: String },
+    #[serde(rename = "cell_ended")]
+    InstanceEnded {
+        at: u64,
+        #[serde(rename = "cell")]
+        instance: String,
+    },
     /// A node goes by this voter set from now on.
     VotersSeen { at: u64, node: String, generation: u64, disks: Vec<u64>, joining: Vec<u64> },
     /// Whether a node can reach a majority of the voting disks.
     ControlReached { at: u64, node: String, reached: bool },
     /// The platform began to show a cell leaving, or gone.
-    CellShownLeaving { at: u64, cell: String },
+    #[serde(rename = "cell_shown_leaving")]
+    InstanceShownDraining {
+        at: u64,
+        #[serde(rename = "cell")]
+        instance: String,
+    },
     /// An operator's change was acknowledged under a generation.
     ChangeAccepted { at: u64, change: String, generation: u64 },
     /// An operator's change was refused.
@@ -85,23 +123,49 @@
         is_proper: bool,
     },
     /// One sending of an order ends.
-    OrderAnswered { at: u64, order: String, attempt: u64, answer: OrderAnswer },
+    OrderAnswered {
+        at: u64,
+        order: String,
+        attempt: u64,
+        #[serde(rename = "answer")]
+        response: OrderResponse,
+    },
     /// An operator asks a node for the configuration as a majority of the disks confirms it.
     ReadSent { at: u64, read: u64, node: String },
     /// An operator's read ends.
-    ReadAnswered { at: u64, read: u64, answer: ReadAnswer },
+    ReadAnswered {
+        at: u64,
+        read: u64,
+        #[serde(rename = "answer")]
+        response: ReadResponse,
+    },
     /// A node goes by a configuration whose last applied order is this one.
     ConfigurationHeld { at: u64, node: String, generation: u64, last_order: String },
     /// What a generation changes: path prefixes with the function their calls go to, none for no lane.
-    LanesChanged { at: u64, generation: u64, lanes: Vec<(String, Option<String>)> },
-    /// A node holds a generation. `life` tells a node's processes apart.
-    GenerationHeld { at: u64, node: String, life: String, generation: u64 },
+    #[serde(rename = "lanes_changed")]
+    RoutesChanged {
+        at: u64,
+        generation: u64,
+        #[serde(rename = "lanes")]
+        routes: Vec<(String, Option<String>)>,
+    },
+    /// A node holds a generation. `incarnation` tells a node's processes apart.
+    GenerationHeld {
+        at: u64,
+        node: String,
+        #[serde(rename = "life")]
+        incarnation: String,
+        generation: u64,
+    },
     /// The document that holds at a node contains the marks of these changes.
-    ChangesStand { at: u64, node: String, generation: u64, changes: Vec<String> },
+    #[serde(rename = "changes_stand")]
+    ChangesInForce { at: u64, node: String, generation: u64, changes: Vec<String> },
     /// A node took a function under a steward epoch.
-    StewardTaken { at: u64, node: String, function: String, epoch: u64 },
+    #[serde(rename = "steward_taken")]
+    LeadershipTaken { at: u64, node: String, function: String, epoch: u64 },
     /// A node acted as steward (a ticket, a start or a stop) under an epoch.
-    StewardActed { at: u64, node: String, function: String, epoch: u64 },
+    #[serde(rename = "steward_acted")]
+    LeaderActed { at: u64, node: String, function: String, epoch: u64 },
     /// Usage is to be reported: true time at the history's beginning, the length of a window, the delay until
     /// a report is due, the lease of acts, all in microseconds.
     UsageTerms { at: u64, unix: u64, window: u64, delay: u64, lease: u64 },
@@ -120,19 +184,20 @@
     UsageOver { at: u64 },
     /// A start or stop reached the platform, under the holder's name and fence, for a function of its own;
     /// `is_accepted` unless a higher fence was seen or it was turned away.
-    PlatformAct { at: u64, holder: String, function: String, fence: u64, is_accepted: bool },
+    #[serde(rename = "platform_act")]
+    PlatformOperation { at: u64, holder: String, function: String, fence: u64, is_accepted: bool },
     /// A call was dropped although its node was only stopped in a planned way.
     DroppedInPlannedStop { at: u64, call: String },
 }
 
 /// What a first configuration's lanes are, for a history that begins with it.
-/// Example: `first_lanes(0, [("/proof".to_owned(), "proof".to_owned())])`.
-pub fn first_lanes(at: u64, lanes: impl IntoIterator<Item = (String, String)>) -> Line {
-    let lanes = lanes.into_iter().map(|(prefix, function)| (prefix, Some(function))).collect();
-    Line::LanesChanged { at, generation: 1, lanes }
+/// Example: `first_routes(0, [("/proof".to_owned(), "proof".to_owned())])`.
+pub fn first_routes(at: u64, routes: impl IntoIterator<Item = (String, String)>) -> Line {
+    let routes = routes.into_iter().map(|(prefix, function)| (prefix, Some(function))).collect();
+    Line::RoutesChanged { at, generation: 1, routes }
 }
 
-/// A history that many threads append to. Example: `history.append(Line::CellShownLeaving { .. })`.
+/// A history that many threads append to. Example: `history.append(Line::InstanceShownDraining { .. })`.
 #[derive(Debug, Default)]
 pub struct History {
     lines: Mutex<Vec<Line>>,
--- a/packages/history_checker/src/linearizability.rs
+++ b/packages/history_checker/src/linearizability.rs
@@ -6,7 +6,7 @@
 //! done as soon as the state allows; only applied orders are branched over.
 
 use crate::Line;
-use crate::checkers::{Breach, broken};
+use crate::checkers::{Violation, broken};
 use crate::register_operations::{RegisterHistory, Step};
 use std::collections::HashSet;
 
@@ -42,20 +42,20 @@
 }
 
 /// A history of orders and reads is that of one register.
-pub(crate) fn check_register(lines: &[Line], breaches: &mut Vec<Breach>) {
-    judge(lines, SEARCH_LIMIT, breaches);
+pub(crate) fn check_register(lines: &[Line], violations: &mut Vec<Violation>) {
+    judge(lines, SEARCH_LIMIT, violations);
 }
 
-fn judge(lines: &[Line], search_limit: usize, breaches: &mut Vec<Breach>) {
+fn judge(lines: &[Line], search_limit: usize, violations: &mut Vec<Violation>) {
     let mut searcher = Searcher::new(RegisterHistory::of(lines), search_limit);
     let start = RegisterState { version: 0, last_order: None };
     let done = vec![false; searcher.history.operations.len()];
     match searcher.extend(done, start) {
         Search::Found => {}
-        Search::Exhausted => broken(breaches, RULE, searcher.obstacle()),
+        Search::Exhausted => broken(violations, RULE, searcher.obstacle()),
         Search::GivenUp => {
             let seen = format!("not decided after {search_limit} configurations: {}", searcher.obstacle());
-            broken(breaches, RULE, seen);
+            broken(violations, RULE, seen);
         }
     }
 }
@@ -167,13 +167,13 @@
     fn obstacle(&self) -> String {
         let (done_count, state, due) = self.furthest;
         let operation = &self.history.operations[due];
-        let told = match operation.step {
-            Step::Apply { order } => format!("{} was accepted", self.told_order(order)),
-            Step::Refuse { order } => format!("{} was refused", self.told_order(order)),
+        let reported = match operation.step {
+            Step::Apply { order } => format!("{} was accepted", self.describe_order(order)),
+            Step::Refuse { order } => format!("{} was refused", self.describe_order(order)),
             Step::Read { version, last_order } => format!("a read showed {version} by {last_order:?}"),
         };
         format!(
-            "after {done_count} of {} operations version {} by {:?} stands; then {told} between {} and {}",
+            "after {done_count} of {} operations version {} by {:?} stands; then {reported} between {} and {}",
             self.history.operations.len(),
             state.version,
             self.name_of(state.last_order),
@@ -182,7 +182,7 @@
         )
     }
 
-    fn told_order(&self, order: usize) -> String {
+    fn describe_order(&self, order: usize) -> String {
         let terms = &self.history.orders[order];
         format!("{} ({:?} on {:?})", terms.name, terms.version, terms.expected_version)
     }
--- a/packages/history_checker/src/linearizability/tests.rs
+++ b/packages/history_checker/src/linearizability/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::test_orders::{accepted, answered, sent};
-use crate::{OrderAnswer, ReadAnswer};
+use crate::{OrderResponse, ReadResponse};
 
 fn order(name: &str, attempt: u64, at: u64, expected: u64, version: u64) -> Line {
     sent(name, attempt, at, Some(expected), Some(version))
 }
 
 fn read(read: u64, from: u64, until: u64, version: u64, last_order: Option<&str>) -> [Line; 2] {
-    let answer = ReadAnswer::Confirmed { version, last_order: last_order.map(str::to_owned) };
-    [Line::ReadSent { at: from, read, node: "n1".into() }, Line::ReadAnswered { at: until, read, answer }]
+    let response = ReadResponse::Confirmed { version, last_order: last_order.map(str::to_owned) };
+    [Line::ReadSent { at: from, read, node: "n1".into() }, Line::ReadAnswered { at: until, read, response }]
 }
 
 /// `a` makes version 1 of 0 between 10 and 20.
@@ -16,14 +16,14 @@
     vec![order("a", 0, 10, 0, 1), accepted("a", 0, 20, 1)]
 }
 
-fn breaches(lines: Vec<Line>) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    check_register(&lines, &mut breaches);
-    breaches
+fn violations(lines: Vec<Line>) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_register(&lines, &mut violations);
+    violations
 }
 
 fn is_sound(lines: Vec<Line>) -> bool {
-    breaches(lines).is_empty()
+    violations(lines).is_empty()
 }
 
 #[test]
@@ -33,15 +33,15 @@
     let mut lines = taken_a();
     lines.extend(read(1, 5, 12, 0, None));
     lines.extend(read(2, 5, 12, 1, Some("a")));
-    lines.extend([order("b", 0, 15, 0, 1), answered("b", 0, 30, OrderAnswer::RefusedVersion)]);
+    lines.extend([order("b", 0, 15, 0, 1), answered("b", 0, 30, OrderResponse::RefusedVersion)]);
     lines.extend([order("a", 1, 40, 0, 1), accepted("a", 1, 50, 1)]);
     lines.extend(read(3, 60, 70, 1, Some("a")));
     assert!(is_sound(lines));
 }
 
 #[test]
-fn an_order_of_unknown_fate_takes_effect_late_or_never() {
-    let lost = [order("u", 0, 30, 1, 2), answered("u", 0, 40, OrderAnswer::Unclear)];
+fn an_order_of_unknown_outcome_takes_effect_late_or_never() {
+    let lost = [order("u", 0, 30, 1, 2), answered("u", 0, 40, OrderResponse::Unclear)];
     let with = |more: Vec<Line>| [taken_a(), lost.to_vec(), more].concat();
     assert!(is_sound(with(Vec::new())));
     assert!(is_sound(with(read(1, 90, 99, 1, Some("a")).to_vec())));
@@ -63,13 +63,13 @@
 #[test]
 fn both_confirmed_under_one_number_is_found() {
     let lines = [taken_a(), vec![order("b", 0, 11, 0, 1), accepted("b", 0, 19, 1)]].concat();
-    assert_eq!(breaches(lines)[0].rule, RULE);
+    assert_eq!(violations(lines)[0].rule, RULE);
 }
 
 #[test]
 fn a_stale_read_is_found() {
     let lines = [taken_a(), read(1, 21, 25, 0, None).to_vec()].concat();
-    let found = breaches(lines);
+    let found = violations(lines);
     assert_eq!(found.len(), 1);
     assert!(found[0].seen.contains("a read showed 0"), "{found:?}");
 }
@@ -82,11 +82,11 @@
 
 #[test]
 fn a_refused_repeat_is_found() {
-    let repeat = vec![order("a", 1, 30, 0, 1), answered("a", 1, 40, OrderAnswer::RefusedVersion)];
+    let repeat = vec![order("a", 1, 30, 0, 1), answered("a", 1, 40, OrderResponse::RefusedVersion)];
     assert!(!is_sound([taken_a(), repeat].concat()));
     // Its answer was lost, a read shows that it was taken, and the repeat is refused.
-    let lost = vec![order("a", 0, 10, 0, 1), answered("a", 0, 20, OrderAnswer::Lost)];
-    let repeat = vec![order("a", 1, 50, 0, 1), answered("a", 1, 60, OrderAnswer::RefusedVersion)];
+    let lost = vec![order("a", 0, 10, 0, 1), answered("a", 0, 20, OrderResponse::Lost)];
+    let repeat = vec![order("a", 1, 50, 0, 1), answered("a", 1, 60, OrderResponse::RefusedVersion)];
     assert!(!is_sound([lost, read(1, 30, 40, 1, Some("a")).to_vec(), repeat].concat()));
 }
 
@@ -103,7 +103,7 @@
 #[test]
 fn a_refusal_although_the_number_was_free_is_found() {
     let refused = |expected, version| {
-        vec![order("b", 0, 30, expected, version), answered("b", 0, 40, OrderAnswer::RefusedVersion)]
+        vec![order("b", 0, 30, expected, version), answered("b", 0, 40, OrderResponse::RefusedVersion)]
     };
     assert!(!is_sound([taken_a(), refused(1, 2)].concat()));
     assert!(is_sound([taken_a(), refused(0, 1)].concat()));
@@ -113,7 +113,7 @@
 #[test]
 fn a_node_that_goes_by_an_order_shows_that_it_was_applied() {
     let held = Line::ConfigurationHeld { at: 45, node: "n2".into(), generation: 2, last_order: "u".into() };
-    let unclear = vec![order("u", 0, 30, 1, 2), answered("u", 0, 40, OrderAnswer::Unclear), held];
+    let unclear = vec![order("u", 0, 30, 1, 2), answered("u", 0, 40, OrderResponse::Unclear), held];
     let lines = [taken_a(), unclear].concat();
     assert!(is_sound(lines.clone()));
     let lost = read(1, 50, 60, 1, Some("a")).to_vec();
@@ -130,8 +130,8 @@
             lines.push(order(&name, 0, at, version - 1, version));
             lines.push(match operator {
                 0 => accepted(&name, 0, at + 50, version),
-                1 => answered(&name, 0, at + 50, OrderAnswer::RefusedVersion),
-                _ => answered(&name, 0, at + 50, OrderAnswer::Lost),
+                1 => answered(&name, 0, at + 50, OrderResponse::RefusedVersion),
+                _ => answered(&name, 0, at + 50, OrderResponse::Lost),
             });
         }
     }
@@ -143,7 +143,7 @@
 /// A crowd of orders with versions alone, all at once: many are accepted, in the turn of their versions.
 #[test]
 fn many_orders_at_once_are_judged() {
-    let crowd = |is_any_late: bool| {
+    let spike = |is_any_late: bool| {
         let mut lines = Vec::new();
         for number in 1..=60u64 {
             lines.push(sent(&format!("c{number}"), 0, 1, None, Some(number)));
@@ -161,8 +161,8 @@
         ));
         lines
     };
-    assert!(is_sound(crowd(false)));
-    let found = breaches(crowd(true));
+    assert!(is_sound(spike(false)));
+    let found = violations(spike(true));
     assert!(!found[0].seen.contains("not decided"), "{found:?}");
 }
 
--- a/packages/history_checker/src/order_lines.rs
+++ b/packages/history_checker/src/order_lines.rs
@@ -2,10 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How one sending of an order ended. Example: `OrderAnswer::Accepted { generation: 5 }`.
+/// How one sending of an order ended. Example: `OrderResponse::Accepted { generation: 5 }`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderAnswer {
+#[serde(rename = "OrderAnswer")]
+pub enum OrderResponse {
     /// It stands under this generation.
     Accepted { generation: u64 },
     /// Refused because of the version that stands.
@@ -18,17 +19,18 @@
     Lost,
 }
 
-impl OrderAnswer {
-    /// Whether the node refused the order. Example: `OrderAnswer::RefusedVersion.is_refusal()`.
+impl OrderResponse {
+    /// Whether the node refused the order. Example: `OrderResponse::RefusedVersion.is_refusal()`.
     pub fn is_refusal(&self) -> bool {
-        matches!(self, OrderAnswer::RefusedVersion | OrderAnswer::RefusedInvalid { .. })
+        matches!(self, OrderResponse::RefusedVersion | OrderResponse::RefusedInvalid { .. })
     }
 }
 
-/// What a confirmed read of the configuration showed. Example: `ReadAnswer::NoMajority`.
+/// What a confirmed read of the configuration showed. Example: `ReadResponse::NoMajority`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ReadAnswer {
+#[serde(rename = "ReadAnswer")]
+pub enum ReadResponse {
     /// The version that stands, and the order that was applied last.
     Confirmed { version: u64, last_order: Option<String> },
     /// The node said that no majority answers.
--- a/packages/history_checker/src/order_rules.rs
+++ b/packages/history_checker/src/order_rules.rs
@@ -1,80 +1,80 @@
 //! Rules over single orders and their answers: a taken order is never refused when it is sent again,
 //! a proper one is refused for its version alone, one version is one order, and answers come in time.
 
-use crate::checkers::{Breach, CheckSettings, broken};
+use crate::checkers::{CheckSettings, Violation, broken};
 use crate::register_operations::{SentOrder, sent_orders};
-use crate::{Line, OrderAnswer};
+use crate::{Line, OrderResponse};
 use std::collections::BTreeMap;
 
 /// Every rule over orders.
-pub(crate) fn check_orders(lines: &[Line], settings: &CheckSettings, breaches: &mut Vec<Breach>) {
+pub(crate) fn check_orders(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let orders = sent_orders(lines);
     for order in orders.values() {
-        check_repeats(order, breaches);
-        check_reasons(order, breaches);
-        check_one_generation(order, breaches);
+        check_repeats(order, violations);
+        check_reasons(order, violations);
+        check_one_generation(order, violations);
     }
-    check_versions(&orders, breaches);
-    check_held(lines, breaches);
-    check_answer_times(lines, &orders, settings, breaches);
+    check_versions(&orders, violations);
+    check_held(lines, violations);
+    check_response_times(lines, &orders, settings, violations);
 }
 
 /// An order that was accepted is accepted again, or left without a clear answer, when it is sent again.
-fn check_repeats(order: &SentOrder, breaches: &mut Vec<Breach>) {
+fn check_repeats(order: &SentOrder, violations: &mut Vec<Violation>) {
     let Some(accepted_at) = order.accepted_at() else { return };
     for (number, attempt) in &order.attempts {
-        let Some((_, answer)) = attempt.answer else { continue };
-        if answer.is_refusal() && attempt.sent_at >= accepted_at {
+        let Some((_, response)) = attempt.response else { continue };
+        if response.is_refusal() && attempt.sent_at >= accepted_at {
             let seen = format!(
-                "{} was accepted at {accepted_at}; sent again as attempt {number} at {}, to {}: {answer:?}",
+                "{} was accepted at {accepted_at}; sent again as attempt {number} at {}, to {}: {response:?}",
                 order.name, attempt.sent_at, attempt.node
             );
-            broken(breaches, "a taken order is never refused", seen);
+            broken(violations, "a taken order is never refused", seen);
         }
     }
 }
 
 /// Only the version that stands, or a fault of the order's own, is a reason to refuse it.
-fn check_reasons(order: &SentOrder, breaches: &mut Vec<Breach>) {
+fn check_reasons(order: &SentOrder, violations: &mut Vec<Violation>) {
     for attempt in order.attempts.values() {
-        match attempt.answer {
-            Some((at, OrderAnswer::RefusedInvalid { reason })) if order.is_proper => {
+        match attempt.response {
+            Some((at, OrderResponse::RefusedInvalid { reason })) if order.is_proper => {
                 let seen = format!("{} was refused by {} at {at}: {reason}", order.name, attempt.node);
-                broken(breaches, "proper orders are refused for their version alone", seen);
+                broken(violations, "proper orders are refused for their version alone", seen);
             }
-            Some((at, OrderAnswer::Accepted { .. })) if !order.is_proper => {
+            Some((at, OrderResponse::Accepted { .. })) if !order.is_proper => {
                 let seen = format!("{} was accepted by {} at {at}", order.name, attempt.node);
-                broken(breaches, "improper orders are never accepted", seen);
+                broken(violations, "improper orders are never accepted", seen);
             }
             _ => {}
         }
     }
 }
 
-fn check_one_generation(order: &SentOrder, breaches: &mut Vec<Breach>) {
+fn check_one_generation(order: &SentOrder, violations: &mut Vec<Violation>) {
     let mut generations: Vec<u64> = order.acceptances().map(|(_, generation)| generation).collect();
     generations.sort_unstable();
     generations.dedup();
     if generations.len() > 1 {
         let seen = format!("{} was accepted as {generations:?}", order.name);
-        broken(breaches, "one order, one generation", seen);
+        broken(violations, "one order, one generation", seen);
     }
 }
 
 /// No two orders are accepted under one version of the operators'.
-fn check_versions(orders: &BTreeMap<&str, SentOrder>, breaches: &mut Vec<Breach>) {
+fn check_versions(orders: &BTreeMap<&str, SentOrder>, violations: &mut Vec<Violation>) {
     let mut accepted: BTreeMap<u64, &str> = BTreeMap::new();
     for order in orders.values().filter(|order| order.accepted_at().is_some()) {
         let Some(version) = order.version else { continue };
         if let Some(first) = accepted.insert(version, order.name) {
             let seen = format!("{first} and {} were both accepted as version {version}", order.name);
-            broken(breaches, "one order a version", seen);
+            broken(violations, "one order a version", seen);
         }
     }
 }
 
 /// All nodes that go by a generation go by the same configuration.
-fn check_held(lines: &[Line], breaches: &mut Vec<Breach>) {
+fn check_held(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut held: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
     for line in lines {
         let Line::ConfigurationHeld { node, generation, last_order, .. } = line else { continue };
@@ -83,7 +83,7 @@
             let seen = format!(
                 "generation {generation} is by {first_order} at {first_node}, by {last_order} at {node}"
             );
-            broken(breaches, "one configuration a generation", seen);
+            broken(violations, "one configuration a generation", seen);
         }
     }
 }
@@ -98,11 +98,11 @@
 
 /// A node that is awake answers in time; one that reaches no majority says so soon, since its operator
 /// would better turn to another.
-fn check_answer_times(
+fn check_response_times(
     lines: &[Line],
     orders: &BTreeMap<&str, SentOrder>,
     settings: &CheckSettings,
-    breaches: &mut Vec<Breach>,
+    violations: &mut Vec<Violation>,
 ) {
     let frozen = frozen_spans(lines);
     let powerless = spans_without_majority(lines);
@@ -114,19 +114,24 @@
             .any(|(from, until)| *from <= exchange.ended_at && exchange.sent_at <= *until)
     });
     let all: Vec<&Exchange> = exchanges.iter().collect();
-    tell_late(&all, settings.order_answered_within, "operators are answered in time", breaches);
+    report_late(&all, settings.order_answered_within, "operators are answered in time", violations);
     // Those that were without a majority for the whole time that they have.
     let was_powerless = |exchange: &&Exchange| {
-        let due_at = exchange.sent_at + settings.inability_told_within;
+        let due_at = exchange.sent_at + settings.inability_reported_within;
         let spans = spans_at(&powerless, exchange.node);
         spans.iter().any(|(from, until)| *from <= exchange.sent_at && due_at <= *until)
     };
-    let told: Vec<&Exchange> = exchanges.iter().filter(was_powerless).collect();
-    tell_late(&told, settings.inability_told_within, "a node without a majority says so soon", breaches);
+    let reported: Vec<&Exchange> = exchanges.iter().filter(was_powerless).collect();
+    report_late(
+        &reported,
+        settings.inability_reported_within,
+        "a node without a majority says so soon",
+        violations,
+    );
 }
 
 /// Tells of exchanges that took longer than a time.
-fn tell_late(exchanges: &[&Exchange], within: u64, rule: &'static str, breaches: &mut Vec<Breach>) {
+fn report_late(exchanges: &[&Exchange], within: u64, rule: &'static str, violations: &mut Vec<Violation>) {
     let is_late = |exchange: &&&Exchange| exchange.ended_at > exchange.sent_at.saturating_add(within);
     let late: Vec<&&Exchange> = exchanges.iter().filter(is_late).collect();
     let Some(first) = late.iter().min_by_key(|exchange| exchange.sent_at) else { return };
@@ -143,7 +148,7 @@
         first.node,
         first.sent_at,
     );
-    broken(breaches, rule, seen);
+    broken(violations, rule, seen);
 }
 
 fn spans_at<'a>(spans: &'a BTreeMap<&str, Vec<(u64, u64)>>, node: &str) -> &'a [(u64, u64)] {
@@ -168,7 +173,7 @@
     let mut exchanges = Vec::new();
     for order in orders.values() {
         for (number, attempt) in &order.attempts {
-            let ended_at = attempt.answer.map_or(u64::MAX, |(at, _)| at);
+            let ended_at = attempt.response.map_or(u64::MAX, |(at, _)| at);
             let what = format!("attempt {number} of {}", order.name);
             exchanges.push(Exchange { what, node: attempt.node, sent_at: attempt.sent_at, ended_at });
         }
--- a/packages/history_checker/src/order_rules/tests.rs
+++ b/packages/history_checker/src/order_rules/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::ReadAnswer;
+use crate::ReadResponse;
 use crate::test_orders::{self, accepted, answered};
 
 fn sent(order: &str, attempt: u64, at: u64, version: u64) -> Line {
@@ -7,9 +7,9 @@
 }
 
 fn rules(lines: &[Line]) -> Vec<&'static str> {
-    let mut breaches = Vec::new();
-    check_orders(lines, &CheckSettings::default(), &mut breaches);
-    breaches.into_iter().map(|breach| breach.rule).collect()
+    let mut violations = Vec::new();
+    check_orders(lines, &CheckSettings::default(), &mut violations);
+    violations.into_iter().map(|violation| violation.rule).collect()
 }
 
 fn taken() -> Vec<Line> {
@@ -19,11 +19,11 @@
 #[test]
 fn taken_orders_are_acknowledged_again_or_left_unclear() {
     assert_eq!(rules(&taken()), [""; 0]);
-    for answer in [OrderAnswer::Accepted { generation: 1 }, OrderAnswer::Unclear, OrderAnswer::Lost] {
-        let lines = [taken(), vec![sent("a", 1, 30, 1), answered("a", 1, 40, answer)]].concat();
+    for response in [OrderResponse::Accepted { generation: 1 }, OrderResponse::Unclear, OrderResponse::Lost] {
+        let lines = [taken(), vec![sent("a", 1, 30, 1), answered("a", 1, 40, response)]].concat();
         assert_eq!(rules(&lines), [""; 0]);
     }
-    let refused = [taken(), vec![sent("a", 1, 30, 1), answered("a", 1, 40, OrderAnswer::RefusedVersion)]];
+    let refused = [taken(), vec![sent("a", 1, 30, 1), answered("a", 1, 40, OrderResponse::RefusedVersion)]];
     assert_eq!(rules(&refused.concat()), ["a taken order is never refused"]);
     let other = [taken(), vec![sent("a", 1, 30, 1), accepted("a", 1, 40, 2)]].concat();
     assert_eq!(rules(&other), ["one order, one generation"]);
@@ -31,7 +31,7 @@
 
 #[test]
 fn busy_is_no_reason_to_refuse() {
-    let busy = OrderAnswer::RefusedInvalid { reason: "too many changes wait at this node".to_owned() };
+    let busy = OrderResponse::RefusedInvalid { reason: "too many changes wait at this node".to_owned() };
     let lines = vec![sent("a", 0, 10, 1), answered("a", 0, 20, busy.clone())];
     assert_eq!(rules(&lines), ["proper orders are refused for their version alone"]);
     let Line::OrderSent { at, order, attempt, node, expected_version, version, .. } = sent("a", 0, 10, 1)
@@ -63,21 +63,21 @@
 
 #[test]
 fn silence_is_found_unless_the_node_stood_still() {
-    let late = vec![sent("a", 0, 10, 1), answered("a", 0, 6_600_000, OrderAnswer::Unclear)];
+    let late = vec![sent("a", 0, 10, 1), answered("a", 0, 6_600_000, OrderResponse::Unclear)];
     assert_eq!(rules(&late), ["operators are answered in time"]);
     assert_eq!(rules(&[sent("a", 0, 10, 1)]), ["operators are answered in time"]);
     let frozen = Line::NodeFrozen { at: 500_000, node: "n1".into(), until: 900_000 };
     assert_eq!(rules(&[late, vec![frozen]].concat()), [""; 0]);
     let read = Line::ReadSent { at: 10, read: 1, node: "n1".into() };
-    let answer = |at| Line::ReadAnswered { at, read: 1, answer: ReadAnswer::NoMajority };
-    assert_eq!(rules(&[read.clone(), answer(1_000_000)]), [""; 0]);
-    assert_eq!(rules(&[read, answer(7_000_000)]), ["operators are answered in time"]);
+    let response = |at| Line::ReadAnswered { at, read: 1, response: ReadResponse::NoMajority };
+    assert_eq!(rules(&[read.clone(), response(1_000_000)]), [""; 0]);
+    assert_eq!(rules(&[read, response(7_000_000)]), ["operators are answered in time"]);
 }
 
 #[test]
 fn a_node_without_a_majority_says_so_soon() {
     let reached = |at, reached| Line::ControlReached { at, node: "n1".into(), reached };
-    let late = vec![sent("a", 0, 10, 1), answered("a", 0, 1_600_000, OrderAnswer::Unclear)];
+    let late = vec![sent("a", 0, 10, 1), answered("a", 0, 1_600_000, OrderResponse::Unclear)];
     assert_eq!(rules(&late), [""; 0]);
     let cut = [vec![reached(5, false)], late.clone()].concat();
     assert_eq!(rules(&cut), ["a node without a majority says so soon"]);
--- a/packages/history_checker/src/register_operations.rs
+++ b/packages/history_checker/src/register_operations.rs
@@ -4,7 +4,7 @@
 //! the first answer that accepts it; without such an answer it may take effect at any later time or
 //! never. A refusal and a confirmed read are operations of their own that change nothing.
 
-use crate::{Line, OrderAnswer, ReadAnswer};
+use crate::{Line, OrderResponse, ReadResponse};
 use std::collections::BTreeMap;
 
 /// An order's conditions on the register. Example: `terms.admit(5)`.
@@ -64,7 +64,7 @@
     pub node: &'a str,
     pub sent_at: u64,
     /// When it ended and how; none while it is open at the end of the history.
-    pub answer: Option<(u64, &'a OrderAnswer)>,
+    pub response: Option<(u64, &'a OrderResponse)>,
 }
 
 /// An order with all its sendings, in turn.
@@ -85,15 +85,16 @@
 
     /// Times and generations of the answers that accept it.
     pub fn acceptances(&self) -> impl Iterator<Item = (u64, u64)> {
-        self.attempts.values().filter_map(|attempt| match attempt.answer {
-            Some((at, OrderAnswer::Accepted { generation })) => Some((at, *generation)),
+        self.attempts.values().filter_map(|attempt| match attempt.response {
+            Some((at, OrderResponse::Accepted { generation })) => Some((at, *generation)),
             _ => None,
         })
     }
 
     /// When the first sending that was not refused began.
     fn may_apply_from(&self) -> Option<u64> {
-        let is_refused = |attempt: &&Attempt| attempt.answer.is_some_and(|(_, answer)| answer.is_refusal());
+        let is_refused =
+            |attempt: &&Attempt| attempt.response.is_some_and(|(_, response)| response.is_refusal());
         self.attempts.values().filter(|attempt| !is_refused(attempt)).map(|attempt| attempt.sent_at).min()
     }
 }
@@ -111,12 +112,12 @@
                     is_proper: *is_proper,
                     attempts: BTreeMap::new(),
                 });
-                sent.attempts.insert(*attempt, Attempt { node, sent_at: *at, answer: None });
+                sent.attempts.insert(*attempt, Attempt { node, sent_at: *at, response: None });
             }
-            Line::OrderAnswered { at, order, attempt, answer } => {
+            Line::OrderAnswered { at, order, attempt, response } => {
                 let sent = orders.get_mut(order.as_str());
                 if let Some(attempt) = sent.and_then(|sent| sent.attempts.get_mut(attempt)) {
-                    attempt.answer.get_or_insert((*at, answer));
+                    attempt.response.get_or_insert((*at, response));
                 }
             }
             _ => {}
@@ -153,7 +154,7 @@
             });
         }
         for attempt in sent.attempts.values() {
-            let Some((ends_at, OrderAnswer::RefusedVersion)) = attempt.answer else { continue };
+            let Some((ends_at, OrderResponse::RefusedVersion)) = attempt.response else { continue };
             let (begins_at, step) = (attempt.sent_at, Step::Refuse { order });
             self.operations.push(Operation { begins_at, ends_at, is_required: true, step });
         }
@@ -166,7 +167,11 @@
                 Line::ReadSent { at, read, .. } => {
                     sent.insert(*read, *at);
                 }
-                Line::ReadAnswered { at, read, answer: ReadAnswer::Confirmed { version, last_order } } => {
+                Line::ReadAnswered {
+                    at,
+                    read,
+                    response: ReadResponse::Confirmed { version, last_order },
+                } => {
                     let Some(begins_at) = sent.get(read).copied() else { continue };
                     let step = Step::Read { version: *version, last_order: last_order.as_deref() };
                     self.operations.push(Operation { begins_at, ends_at: *at, is_required: true, step });
--- a/packages/history_checker/src/test_orders.rs
+++ b/packages/history_checker/src/test_orders.rs
@@ -1,6 +1,6 @@
 //! Lines of operators' orders and their answers, for the tests of this package's judges.
 
-use crate::{Line, OrderAnswer};
+use crate::{Line, OrderResponse};
 
 /// A proper order, sent to the node `n1`.
 pub(crate) fn sent(
@@ -14,10 +14,10 @@
     Line::OrderSent { at, order, attempt, node, expected_version, version, is_proper: true }
 }
 
-pub(crate) fn answered(order: &str, attempt: u64, at: u64, answer: OrderAnswer) -> Line {
-    Line::OrderAnswered { at, order: order.to_owned(), attempt, answer }
+pub(crate) fn answered(order: &str, attempt: u64, at: u64, response: OrderResponse) -> Line {
+    Line::OrderAnswered { at, order: order.to_owned(), attempt, response }
 }
 
 pub(crate) fn accepted(order: &str, attempt: u64, at: u64, generation: u64) -> Line {
-    answered(order, attempt, at, OrderAnswer::Accepted { generation })
+    answered(order, attempt, at, OrderResponse::Accepted { generation })
 }
--- a/packages/history_checker/src/usage_rules.rs
+++ b/packages/history_checker/src/usage_rules.rs
@@ -1,7 +1,7 @@
 //! Reports of usage to the platform: what may never be, and what each window came to.
 
 use crate::Line;
-use crate::checkers::{Breach, broken};
+use crate::checkers::{Violation, broken};
 use std::collections::BTreeMap;
 
 /// What the windows of a history came to, for which a report was due.
@@ -47,16 +47,16 @@
 
 /// For a window one set of counts is accepted; a fence is one holder's; holders do not act in the order
 /// A, B, A within the lease, refused acts apart.
-pub(crate) fn check_usage(lines: &[Line], breaches: &mut Vec<Breach>) {
+pub(crate) fn check_usage(lines: &[Line], violations: &mut Vec<Violation>) {
     let Some(terms) = terms(lines) else { return };
     let mut accepted_counts: BTreeMap<u64, &Vec<(String, u32)>> = BTreeMap::new();
     let mut fence_holders: BTreeMap<u64, &str> = BTreeMap::new();
-    let mut last_acts: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut last_actions: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
         let Line::UsageReported { at, holder, fence, window, counts, accepted } = line else { continue };
         let first_holder = fence_holders.entry(*fence).or_insert(holder);
         if first_holder != holder {
-            broken(breaches, "one fence, one holder", format!("{fence} of {first_holder} and {holder}"));
+            broken(violations, "one fence, one holder", format!("{fence} of {first_holder} and {holder}"));
         }
         if !accepted {
             continue;
@@ -64,15 +64,15 @@
         let first_counts = accepted_counts.entry(*window).or_insert(counts);
         if *first_counts != counts {
             let seen = format!("window {window}: {first_counts:?}, then {counts:?} of {holder}");
-            broken(breaches, "one set of counts for a window", seen);
+            broken(violations, "one set of counts for a window", seen);
         }
-        let own_before = last_acts.insert(holder, *at).filter(|before| *at < before + terms.lease);
+        let own_before = last_actions.insert(holder, *at).filter(|before| *at < before + terms.lease);
         let between = own_before.and_then(|before| {
-            last_acts.iter().find(|(other, other_at)| *other != holder && **other_at > before)
+            last_actions.iter().find(|(other, other_at)| *other != holder && **other_at > before)
         });
         if let Some((other, _)) = between {
             let seen = format!("{holder}, {other}, {holder} until {at}");
-            broken(breaches, "holders do not take turns within the lease", seen);
+            broken(violations, "holders do not take turns within the lease", seen);
         }
     }
 }
@@ -118,9 +118,9 @@
         let is_off = |tenant: &&str| {
             let begun = truth.get(tenant).copied().unwrap_or_default();
             let after = next.and_then(|next| next.get(tenant)).map_or(0, |begun| begun.at_start);
-            let told = f64::from(counts.get(tenant).copied().unwrap_or(0));
+            let total = f64::from(counts.get(tenant).copied().unwrap_or(0));
             let (least, most) = (f64::from(begun.calls - begun.at_start), f64::from(begun.calls + after));
-            told < least * (1.0 - bound) || told > most * (1.0 + bound)
+            total < least * (1.0 - bound) || total > most * (1.0 + bound)
         };
         if truth.keys().chain(counts.keys()).any(is_off) {
             windows.off.push(*window);
--- a/packages/history_checker/src/usage_rules/tests.rs
+++ b/packages/history_checker/src/usage_rules/tests.rs
@@ -24,9 +24,9 @@
 }
 
 fn rules(lines: &[Line]) -> Vec<&'static str> {
-    let mut breaches = Vec::new();
-    check_usage(&[vec![terms_line()], lines.to_vec()].concat(), &mut breaches);
-    breaches.into_iter().map(|breach| breach.rule).collect()
+    let mut violations = Vec::new();
+    check_usage(&[vec![terms_line()], lines.to_vec()].concat(), &mut violations);
+    violations.into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
@@ -81,7 +81,7 @@
 #[test]
 fn a_call_on_its_way_at_the_end_counts_in_either_window() {
     let begun = |at: u64| Line::UsageBegan { at, tenant: "acme".to_owned() };
-    let told = |first: u32, second: u32| {
+    let off_windows = |first: u32, second: u32| {
         let lines = vec![
             terms_line(),
             begun(4 * SECOND),
@@ -93,6 +93,6 @@
         ];
         usage_windows(&lines, 0.05).off
     };
-    assert_eq!((told(1, 2), told(2, 1)), (vec![], vec![]));
-    assert_eq!((told(3, 1), told(1, 0), told(1, 3)), (vec![20], vec![21], vec![21]));
+    assert_eq!((off_windows(1, 2), off_windows(2, 1)), (vec![], vec![]));
+    assert_eq!((off_windows(3, 1), off_windows(1, 0), off_windows(1, 3)), (vec![20], vec![21], vec![21]));
 }
--- a/packages/leader_election/src/act_guard.rs
+++ b/packages/leader_election/src/action_guard.rs
@@ -11,42 +11,42 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug)]
-struct LastAct {
-    steward_epoch: u64,
+struct LastAction {
+    leader_epoch: u64,
     at: Micros,
 }
 
 /// The last acts of this process by function, and the functions that it does not act for yet.
-/// Example: `ActGuard::new(Micros::from_secs(3), now).is_held("proof", now) == false`.
+/// Example: `ActionGuard::new(Micros::from_secs(3), now).is_barred("proof", now) == false`.
 #[derive(Debug)]
-pub struct ActGuard {
+pub struct ActionGuard {
     lease: Micros,
     began_at: Micros,
     /// Only those of the last lease.
-    last_acts: BTreeMap<String, LastAct>,
+    last_actions: BTreeMap<String, LastAction>,
     held_until: BTreeMap<String, Micros>,
 }
 
-impl ActGuard {
-    /// A process that begins now. Example: `ActGuard::new(settings.lease, now)`.
-    pub fn new(lease: Micros, now: Micros) -> ActGuard {
-        ActGuard { lease, began_at: now, last_acts: BTreeMap::new(), held_until: BTreeMap::new() }
+impl ActionGuard {
+    /// A process that begins now. Example: `ActionGuard::new(settings.lease, now)`.
+    pub fn new(lease: Micros, now: Micros) -> ActionGuard {
+        ActionGuard { lease, began_at: now, last_actions: BTreeMap::new(), held_until: BTreeMap::new() }
     }
 
     /// A term begins. Of the record that it was claimed on: the epoch, if it names this process, and whether it is
     /// the first ever or names a process that was at this place before.
-    /// Example: `guard.taken("proof", 12, (Some(9), false), now)`.
-    pub fn taken(
+    /// Example: `guard.term_taken("proof", 12, (Some(9), false), now)`.
+    pub fn term_taken(
         &mut self,
         function: &str,
-        steward_epoch: u64,
+        leader_epoch: u64,
         (own_epoch_before, is_kept): (Option<u64>, bool),
         now: Micros,
     ) {
         let began_at = self.began_at;
-        let quiet_since = match self.last_acts.get_mut(function) {
-            Some(last) if own_epoch_before == Some(last.steward_epoch) => {
-                last.steward_epoch = steward_epoch;
+        let quiet_since = match self.last_actions.get_mut(function) {
+            Some(last) if own_epoch_before == Some(last.leader_epoch) => {
+                last.leader_epoch = leader_epoch;
                 return;
             }
             Some(last) => last.at,
@@ -59,17 +59,17 @@
         }
     }
 
-    /// A start or stop leaves for the platform. Example: `guard.acted("proof", 12, now)`.
-    pub fn acted(&mut self, function: &str, steward_epoch: u64, now: Micros) {
+    /// A start or stop leaves for the platform. Example: `guard.operation_sent("proof", 12, now)`.
+    pub fn operation_sent(&mut self, function: &str, leader_epoch: u64, now: Micros) {
         let lease = self.lease;
-        self.last_acts.retain(|_, last| now < last.at + lease);
-        self.last_acts.insert(function.to_owned(), LastAct { steward_epoch, at: now });
+        self.last_actions.retain(|_, last| now < last.at + lease);
+        self.last_actions.insert(function.to_owned(), LastAction { leader_epoch, at: now });
     }
 
     /// The platform answered a start or stop: it may have counted it as late as now.
-    /// Example: `guard.answered("proof", now)`.
-    pub fn answered(&mut self, function: &str, now: Micros) {
-        if let Some(last) = self.last_acts.get_mut(function) {
+    /// Example: `guard.operation_answered("proof", now)`.
+    pub fn operation_answered(&mut self, function: &str, now: Micros) {
+        if let Some(last) = self.last_actions.get_mut(function) {
             last.at = now;
         }
         if let Some(held_until) = self.held_until.get_mut(function) {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether starts and stops of the function have to wait. Example: `if guard.is_held("proof", now) { .. }`.
-    pub fn is_held(&self, function: &str, now: Micros) -> bool {
+    /// Whether starts and stops of the function have to wait. Example: `if guard.is_barred("proof", now) { .. }`.
+    pub fn is_barred(&self, function: &str, now: Micros) -> bool {
         !self.held_until.is_empty() && self.held_until.get(function).is_some_and(|until| now < *until)
     }
 
--- a/packages/leader_election/src/standing.rs
+++ b/packages/leader_election/src/holder_index.rs
@@ -8,11 +8,11 @@
 
 use crate::{ObserverCopy, lease_of};
 use monotonic_clock::Micros;
-use peer_messages::{NodeId, is_former_life};
+use peer_messages::{NodeId, is_previous_incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-pub(crate) struct Standing {
+pub(crate) struct HolderIndex {
     own: NodeId,
     /// Functions whose records are open as of the last look.
     open: BTreeSet<String>,
@@ -22,9 +22,9 @@
     earliest_end: Micros,
 }
 
-impl Standing {
-    pub(crate) fn new(own: NodeId) -> Standing {
-        Standing { own, open: BTreeSet::new(), held_by: BTreeMap::new(), earliest_end: Micros(u64::MAX) }
+impl HolderIndex {
+    pub(crate) fn new(own: NodeId) -> HolderIndex {
+        HolderIndex { own, open: BTreeSet::new(), held_by: BTreeMap::new(), earliest_end: Micros(u64::MAX) }
     }
 
     /// Functions open to a claim, as of the last look.
@@ -42,7 +42,7 @@
         if !self.open.remove(function)
             && let Some(holder) = before.and_then(|before| self.holder(before))
         {
-            self.let_go(holder);
+            self.release(holder);
         }
         self.note(function, copy);
     }
@@ -65,7 +65,7 @@
     }
 
     /// Finds the records whose leases ran out by now; costs nothing while none can have.
-    pub(crate) fn look(&mut self, copies: &BTreeMap<String, ObserverCopy>, now: Micros) {
+    pub(crate) fn refresh(&mut self, copies: &BTreeMap<String, ObserverCopy>, now: Micros) {
         if now < self.earliest_end {
             return;
         }
@@ -78,7 +78,7 @@
             let end = end_of(copy);
             if now >= end {
                 self.open.insert(function.clone());
-                self.let_go(holder);
+                self.release(holder);
             } else {
                 self.earliest_end = self.earliest_end.min(end);
             }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn let_go(&mut self, holder: NodeId) {
+    fn release(&mut self, holder: NodeId) {
         if let Some(count) = self.held_by.get_mut(&holder) {
             *count -= 1;
             if *count == 0 {
@@ -109,7 +109,7 @@
     /// The other machine's node that a record names.
     fn holder(&self, copy: &ObserverCopy) -> Option<NodeId> {
         let holder = copy.record.as_ref().map(|record| record.holder)?;
-        let is_own_machine = holder == self.own || is_former_life(self.own, holder);
+        let is_own_machine = holder == self.own || is_previous_incarnation(self.own, holder);
         (!is_own_machine).then_some(holder)
     }
 }
