--- a/packages/leader_election/src/lib.rs
+++ b/packages/leader_election/src/lib.rs
@@ -9,14 +9,14 @@
 //! the record and fences; and after several polls with nobody holding, the next by (own count,
 //! rendezvous weight) claims without the gate.
 
-mod act_guard;
-mod standing;
+mod action_guard;
+mod holder_index;
 mod successors;
 
-pub use act_guard::ActGuard;
+pub use action_guard::ActionGuard;
+use holder_index::HolderIndex;
 use monotonic_clock::Micros;
-use peer_messages::{LeaderRecord, NodeId, is_former_life, rendezvous_weight};
-use standing::Standing;
+use peer_messages::{LeaderRecord, NodeId, is_previous_incarnation, rendezvous_weight};
 use std::collections::{BTreeMap, BTreeSet};
 pub use successors::Successors;
 
@@ -60,24 +60,24 @@
     /// What to write.
     pub record: LeaderRecord,
     /// Claims and releases are hasty; renewals wait for company.
-    pub hasty: bool,
+    pub urgent: bool,
 }
 
 /// What became of a steward's term, for the decision stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TermChange {
-    /// This node is steward now; `past_gate` when the fallback was used. `given_epoch` is the epoch of the term that
+    /// This node is steward now; `past_gate` when the fallback was used. `transferred_epoch` is the epoch of the term that
     /// was given to this process, if it was; `is_kept` when nobody led before, or a process at this place.
     Taken {
         function: String,
-        steward_epoch: u64,
+        leader_epoch: u64,
         past_gate: bool,
         waited: Micros,
-        given_epoch: Option<u64>,
+        transferred_epoch: Option<u64>,
         is_kept: bool,
     },
     /// This node is steward no more.
-    Lost { function: String, steward_epoch: u64, why: &'static str },
+    Lost { function: String, leader_epoch: u64, why: &'static str },
 }
 
 #[derive(Clone, Debug)]
@@ -109,7 +109,7 @@
     sent_at: Micros,
     past_gate: bool,
     candidate_since: Micros,
-    given_epoch: Option<u64>,
+    transferred_epoch: Option<u64>,
     is_kept: bool,
 }
 
@@ -127,7 +127,7 @@
     open_lease: Option<Micros>,
     renewal_due: Micros,
     /// The term is being given to this node, zero for nobody; no act is done under it any more.
-    given_to: Option<NodeId>,
+    transferred_to: Option<NodeId>,
 }
 
 impl Term {
@@ -149,11 +149,11 @@
     settings: ElectionSettings,
     functions: BTreeSet<String>,
     /// Functions that are configured no more and whose cells this node has to stop, under a term as ever.
-    leftovers: BTreeSet<String>,
+    orphaned_functions: BTreeSet<String>,
     /// What machines can carry beside each other; one that is not named counts as [`USUAL_CAPACITY`].
     capacities: BTreeMap<NodeId, u32>,
     copies: BTreeMap<String, ObserverCopy>,
-    standing: Standing,
+    holder_index: HolderIndex,
     claims: BTreeMap<String, Claim>,
     claim_count: u64,
     terms: BTreeMap<String, Term>,
@@ -167,7 +167,7 @@
     changes: Vec<TermChange>,
     gate_refusals: u64,
     lost_races: u64,
-    passed_gate_over: u64,
+    gate_bypasses: u64,
 }
 
 /// A whole core, in thousandths.
@@ -179,12 +179,12 @@
 /// Where nobody calls a function its lease is so many times as long, and renewed so many times less often.
 const IDLE_TIMES: u64 = 2;
 /// An unanswered write is sent anew after this.
-const WRITE_PATIENCE: Micros = Micros::from_millis(1_200);
+const WRITE_TIMEOUT: Micros = Micros::from_millis(1_200);
 /// Between two looks for claims that nothing speaks for: going through all functions costs more than
 /// a small machine has at each clock event.
 const CLAIM_PAUSE: Micros = Micros::from_millis(80);
 /// Candidates behind a closed gate that are looked at in one go.
-const FALLBACK_LOOKS: usize = 64;
+const FALLBACK_CHECKS: usize = 64;
 
 impl Election {
     /// A follower of everything. Example: `Election::new(7, settings).own_count() == 0`.
@@ -193,10 +193,10 @@
             own,
             settings,
             functions: BTreeSet::new(),
-            leftovers: BTreeSet::new(),
+            orphaned_functions: BTreeSet::new(),
             capacities: BTreeMap::new(),
             copies: BTreeMap::new(),
-            standing: Standing::new(own),
+            holder_index: HolderIndex::new(own),
             claims: BTreeMap::new(),
             claim_count: 0,
             terms: BTreeMap::new(),
@@ -208,18 +208,19 @@
             changes: Vec::new(),
             gate_refusals: 0,
             lost_races: 0,
-            passed_gate_over: 0,
+            gate_bypasses: 0,
         }
     }
 
-    /// The functions of the current configuration. Example: `election.take_functions(names)`.
-    pub fn take_functions(&mut self, functions: BTreeSet<String>) {
+    /// The functions of the current configuration. Example: `election.set_functions(names)`.
+    pub fn set_functions(&mut self, functions: BTreeSet<String>) {
         self.functions = functions;
         self.is_claim_wanted = true;
         self.lead_again();
-        let (functions, leftovers) = (&self.functions, &self.leftovers);
-        self.copies.retain(|function, _| functions.contains(function) || leftovers.contains(function));
-        self.standing.rebuild(&self.copies);
+        let (functions, orphaned_functions) = (&self.functions, &self.orphaned_functions);
+        self.copies
+            .retain(|function, _| functions.contains(function) || orphaned_functions.contains(function));
+        self.holder_index.rebuild(&self.copies);
     }
 
     /// The functions that a change of the configuration brought and took out: costs what changed.
@@ -236,45 +237,45 @@
             self.copies.remove(function);
         }
         if !removed.is_empty() {
-            self.standing.rebuild(&self.copies);
+            self.holder_index.rebuild(&self.copies);
         }
     }
 
     /// The functions that are configured no more and whose cells this node has to stop. Their terms are claimed past
     /// the gate and given back to nobody once they are named no more. Their records are not polled: a claim that
     /// finds another version learns of the one that stands.
-    /// Example: `election.take_leftovers(["gone".to_owned()].into(), now)`.
-    pub fn take_leftovers(&mut self, mut leftovers: BTreeSet<String>, now: Micros) {
-        leftovers.retain(|function| !self.functions.contains(function));
-        if leftovers == self.leftovers {
+    /// Example: `election.set_orphaned_functions(["gone".to_owned()].into(), now)`.
+    pub fn set_orphaned_functions(&mut self, mut orphaned_functions: BTreeSet<String>, now: Micros) {
+        orphaned_functions.retain(|function| !self.functions.contains(function));
+        if orphaned_functions == self.orphaned_functions {
             return;
         }
-        let over: Vec<String> = self.leftovers.difference(&leftovers).cloned().collect();
+        let over: Vec<String> = self.orphaned_functions.difference(&orphaned_functions).cloned().collect();
         for function in &over {
             self.copies.remove(function);
         }
-        self.leftovers = leftovers;
-        for function in &self.leftovers {
+        self.orphaned_functions = orphaned_functions;
+        for function in &self.orphaned_functions {
             let (observed_at, idle_poll_at) = (now, now);
             let unknown = ObserverCopy { version: 0, record: None, observed_at, idle_polls: 0, idle_poll_at };
             self.copies.entry(function.clone()).or_insert(unknown);
         }
         self.is_claim_wanted = true;
-        self.standing.rebuild(&self.copies);
+        self.holder_index.rebuild(&self.copies);
     }
 
     /// Leftovers that are configured again get a leader as every function does.
     fn lead_again(&mut self) {
-        let again: Vec<String> = self.leftovers.intersection(&self.functions).cloned().collect();
+        let again: Vec<String> = self.orphaned_functions.intersection(&self.functions).cloned().collect();
         for function in again {
-            self.leftovers.remove(&function);
-            self.give_to(NOBODY, &function);
+            self.orphaned_functions.remove(&function);
+            self.transfer_to(NOBODY, &function);
         }
     }
 
     /// What the members can carry beside each other: the gate weighs a node's count by its machine.
-    /// Example: `election.take_capacities([(7, 260), (9, 62)].into())`.
-    pub fn take_capacities(&mut self, capacities: BTreeMap<NodeId, u32>) {
+    /// Example: `election.set_capacities([(7, 260), (9, 62)].into())`.
+    pub fn set_capacities(&mut self, capacities: BTreeMap<NodeId, u32>) {
         self.capacities = capacities;
     }
 
@@ -293,7 +294,7 @@
     /// Takes a polled record; an unchanged one leaves the observer copy's time alone.
     /// Example: `election.observe("proof", 4, Some(record), now)`.
     pub fn observe(&mut self, function: &str, version: u64, record: Option<LeaderRecord>, now: Micros) {
-        if !self.functions.contains(function) && !self.leftovers.contains(function) {
+        if !self.functions.contains(function) && !self.orphaned_functions.contains(function) {
             return;
         }
         let record = record.filter(|leader_record| leader_record.holder != 0);
@@ -306,7 +307,7 @@
                 self.is_claim_wanted |= is_free;
                 let copy =
                     ObserverCopy { version, record, observed_at: now, idle_polls: 0, idle_poll_at: now };
-                self.standing.changed(function, self.copies.get(function), &copy);
+                self.holder_index.changed(function, self.copies.get(function), &copy);
                 self.copies.insert(function.to_owned(), copy);
             }
         }
@@ -321,7 +322,7 @@
             copy.version = version;
             copy.observed_at = now;
             copy.idle_polls = 0;
-            self.standing.renewed(function, copy);
+            self.holder_index.renewed(function, copy);
         }
     }
 
@@ -329,8 +330,8 @@
     /// their times. Only polls of records without a holder are counted, so only those are gone through.
     /// Example: `election.confirmed(|function| polled.contains(function), now)`.
     pub fn confirmed(&mut self, is_polled: impl Fn(&str) -> bool, now: Micros) {
-        self.standing.look(&self.copies, now);
-        for function in self.standing.open() {
+        self.holder_index.refresh(&self.copies, now);
+        for function in self.holder_index.open() {
             if let Some(copy) = self.copies.get_mut(function).filter(|_| is_polled(function)) {
                 copy.stays(self.settings.poll, now);
             }
@@ -350,31 +351,31 @@
     /// by a node that is no serving member any more and may just have given it back. `members` are in
     /// order of id. Example: `if election.is_unsettled(&members, now) { poll_event.hasten() }`.
     pub fn is_unsettled(&mut self, members: &[NodeId], now: Micros) -> bool {
-        self.standing.look(&self.copies, now);
-        let is_unpolled = self.copies.len() < self.functions.len() + self.leftovers.len();
+        self.holder_index.refresh(&self.copies, now);
+        let is_unpolled = self.copies.len() < self.functions.len() + self.orphaned_functions.len();
         let is_open = |function: &String| {
             self.term(function, now).is_none()
                 && !self.claims.contains_key(function)
-                && !self.leftovers.contains(function)
+                && !self.orphaned_functions.contains(function)
         };
         is_unpolled
-            || self.standing.open().iter().any(is_open)
-            || self.standing.holders().any(|holder| members.binary_search(&holder).is_err())
+            || self.holder_index.open().iter().any(is_open)
+            || self.holder_index.holders().any(|holder| members.binary_search(&holder).is_err())
     }
 
     /// Who holds the function by this node's observation, with the steward epoch.
     /// Example: `election.holder("proof", now) == Some((7, 12))`.
     pub fn holder(&self, function: &str, now: Micros) -> Option<(NodeId, u64)> {
-        if let Some(steward_epoch) = self.term(function, now) {
-            return Some((self.own, steward_epoch));
+        if let Some(leader_epoch) = self.term(function, now) {
+            return Some((self.own, leader_epoch));
         }
         let copy = self.copies.get(function)?;
         let record = copy.record.as_ref()?;
         let is_over = now >= copy.observed_at + lease_of(record);
-        if record.holder == self.own || is_over || is_former_life(self.own, record.holder) {
+        if record.holder == self.own || is_over || is_previous_incarnation(self.own, record.holder) {
             return None;
         }
-        Some((record.holder, record.steward_epoch))
+        Some((record.holder, record.leader_epoch))
     }
 
     /// The epoch under which this node may act as steward now. The term ends one lease after the
@@ -382,8 +383,8 @@
     /// Example: `let Some(epoch) = election.term("proof", now) else { return };`.
     pub fn term(&self, function: &str, now: Micros) -> Option<u64> {
         let term = self.terms.get(function)?;
-        let stands = term.given_to.is_none() && now < term.ends_at();
-        stands.then_some(term.record.steward_epoch)
+        let stands = term.transferred_to.is_none() && now < term.ends_at();
+        stands.then_some(term.record.leader_epoch)
     }
 
     /// Functions this node is steward of now. Example: `election.held(now).len()`.
@@ -397,8 +398,8 @@
     }
 
     /// Leaders counted by holder, folded from the records: the paper's tally.
-    /// Example: `election.tally(&members, now)[&7]`.
-    pub fn tally(&self, members: &[NodeId], now: Micros) -> BTreeMap<NodeId, usize> {
+    /// Example: `election.leader_counts(&members, now)[&7]`.
+    pub fn leader_counts(&self, members: &[NodeId], now: Micros) -> BTreeMap<NodeId, usize> {
         let mut counts: BTreeMap<NodeId, usize> = members.iter().map(|node| (*node, 0)).collect();
         for (function, copy) in &self.copies {
             if self.terms.contains_key(function) || self.claims.contains_key(function) {
@@ -420,13 +421,13 @@
     /// Counts for measuring: gate refusals, lost races, gates passed over.
     /// Example: `let (refused, lost, passed) = election.counts();`.
     pub fn counts(&self) -> (u64, u64, u64) {
-        (self.gate_refusals, self.lost_races, self.passed_gate_over)
+        (self.gate_refusals, self.lost_races, self.gate_bypasses)
     }
 
     /// Whether a record names this process, or one that ran at its place before.
     fn is_named(&self, copy: &ObserverCopy) -> bool {
         let holder = copy.record.as_ref().map(|record| record.holder);
-        holder.is_some_and(|holder| holder == self.own || is_former_life(self.own, holder))
+        holder.is_some_and(|holder| holder == self.own || is_previous_incarnation(self.own, holder))
     }
 
     /// Stops claiming and gives every term that is not given to a node already back to nobody; the writes come
@@ -435,23 +436,23 @@
         self.draining = true;
         let held: Vec<String> = self.terms.keys().cloned().collect();
         for function in held {
-            self.give_to(NOBODY, &function);
+            self.transfer_to(NOBODY, &function);
         }
     }
 
     /// Gives one term to another node, which claims it as soon as it sees itself named; if it never
     /// does, the lease runs out for everybody as ever. Nothing is done under the term from now on;
     /// the write comes with a tick, after a renewal that is still open was answered.
-    /// Example: `election.give_to(9, "proof")`.
-    pub fn give_to(&mut self, node: NodeId, function: &str) {
+    /// Example: `election.transfer_to(9, "proof")`.
+    pub fn transfer_to(&mut self, node: NodeId, function: &str) {
         let Some(term) = self.terms.get_mut(function) else { return };
-        if term.given_to.is_some() {
+        if term.transferred_to.is_some() {
             return;
         }
-        term.given_to = Some(node);
+        term.transferred_to = Some(node);
         self.changes.push(TermChange::Lost {
             function: function.to_owned(),
-            steward_epoch: term.record.steward_epoch,
+            leader_epoch: term.record.leader_epoch,
             why: "released",
         });
     }
@@ -482,27 +483,27 @@
     }
 
     fn end_terms(&mut self, now: Micros) {
-        let (functions, leftovers) = (&self.functions, &self.leftovers);
+        let (functions, orphaned_functions) = (&self.functions, &self.orphaned_functions);
         let changes = &mut self.changes;
         self.terms.retain(|function, term| {
             let is_over = now >= term.ends_at();
-            let is_led = functions.contains(function) || leftovers.contains(function);
-            let is_unknown = !is_led && term.given_to.is_none();
+            let is_led = functions.contains(function) || orphaned_functions.contains(function);
+            let is_unknown = !is_led && term.transferred_to.is_none();
             // It is given back: if the function comes again soon, nobody has to wait out the lease.
             if is_unknown {
-                term.given_to = Some(NOBODY);
+                term.transferred_to = Some(NOBODY);
             }
-            if is_over && !is_unknown && term.given_to.is_none() {
+            if is_over && !is_unknown && term.transferred_to.is_none() {
                 changes.push(TermChange::Lost {
                     function: function.clone(),
-                    steward_epoch: term.record.steward_epoch,
+                    leader_epoch: term.record.leader_epoch,
                     why: "lease ran out",
                 });
             }
             if is_unknown {
                 changes.push(TermChange::Lost {
                     function: function.clone(),
-                    steward_epoch: term.record.steward_epoch,
+                    leader_epoch: term.record.leader_epoch,
                     why: "function no longer configured",
                 });
             }
@@ -511,7 +512,7 @@
         let called = &mut self.called;
         let is_claim_wanted = &mut self.is_claim_wanted;
         self.claims.retain(|function, claim| {
-            let is_open = now < claim.sent_at + WRITE_PATIENCE;
+            let is_open = now < claim.sent_at + WRITE_TIMEOUT;
             if !is_open {
                 called.remove(function);
                 *is_claim_wanted = true;
@@ -520,22 +521,22 @@
         });
     }
 
-    /// Tells which of the held functions nobody calls now. Example: `election.take_idle(idle_functions)`.
-    pub fn take_idle(&mut self, idle: BTreeSet<String>) {
+    /// Tells which of the held functions nobody calls now. Example: `election.set_idle_functions(idle_functions)`.
+    pub fn set_idle_functions(&mut self, idle: BTreeSet<String>) {
         self.idle = idle;
     }
 
     fn renew(&mut self, now: Micros, writes: &mut Vec<RecordWrite>) {
         for (function, term) in &mut self.terms {
-            let is_waiting = term.renewal_sent_at.is_some_and(|sent_at| now < sent_at + WRITE_PATIENCE);
-            if is_waiting || (term.given_to.is_none() && now < term.renewal_due) {
+            let is_waiting = term.renewal_sent_at.is_some_and(|sent_at| now < sent_at + WRITE_TIMEOUT);
+            if is_waiting || (term.transferred_to.is_none() && now < term.renewal_due) {
                 continue;
             }
             term.renewal_sent_at = Some(now);
             term.first_sent_at.get_or_insert(now);
-            let is_idle = term.given_to.is_none() && self.idle.contains(function);
+            let is_idle = term.transferred_to.is_none() && self.idle.contains(function);
             let times = if is_idle { IDLE_TIMES } else { 1 };
-            let lease = match term.given_to {
+            let lease = match term.transferred_to {
                 // What is given away is nobody's until the other claims it, and nobody acts under this
                 // record: where the other cannot, the next may soon.
                 Some(_) => self.settings.renewal,
@@ -544,7 +545,7 @@
             term.renewal_due = now + Micros(self.settings.renewal.0 * times);
             term.open_lease = Some(term.open_lease.map_or(lease, |shortest| shortest.min(lease)));
             let record = LeaderRecord {
-                holder: term.given_to.unwrap_or(self.own),
+                holder: term.transferred_to.unwrap_or(self.own),
                 renew_count: term.record.renew_count + 1,
                 lease_micros: lease.0,
                 ..term.record.clone()
@@ -553,7 +554,7 @@
                 function: function.clone(),
                 expected: term.version,
                 record,
-                hasty: term.given_to.is_some(),
+                urgent: term.transferred_to.is_some(),
             });
         }
     }
@@ -566,25 +567,25 @@
         // begin at different functions.
         // Leftovers last.
         let mut candidates: Vec<(bool, bool, u64, String)> = Vec::new();
-        self.standing.look(&self.copies, now);
-        for function in self.standing.open() {
+        self.holder_index.refresh(&self.copies, now);
+        for function in self.holder_index.open() {
             if self.terms.contains_key(function) || self.claims.contains_key(function) {
                 continue;
             }
             let is_called = self.called.contains(function);
-            let is_leftover = self.leftovers.contains(function);
+            let is_orphaned = self.orphaned_functions.contains(function);
             let weight = u64::MAX - rendezvous_weight(function, self.own);
-            candidates.push((is_leftover, !is_called, weight, function.clone()));
+            candidates.push((is_orphaned, !is_called, weight, function.clone()));
         }
         if candidates.is_empty() {
             self.called.clear();
             return;
         }
         candidates.sort();
-        let mut counts = self.tally(members, now);
+        let mut counts = self.leader_counts(members, now);
         let mut cluster_count: usize = counts.values().sum();
-        let mut looks = 0;
-        for (is_leftover, _, _, function) in candidates {
+        let mut checks = 0;
+        for (is_orphaned, _, _, function) in candidates {
             // What this machine held before its process ended it takes back past the gate: nothing in
             // the balance changes, and nobody else may claim it yet. So it does with what another gave it:
             // nobody leads the function until it does.
@@ -595,11 +596,11 @@
             }
             let own_count = counts.get(&self.own).copied().unwrap_or(0);
             let passes_gate = is_own_before
-                || is_leftover
+                || is_orphaned
                 || !self.settings.gate
                 || own_count as f64 <= self.fair_share(self.own, members, cluster_count);
-            looks += usize::from(!passes_gate);
-            if looks > FALLBACK_LOOKS {
+            checks += usize::from(!passes_gate);
+            if checks > FALLBACK_CHECKS {
                 return;
             }
             let is_fallback = !passes_gate && self.is_next_without_gate(&function, members, &counts);
@@ -615,22 +616,28 @@
                 holder: self.own,
                 renew_count: self.claim_count << 32,
                 lease_micros: self.settings.lease.0,
-                steward_epoch: copy.version + 1,
+                leader_epoch: copy.version + 1,
             };
             writes.push(RecordWrite {
                 function: function.clone(),
                 expected: copy.version,
                 record: record.clone(),
-                hasty: true,
+                urgent: true,
             });
             let candidate_since =
                 copy.record.as_ref().map_or(copy.observed_at, |held| copy.observed_at + lease_of(held));
-            let given = copy.record.as_ref().filter(|standing| standing.holder == self.own);
-            let given_epoch = given.map(|standing| standing.steward_epoch);
-            let is_kept = copy.version == 0 || (is_own_before && given_epoch.is_none());
-            self.passed_gate_over += u64::from(is_fallback);
-            let claim =
-                Claim { record, sent_at: now, past_gate: is_fallback, candidate_since, given_epoch, is_kept };
+            let transferred = copy.record.as_ref().filter(|standing| standing.holder == self.own);
+            let transferred_epoch = transferred.map(|standing| standing.leader_epoch);
+            let is_kept = copy.version == 0 || (is_own_before && transferred_epoch.is_none());
+            self.gate_bypasses += u64::from(is_fallback);
+            let claim = Claim {
+                record,
+                sent_at: now,
+                past_gate: is_fallback,
+                candidate_since,
+                transferred_epoch,
+                is_kept,
+            };
             self.claims.insert(function, claim);
             cluster_count += 1;
             *counts.entry(self.own).or_default() += 1;
@@ -646,7 +653,7 @@
         counts: &BTreeMap<NodeId, usize>,
     ) -> bool {
         let Some(copy) = self.copies.get(function) else { return false };
-        let Some(patience) = copy.idle_polls.checked_sub(self.settings.polls_before_fallback) else {
+        let Some(timeout) = copy.idle_polls.checked_sub(self.settings.polls_before_fallback) else {
             return false;
         };
         let rank = |node: NodeId| {
@@ -656,13 +663,13 @@
             (filled, u64::MAX - rendezvous_weight(function, node), node)
         };
         let own_rank = rank(self.own);
-        members.iter().filter(|node| rank(**node) < own_rank).count() <= patience as usize
+        members.iter().filter(|node| rank(**node) < own_rank).count() <= timeout as usize
     }
 
     /// The write stands at `version`. Example: `election.written("proof", 4, &record, now)`.
     pub fn written(&mut self, function: &str, version: u64, record: &LeaderRecord, now: Micros) {
         if let Some(term) = self.terms.get_mut(function)
-            && (record.steward_epoch == term.record.steward_epoch)
+            && (record.leader_epoch == term.record.leader_epoch)
         {
             if record.holder != self.own {
                 self.terms.remove(function);
@@ -696,15 +703,15 @@
             first_sent_at: None,
             open_lease: None,
             renewal_due: claim.sent_at + self.settings.renewal,
-            given_to: None,
+            transferred_to: None,
         };
         self.terms.insert(function.to_owned(), term);
         self.changes.push(TermChange::Taken {
             function: function.to_owned(),
-            steward_epoch: record.steward_epoch,
+            leader_epoch: record.leader_epoch,
             past_gate: claim.past_gate,
             waited: now - claim.candidate_since,
-            given_epoch: claim.given_epoch,
+            transferred_epoch: claim.transferred_epoch,
             is_kept: claim.is_kept,
         });
     }
@@ -725,11 +732,11 @@
             self.called.remove(function);
         }
         if let Some(term) = self.terms.remove(function)
-            && term.given_to.is_none()
+            && term.transferred_to.is_none()
         {
             self.changes.push(TermChange::Lost {
                 function: function.to_owned(),
-                steward_epoch: term.record.steward_epoch,
+                leader_epoch: term.record.leader_epoch,
                 why: "another record stands",
             });
         }
@@ -741,9 +748,9 @@
             return claim.record == *standing;
         }
         self.terms.get(function).is_some_and(|term| {
-            standing.steward_epoch == term.record.steward_epoch
+            standing.leader_epoch == term.record.leader_epoch
                 && standing.renew_count == term.record.renew_count + 1
-                && (standing.holder == self.own || Some(standing.holder) == term.given_to)
+                && (standing.holder == self.own || Some(standing.holder) == term.transferred_to)
         })
     }
 
--- a/packages/leader_election/src/successors.rs
+++ b/packages/leader_election/src/successors.rs
@@ -32,10 +32,10 @@
     /// The members that may be named: those that lead something already, which shows that they have caught
     /// up; all of them, where none does.
     pub fn new(election: &Election, members: &[NodeId], now: Micros) -> Successors {
-        let tally = election.tally(members, now);
-        let cluster_count: usize = tally.values().sum();
+        let leader_counts = election.leader_counts(members, now);
+        let cluster_count: usize = leader_counts.values().sum();
         let others = members.iter().filter(|node| **node != election.own);
-        let count_of = |node: &NodeId| tally.get(node).copied().unwrap_or(0);
+        let count_of = |node: &NodeId| leader_counts.get(node).copied().unwrap_or(0);
         let leading: Vec<NodeId> = others.clone().filter(|node| count_of(node) > 0).copied().collect();
         let named = if leading.is_empty() { others.copied().collect() } else { leading };
         let candidates = named.iter().map(|node| Candidate {
@@ -61,9 +61,9 @@
 impl Candidate {
     /// Weighted rendezvous: the least is named.
     fn place(&self, function: &str) -> f64 {
-        let drawn = (rendezvous_weight(function, self.node) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+        let random = (rendezvous_weight(function, self.node) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         let weight = self.room.max(f64::from(self.capacity) * FULL_ROOM);
-        -drawn.ln() / weight
+        -random.ln() / weight
     }
 }
 
--- a/packages/leader_election/src/successors/tests.rs
+++ b/packages/leader_election/src/successors/tests.rs
@@ -16,9 +16,9 @@
             (format!("f{number}"), holder)
         })
         .collect();
-    election.take_functions(records.iter().map(|(function, _)| function.clone()).collect());
+    election.set_functions(records.iter().map(|(function, _)| function.clone()).collect());
     for (function, holder) in records {
-        let record = LeaderRecord { holder, renew_count: 1, lease_micros: 3_000_000, steward_epoch: 1 };
+        let record = LeaderRecord { holder, renew_count: 1, lease_micros: 3_000_000, leader_epoch: 1 };
         election.observe(&function, 1, Some(record), Micros(0));
     }
     election
@@ -62,7 +62,7 @@
 #[test]
 fn a_function_that_wants_a_large_machine_gets_the_largest_there_is() {
     let mut election = election_with(&[(OWN, 4), (2, 1), (3, 4)]);
-    election.take_capacities([(OWN, 260), (2, 62), (3, 260)].into());
+    election.set_capacities([(OWN, 260), (2, 62), (3, 260)].into());
     let mut successors = Successors::new(&election, &[OWN, 2, 3], Micros(1));
     assert_eq!(successors.name("busy", 200), Some(3));
     assert_eq!(successors.name("busier", 2_000), Some(3));
--- a/packages/leader_election/src/tests.rs
+++ b/packages/leader_election/src/tests.rs
@@ -14,7 +14,7 @@
         let registers = functions.iter().map(|name| (name.clone(), (0, None))).collect();
         let mut nodes: Vec<Election> =
             (1..=node_count).map(|node| Election::new(node, settings.clone())).collect();
-        nodes.iter_mut().for_each(|node| node.take_functions(functions.clone()));
+        nodes.iter_mut().for_each(|node| node.set_functions(functions.clone()));
         Bench { nodes, registers, functions }
     }
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn stewards_spread_evenly_and_a_dead_nodes_functions_go_to_the_least_loaded() {
+fn leaders_spread_evenly_and_a_dead_nodes_functions_go_to_the_least_loaded() {
     let mut bench = Bench::new(10, 158, ElectionSettings::default());
     bench.run(0, 10_000, &[]);
     let spread = bench.spread(Micros::from_millis(9_950));
@@ -81,21 +81,21 @@
     let mut bench = Bench::new(3, 1, ElectionSettings::default());
     bench.run(0, 1_000, &[]);
     let now = Micros::from_secs(1);
-    let giver = bench.nodes.iter().position(|node| node.own_count() == 1).expect("a steward");
-    let taker = (giver + 1) % 3;
-    let old_epoch = bench.nodes[giver].term("function-0", now).expect("a term");
+    let previous_leader = bench.nodes.iter().position(|node| node.own_count() == 1).expect("a steward");
+    let taker = (previous_leader + 1) % 3;
+    let old_epoch = bench.nodes[previous_leader].term("function-0", now).expect("a term");
     let taker_node = bench.nodes[taker].own;
-    bench.nodes[giver].give_to(taker_node, "function-0");
-    assert!(bench.nodes[giver].term("function-0", now).is_none(), "fenced before the write leaves");
+    bench.nodes[previous_leader].transfer_to(taker_node, "function-0");
+    assert!(bench.nodes[previous_leader].term("function-0", now).is_none(), "fenced before the write leaves");
     bench.run(1_000, 2_500, &[]);
     let new_epoch = bench.nodes[taker].term("function-0", Micros::from_millis(2_450)).expect("taken");
     assert!(new_epoch > old_epoch);
 }
 
 #[test]
-fn a_renewal_whose_answer_was_lost_counts_from_its_first_sending() {
+fn a_renewal_whose_response_was_lost_counts_from_its_first_sending() {
     let mut node = Election::new(1, ElectionSettings::default());
-    node.take_functions(["f".to_owned()].into());
+    node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).remove(0);
     node.written("f", 1, &claim.record, Micros(0));
@@ -112,7 +112,7 @@
 #[test]
 fn a_term_given_while_a_renewal_is_open_is_given_after_it() {
     let mut node = Election::new(1, ElectionSettings::default());
-    node.take_functions(["f".to_owned()].into());
+    node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).remove(0);
     node.written("f", 1, &claim.record, Micros(0));
@@ -155,10 +155,10 @@
 fn a_process_takes_back_at_once_what_its_machine_held_before() {
     let address = peer_messages::Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], 7)));
     let (before, own) = (peer_messages::node_id(address, 1), peer_messages::node_id(address, 2));
-    let record = |holder| LeaderRecord { holder, renew_count: 3, lease_micros: 3_000_000, steward_epoch: 4 };
+    let record = |holder| LeaderRecord { holder, renew_count: 3, lease_micros: 3_000_000, leader_epoch: 4 };
     let claims = |holder: NodeId| {
         let mut election = Election::new(own, ElectionSettings::default());
-        election.take_functions(BTreeSet::from(["proof".to_owned()]));
+        election.set_functions(BTreeSet::from(["proof".to_owned()]));
         election.observe("proof", 9, Some(record(holder)), Micros(0));
         let writes = election.tick(&[own, 5], Micros::from_millis(20));
         (election.holder("proof", Micros::from_millis(20)), writes.len())
@@ -168,7 +168,7 @@
     // All of them at once, though the gate lets one more through at a time.
     let names: BTreeSet<String> = (0..20).map(|number| format!("function-{number}")).collect();
     let mut election = Election::new(own, ElectionSettings::default());
-    election.take_functions(names.clone());
+    election.set_functions(names.clone());
     for name in &names {
         election.observe(name, 9, Some(record(before)), Micros(0));
     }
@@ -178,8 +178,8 @@
 #[test]
 fn an_unchanged_record_keeps_its_time_and_a_renewed_one_gets_a_new_one() {
     let mut node = Election::new(1, ElectionSettings::default());
-    node.take_functions(["f".to_owned()].into());
-    let record = LeaderRecord { holder: 2, renew_count: 1, lease_micros: 3_000_000, steward_epoch: 4 };
+    node.set_functions(["f".to_owned()].into());
+    let record = LeaderRecord { holder: 2, renew_count: 1, lease_micros: 3_000_000, leader_epoch: 4 };
     node.observe("f", 5, Some(record), Micros(0));
     node.confirmed(|function| function == "f", Micros::from_secs(2));
     assert!(node.holder("f", Micros::from_millis(2_999)).is_some());
@@ -198,7 +198,7 @@
     // Node 1 holds its share; node 2 is a member that never claims, and 300 functions wait.
     let mut node = Election::new(1, ElectionSettings::default());
     let functions: BTreeSet<String> = (0..600).map(|number| format!("function-{number}")).collect();
-    node.take_functions(functions.clone());
+    node.set_functions(functions.clone());
     let mut versions: BTreeMap<String, (u64, Option<LeaderRecord>)> =
         functions.iter().map(|function| (function.clone(), (0, None))).collect();
     for millisecond in (0..40_000u64).step_by(20) {
@@ -222,7 +222,7 @@
     let members = [1, 2, 3];
     let mut election = Election::new(1, ElectionSettings::default());
     assert_eq!(election.fair_share(1, &members, 29), 30.0 / 3.0);
-    election.take_capacities([(1, 260), (2, 65), (3, 65)].into());
+    election.set_capacities([(1, 260), (2, 65), (3, 65)].into());
     assert_eq!(election.fair_share(1, &members, 29), 20.0);
     assert_eq!(election.fair_share(2, &members, 29), 5.0);
 }
@@ -230,11 +230,11 @@
 /// One node that holds one function, whose lease is the longer one of functions that nobody calls.
 fn idle_holder() -> (Election, u64) {
     let mut node = Election::new(1, ElectionSettings::default());
-    node.take_functions(BTreeSet::from(["proof".to_owned()]));
+    node.set_functions(BTreeSet::from(["proof".to_owned()]));
     node.observe("proof", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).pop().expect("a claim");
     node.written("proof", 1, &claim.record, Micros(0));
-    node.take_idle(BTreeSet::from(["proof".to_owned()]));
+    node.set_idle_functions(BTreeSet::from(["proof".to_owned()]));
     let renewal = node.tick(&[1], Micros::from_secs(1)).pop().expect("a renewal");
     assert_eq!(renewal.record.lease_micros, 6_000_000);
     node.written("proof", 2, &renewal.record, Micros::from_secs(1));
@@ -255,12 +255,12 @@
 #[test]
 fn a_shorter_lease_that_may_stand_unanswered_ends_the_term_as_soon_as_any_follower_may_claim() {
     let (mut node, _) = idle_holder();
-    node.take_idle(BTreeSet::new());
+    node.set_idle_functions(BTreeSet::new());
     let renewal = node.tick(&[1], Micros::from_secs(3)).pop().expect("a renewal");
     assert_eq!(renewal.record.lease_micros, 3_000_000);
     // It was stored, and its answer is lost: a follower that sees it at once waits for three seconds.
     let mut follower = Election::new(2, ElectionSettings::default());
-    follower.take_functions(BTreeSet::from(["proof".to_owned()]));
+    follower.set_functions(BTreeSet::from(["proof".to_owned()]));
     follower.observe("proof", 3, Some(renewal.record), Micros::from_secs(3));
     let may_claim_at = Micros::from_secs(6);
     assert!(follower.tick(&[1, 2], may_claim_at - Micros(1)).is_empty());
@@ -272,10 +272,10 @@
 #[test]
 fn a_function_that_is_configured_no_more_is_given_back_and_one_that_comes_again_is_claimed_at_once() {
     let (mut node, _) = idle_holder();
-    node.take_functions(BTreeSet::new());
+    node.set_functions(BTreeSet::new());
     assert!(node.term("proof", Micros::from_secs(2)).is_some(), "its end is found at the next clock event");
     let release = node.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a release");
-    assert_eq!((release.record.holder, release.hasty), (NOBODY, true));
+    assert_eq!((release.record.holder, release.urgent), (NOBODY, true));
     assert!(node.term("proof", Micros::from_secs(2)).is_none());
     let lost = node.take_changes();
     assert!(
@@ -285,21 +285,21 @@
     node.written("proof", 3, &release.record, Micros::from_secs(2));
     assert!(node.is_empty());
     let mut follower = Election::new(2, ElectionSettings::default());
-    follower.take_functions(BTreeSet::from(["proof".to_owned()]));
+    follower.set_functions(BTreeSet::from(["proof".to_owned()]));
     follower.observe("proof", 3, Some(release.record), Micros::from_secs(9));
     assert_eq!(follower.tick(&[1, 2], Micros::from_secs(9)).len(), 1);
 }
 
 #[test]
 fn what_another_gave_is_claimed_at_once_past_the_gate_under_the_short_lease() {
-    let (mut giver, _) = idle_holder();
-    giver.give_to(2, "proof");
-    let given = giver.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
-    assert_eq!((given.record.holder, given.record.lease_micros), (2, 1_000_000));
+    let (mut previous_leader, _) = idle_holder();
+    previous_leader.transfer_to(2, "proof");
+    let transferred = previous_leader.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
+    assert_eq!((transferred.record.holder, transferred.record.lease_micros), (2, 1_000_000));
     // Node 2 leads more than its share already, by the gate alone it would not claim.
     let functions: BTreeSet<String> = (0..9).map(|n| format!("f{n}")).chain(["proof".to_owned()]).collect();
     let mut taker = Election::new(2, ElectionSettings::default());
-    taker.take_functions(functions);
+    taker.set_functions(functions);
     for number in 0..9 {
         taker.observe(&format!("f{number}"), 0, None, Micros(0));
     }
@@ -309,19 +309,19 @@
         }
     }
     assert!(taker.own_count() >= 8, "{}", taker.own_count());
-    taker.observe("proof", 3, Some(given.record), Micros::from_secs(2));
+    taker.observe("proof", 3, Some(transferred.record), Micros::from_secs(2));
     let writes = taker.tick(&[1, 2], Micros::from_secs(2));
     assert!(writes.iter().any(|write| write.function == "proof" && write.record.holder == 2), "{writes:?}");
 }
 
 #[test]
 fn what_was_given_to_a_node_that_cannot_claim_it_is_open_to_others_a_second_later() {
-    let (mut giver, _) = idle_holder();
-    giver.give_to(2, "proof");
-    let given = giver.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
+    let (mut previous_leader, _) = idle_holder();
+    previous_leader.transfer_to(2, "proof");
+    let transferred = previous_leader.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
     let mut other = Election::new(3, ElectionSettings::default());
-    other.take_functions(["proof".to_owned()].into());
-    other.observe("proof", 3, Some(given.record), Micros::from_secs(2));
+    other.set_functions(["proof".to_owned()].into());
+    other.observe("proof", 3, Some(transferred.record), Micros::from_secs(2));
     assert!(other.tick(&[1, 2, 3], Micros::from_millis(2_990)).is_empty());
     let claims = other.tick(&[1, 2, 3], Micros::from_millis(3_100));
     assert!(claims.iter().any(|write| write.record.holder == 3), "{claims:?}");
@@ -329,22 +329,22 @@
 
 /// Guards against: cells of a function that was taken out are stopped under no epoch of that function.
 #[test]
-fn a_leftover_is_led_under_a_higher_epoch_and_given_back_when_it_is_over() {
+fn an_orphaned_function_is_led_under_a_higher_epoch_and_given_back_when_it_is_over() {
     let mut bench = Bench::new(3, 4, ElectionSettings::default());
     bench.run(0, 5_000, &[]);
     let (name, now) = ("function-0".to_owned(), Micros::from_millis(5_000));
-    let epoch_before = bench.registers[&name].1.as_ref().expect("a leader").steward_epoch;
+    let epoch_before = bench.registers[&name].1.as_ref().expect("a leader").leader_epoch;
     let rest: BTreeSet<String> = bench.functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.take_functions(rest.clone()));
+    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
     // The leader that was writes its record back to nobody.
     bench.run(5_000, 6_000, &[]);
     assert!(bench.nodes.iter().all(|node| node.term(&name, Micros::from_millis(5_950)).is_none()));
-    bench.nodes[1].take_leftovers([name.clone()].into(), now);
+    bench.nodes[1].set_orphaned_functions([name.clone()].into(), now);
     bench.run(6_000, 10_000, &[]);
     let now = Micros::from_millis(9_950);
     let epoch = bench.nodes[1].term(&name, now).expect("leads it");
     assert!(epoch > epoch_before, "{epoch} after {epoch_before}");
-    bench.nodes[1].take_leftovers(BTreeSet::new(), now);
+    bench.nodes[1].set_orphaned_functions(BTreeSet::new(), now);
     bench.run(10_000, 11_000, &[]);
     assert!(bench.nodes[1].term(&name, Micros::from_millis(10_950)).is_none());
     assert!(bench.registers[&name].1.as_ref().is_some_and(|record| record.holder == NOBODY));
@@ -352,16 +352,16 @@
 
 /// Guards against: a leftover that is configured again stays with a node that has no work for it.
 #[test]
-fn a_leftover_that_is_configured_again_is_given_back_and_elected_anew() {
+fn an_orphaned_function_that_is_configured_again_is_given_back_and_elected_anew() {
     let mut bench = Bench::new(3, 4, ElectionSettings::default());
     let (name, functions) = ("function-0".to_owned(), bench.functions.clone());
     let rest: BTreeSet<String> = functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.take_functions(rest.clone()));
+    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
     bench.run(0, 3_000, &[]);
-    bench.nodes[1].take_leftovers([name.clone()].into(), Micros::from_millis(3_000));
+    bench.nodes[1].set_orphaned_functions([name.clone()].into(), Micros::from_millis(3_000));
     bench.run(3_000, 5_000, &[]);
     let epoch = bench.nodes[1].term(&name, Micros::from_millis(4_950)).expect("leads it");
-    bench.nodes.iter_mut().for_each(|node| node.take_functions(functions.clone()));
+    bench.nodes.iter_mut().for_each(|node| node.set_functions(functions.clone()));
     assert!(bench.nodes[1].term(&name, Micros::from_millis(5_000)).is_none());
     bench.run(5_000, 9_000, &[]);
     let now = Micros::from_millis(8_950);
@@ -371,13 +371,13 @@
 
 /// Guards against: two nodes that both take a leftover for theirs both lead it.
 #[test]
-fn two_that_want_one_leftover_never_both_lead_it() {
+fn two_that_want_one_orphaned_function_never_both_lead_it() {
     let mut bench = Bench::new(3, 4, ElectionSettings::default());
     let name = "function-0".to_owned();
     let rest: BTreeSet<String> = bench.functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.take_functions(rest.clone()));
+    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
     for place in [0, 2] {
-        bench.nodes[place].take_leftovers([name.clone()].into(), Micros(0));
+        bench.nodes[place].set_orphaned_functions([name.clone()].into(), Micros(0));
     }
     // The bench itself sees to it that one acts at a time.
     bench.run(0, 12_000, &[]);
--- a/packages/local_fleet/src/deployments.rs
+++ b/packages/local_fleet/src/deployments.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use test_doubles::{FunctionStandIn, Misbehaviour, PlatformSettings, Target};
+use test_doubles::{FakeFunction, Misbehaviour, PlatformSettings, Target};
 
 pub const BUSY: usize = 8;
 pub const RARE: usize = 150;
@@ -73,7 +73,7 @@
     /// The configuration document that an operator would send.
     pub fn document(&self) -> Value {
         let mut functions = Map::new();
-        let mut lanes = Map::new();
+        let mut routes = Map::new();
         for (number, name) in self.functions().into_iter().enumerate() {
             let is_busy = number < BUSY;
             let function = match is_busy {
@@ -92,7 +92,7 @@
                     "idle_seconds": 15,
                 }),
             };
-            let lane = json!({
+            let route = json!({
                 "function": name,
                 "path_prefix": format!("/{name}"),
                 "methods": ["POST"],
@@ -100,7 +100,7 @@
                 "patience_millis": 4_000,
             });
             functions.insert(name.clone(), function);
-            lanes.insert(name, lane);
+            routes.insert(name, route);
         }
         json!({
             "allowances": {
@@ -109,7 +109,7 @@
                 "rare": { "parent": "all", "weight": 1, "memory_floor_mb": 8_000 },
             },
             "functions": functions,
-            "lanes": lanes,
+            "lanes": routes,
         })
     }
 
@@ -118,7 +118,7 @@
         let mut functions = BTreeMap::new();
         for (number, name) in self.functions().into_iter().enumerate() {
             let is_busy = number < BUSY;
-            let behaviour = FunctionStandIn {
+            let behaviour = FakeFunction {
                 boot_millis: if is_busy { 1_400 } else { 900 },
                 calls_at_once: if is_busy { self.busy_calls_at_once } else { 2 },
                 work_millis: if is_busy { self.busy_work_millis } else { 40 },
@@ -129,10 +129,10 @@
         PlatformSettings {
             workers: 12,
             worker_memory_mb: self.worker_memory_mb,
-            acts_per_second: 80.0,
+            operations_per_second: 80.0,
             list_late: Duration::from_millis(1_000),
             functions,
-            leave_within: Duration::from_secs(5),
+            drain_within: Duration::from_secs(5),
         }
     }
 
--- a/packages/local_fleet/src/fleet.rs
+++ b/packages/local_fleet/src/fleet.rs
@@ -22,7 +22,7 @@
 }
 
 pub struct FleetNode {
-    pub visitors: SocketAddr,
+    pub client_addresses: SocketAddr,
     pub control: SocketAddr,
     settings: PathBuf,
     first_settings: String,
@@ -63,10 +63,10 @@
         let mut nodes = Vec::new();
         for number in 0..options.nodes {
             let name = format!("node-{number}");
-            let [visitors, control, colleagues] = [0, 1, 2].map(|place| addresses[number * 3 + place]);
+            let [client_addresses, control, peers] = [0, 1, 2].map(|place| addresses[number * 3 + place]);
             let mut text = format!(
-                "fleet = \"{fleet}\"\nzone = \"zone-{}\"\nvisitor_address = \"{visitors}\"\ncontrol_address = \"{control}\"\n\
-                 colleague_address = \"{colleagues}\"\nplatform_address = \"{platform}\"\nseeds = [{}]\n\
+                "fleet = \"{fleet}\"\nzone = \"zone-{}\"\nvisitor_address = \"{client_addresses}\"\ncontrol_address = \"{control}\"\n\
+                 colleague_address = \"{peers}\"\nplatform_address = \"{platform}\"\nseeds = [{}]\n\
                  worker_threads = 1\n",
                 number % 3,
                 seeds.join(", ")
@@ -87,7 +87,7 @@
             let settings = folder.join(format!("{name}.toml"));
             fs::write(&settings, text)?;
             nodes.push(FleetNode {
-                visitors,
+                client_addresses,
                 control,
                 settings,
                 first_settings: String::new(),
@@ -119,7 +119,7 @@
 
     /// Ends the process with no notice, as a power cut would.
     pub fn kill(&mut self, number: usize) {
-        self.nodes[number].look();
+        self.nodes[number].sample();
         let node = &mut self.nodes[number];
         if let Some(mut child) = node.child.take() {
             let _ = child.kill();
@@ -169,7 +169,7 @@
         let began = Instant::now();
         while began.elapsed() < within {
             let node = &mut self.nodes[number];
-            node.look();
+            node.sample();
             let child = node.child.as_mut()?;
             if let Ok(Some(_)) = child.try_wait() {
                 node.child = None;
@@ -185,7 +185,7 @@
     /// Whether a process that was told to stop has ended by now.
     pub fn is_gone(&mut self, number: usize) -> bool {
         let node = &mut self.nodes[number];
-        node.look();
+        node.sample();
         let has_ended = node.child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))));
         if has_ended {
             node.child = None;
@@ -210,12 +210,12 @@
         self.nodes[number].child.is_some()
     }
 
-    pub fn look_at_all(&mut self) {
-        self.nodes.iter_mut().for_each(FleetNode::look);
+    pub fn sample_all(&mut self) {
+        self.nodes.iter_mut().for_each(FleetNode::sample);
     }
 
-    pub fn running_visitors(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().filter(|node| node.child.is_some()).map(|node| node.visitors).collect()
+    pub fn running_client_addresses(&self) -> Vec<SocketAddr> {
+        self.nodes.iter().filter(|node| node.child.is_some()).map(|node| node.client_addresses).collect()
     }
 }
 
@@ -229,7 +229,7 @@
 
 impl FleetNode {
     /// Reads the process's CPU time and memory.
-    pub fn look(&mut self) {
+    pub fn sample(&mut self) {
         let Some(child) = &self.child else { return };
         let folder = PathBuf::from(format!("/proc/{}", child.id()));
         if let Ok(stat) = fs::read_to_string(folder.join("stat"))
--- a/packages/local_fleet/src/operator.rs
+++ b/packages/local_fleet/src/operator.rs
@@ -24,9 +24,9 @@
     pub fn get(&self, control: SocketAddr, page: &str) -> Option<String> {
         let request = self.client.get(format!("http://{control}{page}")).force_close();
         self.system.block_on(async {
-            let mut answer = request.send().await.ok()?;
-            let body = answer.body().limit(64 * 1024 * 1024).await.ok()?;
-            answer.status().is_success().then(|| String::from_utf8_lossy(&body).into_owned())
+            let mut response = request.send().await.ok()?;
+            let body = response.body().limit(64 * 1024 * 1024).await.ok()?;
+            response.status().is_success().then(|| String::from_utf8_lossy(&body).into_owned())
         })
     }
 
@@ -50,8 +50,8 @@
         let request = self.client.post(format!("http://{control}/control/changes")).force_close();
         let body = line.to_string() + "\n";
         self.system.block_on(async {
-            let mut answer = request.send_body(body).await.ok()?;
-            let body = answer.body().limit(16 * 1024 * 1024).await.ok()?;
+            let mut response = request.send_body(body).await.ok()?;
+            let body = response.body().limit(16 * 1024 * 1024).await.ok()?;
             serde_json::from_slice(&body).ok()
         })
     }
--- a/packages/local_fleet/src/scenarios.rs
+++ b/packages/local_fleet/src/scenarios.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_doubles::{CallerSettings, Callers, CallersReport, PlatformStandIn, micros_since};
+use test_doubles::{FakePlatform, LoadGenerator, LoadReport, LoadSettings, micros_since};
 
 const SCENARIOS: &[&str] = &[
     "quiet",
@@ -33,7 +33,7 @@
 struct Run {
     fleet: Fleet,
     operator: Operator,
-    platform: PlatformStandIn,
+    platform: FakePlatform,
     history: Arc<History>,
     began: Instant,
     deployment: Deployment,
@@ -78,7 +78,7 @@
     std::fs::create_dir_all(&folder).map_err(said)?;
     let history = Arc::new(History::default());
     let began = Instant::now();
-    let platform = PlatformStandIn::start(
+    let platform = FakePlatform::start(
         "127.0.0.1:0".parse().map_err(|_| "an address")?,
         deployment.platform(),
         history.clone(),
@@ -178,23 +178,28 @@
     }
 
     /// Calls to all functions at this rate, by callers that wait longer than any lane does.
-    fn caller_settings(&self, span: Duration, rate: f64) -> CallerSettings {
-        CallerSettings {
+    fn load_settings(&self, span: Duration, rate: f64) -> LoadSettings {
+        LoadSettings {
             calls_per_second: rate,
             span,
             targets: self.deployment.targets(),
-            patience: Duration::from_secs(6),
-            luck_seed: self.seed,
-            hasty_retries: 0,
+            timeout: Duration::from_secs(6),
+            random_seed: self.seed,
+            immediate_retries: 0,
             body_length: 400,
             behaviours: (0.0, Vec::new()),
             keeps_connections: self.is_soak,
         }
     }
 
-    fn callers(&self, settings: CallerSettings) -> Result<Callers, String> {
-        Callers::start(settings, self.fleet.running_visitors(), self.history.clone(), self.began)
-            .map_err(|failure| failure.to_string())
+    fn callers(&self, settings: LoadSettings) -> Result<LoadGenerator, String> {
+        LoadGenerator::start(
+            settings,
+            self.fleet.running_client_addresses(),
+            self.history.clone(),
+            self.began,
+        )
+        .map_err(|failure| failure.to_string())
     }
 
     fn wait_for_first_readiness(&mut self) -> Result<Duration, String> {
@@ -210,7 +215,7 @@
         Err(format!("readiness did not come within {} s", began.elapsed().as_secs()))
     }
 
-    fn play(&mut self, scenario: &str, span: Duration, rate: f64) -> Result<CallersReport, String> {
+    fn play(&mut self, scenario: &str, span: Duration, rate: f64) -> Result<LoadReport, String> {
         for number in 0..self.fleet.nodes.len() {
             self.fleet.start(number).map_err(|failure| failure.to_string())?;
         }
@@ -221,23 +226,23 @@
             soak::narrow(&self.deployment, &mut document);
         }
         let at = micros_since(self.began);
-        let lanes = self.deployment.functions().into_iter().map(|name| (format!("/{name}"), name));
-        self.history.append(history_checker::first_lanes(at, lanes));
+        let routes = self.deployment.functions().into_iter().map(|name| (format!("/{name}"), name));
+        self.history.append(history_checker::first_routes(at, routes));
         let (_, spread) = self.change(json!({ "whole": document }), 4)?;
         self.note("configuration_spread_ms", spread.as_millis() as u64);
         let held = self.wait_until("stewards", Duration::from_secs(60), Run::all_held)?;
         self.note("all_stewards_ms", held.as_millis() as u64);
-        let spread = self.steward_spread();
+        let spread = self.leader_spread();
         self.note("steward_spread_at_first", spread);
 
-        let hasty = if scenario == "crowd" { 3 } else { 0 };
+        let urgent = if scenario == "crowd" { 3 } else { 0 };
         // One call in eight is lost, garbled, cut or long.
         let behaviours = match scenario {
             "misbehave" => (0.125, MISBEHAVIOURS.to_vec()),
             _ => (0.0, Vec::new()),
         };
         let settings =
-            CallerSettings { hasty_retries: hasty, behaviours, ..self.caller_settings(span, rate) };
+            LoadSettings { immediate_retries: urgent, behaviours, ..self.load_settings(span, rate) };
         let callers = self.callers(settings)?;
         let part = |share: f64| span.mul_f64(share);
         let load_began = Instant::now();
@@ -288,20 +293,22 @@
                 self.fleet.signal(DISK_NODES[2], "STOP");
                 let others: Vec<usize> =
                     (0..NODES).filter(|number| ![6, DISK_NODES[2]].contains(number)).collect();
-                callers.hand_to(others.iter().map(|number| self.fleet.nodes[*number].visitors).collect());
+                callers.set_nodes(
+                    others.iter().map(|number| self.fleet.nodes[*number].client_addresses).collect(),
+                );
                 std::thread::sleep(Duration::from_secs(8));
                 self.fleet.signal(6, "CONT");
                 self.fleet.signal(DISK_NODES[2], "CONT");
                 std::thread::sleep(Duration::from_secs(1));
-                callers.hand_to(self.fleet.running_visitors());
+                callers.set_nodes(self.fleet.running_client_addresses());
             }
             "crowd" => {
                 until(0.4);
                 let settings =
-                    CallerSettings { hasty_retries: 3, ..self.caller_settings(part(0.2), rate * 2.0) };
-                let crowd = self.callers(settings)?;
-                let crowd_report = crowd.finish();
-                self.note("crowd", callers_page(&crowd_report));
+                    LoadSettings { immediate_retries: 3, ..self.load_settings(part(0.2), rate * 2.0) };
+                let spike = self.callers(settings)?;
+                let spike_report = spike.finish();
+                self.note("crowd", callers_page(&spike_report));
             }
             "replace" => {
                 until(0.2);
@@ -333,10 +340,10 @@
             "changes" => {
                 for number in 1..=20 {
                     until(0.1 + 0.04 * f64::from(number));
-                    let patience = 4_000 + number;
+                    let timeout = 4_000 + number;
                     let name = &self.deployment.functions()[0];
                     let mut partial = json!({"lanes": {}});
-                    partial["lanes"][name] = json!({ "patience_millis": patience });
+                    partial["lanes"][name] = json!({ "patience_millis": timeout });
                     let (_, spread) = self.change(json!({ "partial": partial }), number as usize % NODES)?;
                     self.note(&format!("change_{number}_spread_ms"), spread.as_millis() as u64);
                 }
@@ -354,16 +361,16 @@
     /// Every node reads changed settings on SIGHUP, and in odd rounds bad ones, which it must refuse.
     fn reload_all(&mut self, round: usize) -> Result<(), String> {
         let is_bad = round % 2 == 1;
-        let (line, told) = match is_bad {
+        let (line, reported) = match is_bad {
             true => ("surprise = 1", "the settings were not reloaded, the old ones stand"),
             false => ("log_level = \"info\"", "settings reloaded: "),
         };
         for number in 0..NODES {
-            let before = self.fleet.logged(number, told);
+            let before = self.fleet.logged(number, reported);
             self.fleet.write_settings(number, line, round).map_err(|failure| failure.to_string())?;
             self.fleet.signal(number, "HUP");
             self.wait_until("the reload", Duration::from_secs(20), |run| {
-                run.fleet.logged(number, told) > before
+                run.fleet.logged(number, reported) > before
             })?;
             // What stands on the disk is sound again, should the node be started anew.
             self.fleet.write_settings(number, "", round).map_err(|failure| failure.to_string())?;
@@ -373,46 +380,46 @@
         Ok(())
     }
 
-    fn kill(&mut self, callers: &Callers, numbers: &[usize]) {
+    fn kill(&mut self, callers: &LoadGenerator, numbers: &[usize]) {
         for number in numbers {
             self.fleet.kill(*number);
         }
-        callers.hand_to(self.fleet.running_visitors());
+        callers.set_nodes(self.fleet.running_client_addresses());
     }
 
-    fn start_again(&mut self, callers: &Callers, numbers: &[usize]) -> Result<(), String> {
+    fn start_again(&mut self, callers: &LoadGenerator, numbers: &[usize]) -> Result<(), String> {
         for number in numbers {
             self.fleet.start(*number).map_err(|failure| failure.to_string())?;
         }
-        let came = self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
-        callers.hand_to(self.fleet.running_visitors());
-        self.note("ready_again_ms", came.as_millis() as u64);
+        let arrived = self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
+        callers.set_nodes(self.fleet.running_client_addresses());
+        self.note("ready_again_ms", arrived.as_millis() as u64);
         let held = self.wait_until("stewards again", Duration::from_secs(30), Run::all_held)?;
-        self.note("stewards_again_ms", (came + held).as_millis() as u64);
+        self.note("stewards_again_ms", (arrived + held).as_millis() as u64);
         Ok(())
     }
 
     /// The platform hands no more callers to the node, stops it, and starts it again.
-    fn stop_planned(&mut self, callers: &Callers, number: usize) -> Result<(), String> {
+    fn stop_planned(&mut self, callers: &LoadGenerator, number: usize) -> Result<(), String> {
         let others: Vec<_> = (0..NODES)
             .filter(|other| *other != number && self.fleet.is_running(*other))
-            .map(|other| self.fleet.nodes[other].visitors)
+            .map(|other| self.fleet.nodes[other].client_addresses)
             .collect();
         self.fleet.signal(number, "TERM");
         std::thread::sleep(Duration::from_millis(100));
-        callers.hand_to(others);
+        callers.set_nodes(others);
         match self.fleet.wait_gone(number, Duration::from_secs(10)) {
             Some(took) => self.note(&format!("stop_{number}_ms"), took.as_millis() as u64),
             None => return Err(format!("node {number} did not stop within ten seconds")),
         }
         self.fleet.start(number).map_err(|failure| failure.to_string())?;
         self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
-        callers.hand_to(self.fleet.running_visitors());
+        callers.set_nodes(self.fleet.running_client_addresses());
         Ok(())
     }
 
     /// Steward counts of the running nodes and their standard deviation, as the paper tells it.
-    fn steward_spread(&self) -> Value {
+    fn leader_spread(&self) -> Value {
         let counts: Vec<usize> = self
             .fleet
             .nodes
@@ -428,8 +435,8 @@
         json!({ "counts": counts, "standard_deviation": rounded(variance.sqrt()) })
     }
 
-    fn report(&mut self, scenario: &str, callers: &CallersReport, folder: &Path) -> Result<bool, String> {
-        self.fleet.look_at_all();
+    fn report(&mut self, scenario: &str, callers: &LoadReport, folder: &Path) -> Result<bool, String> {
+        self.fleet.sample_all();
         let decisions = self.operator.decisions(self.fleet.nodes[0].control);
         let mut waits: Vec<u64> = Vec::new();
         let mut past_gate = 0;
@@ -441,7 +448,7 @@
             }
             waits.push(decision["waited_micros"].as_u64().unwrap_or(0));
             past_gate += u64::from(decision["past_gate"] == true);
-            self.history.append(Line::StewardTaken {
+            self.history.append(Line::LeadershipTaken {
                 at: decision["at_micros"].as_u64().unwrap_or(0),
                 node: decision["node"].as_str().unwrap_or_default().to_owned(),
                 function: decision["function"].as_str().unwrap_or_default().to_owned(),
@@ -467,16 +474,16 @@
                 .contains(&scenario),
             ..CheckSettings::default()
         };
-        let mut breaches = check_all(&lines, &settings);
-        breaches.truncate(20);
+        let mut violations = check_all(&lines, &settings);
+        violations.truncate(20);
         let dropped = lines
             .iter()
-            .filter(|line| matches!(line, Line::CallEnded { outcome: Outcome::NoAnswer, .. }))
+            .filter(|line| matches!(line, Line::CallEnded { outcome: Outcome::NoResponse, .. }))
             .count();
         // With nothing killed or frozen no call may go without an answer.
         let is_gentle =
             ["quiet", "rolling", "reload", "workers", "changes", "crowd", "soak"].contains(&scenario);
-        let is_sound = breaches.is_empty() && !(is_gentle && dropped > 0);
+        let is_sound = violations.is_empty() && !(is_gentle && dropped > 0);
         let page = json!({
             "scenario": scenario,
             "seed": self.seed,
@@ -495,7 +502,7 @@
                 "gate_refusals": total("gate_refusals"),
                 "lost_races": total("lost_races"),
             },
-            "steward_spread_at_the_end": self.steward_spread(),
+            "steward_spread_at_the_end": self.leader_spread(),
             "disk_groups_a_second": rounded(total("disk_groups") as f64 / elapsed),
             "messages_a_second": rounded(total("messages_sent") as f64 / elapsed),
             "cpu_seconds": cpu,
@@ -503,7 +510,7 @@
             "peak_memory_mb": memory,
             "platform": { "starts": starts, "stops": stops, "throttled": throttled },
             "decisions": kinds,
-            "breaches": breaches.iter().map(|breach| format!("{}: {}", breach.rule, breach.seen)).collect::<Vec<_>>(),
+            "breaches": violations.iter().map(|violation| format!("{}: {}", violation.rule, violation.seen)).collect::<Vec<_>>(),
             "sound": is_sound,
         });
         let text = serde_json::to_string_pretty(&page).unwrap_or_default();
@@ -530,13 +537,13 @@
     own.is_some_and(|own| own["disk"] == "voting")
 }
 
-fn callers_page(report: &CallersReport) -> Value {
+fn callers_page(report: &LoadReport) -> Value {
     json!({
         "sent": report.sent,
         "ran": report.ran,
         "not_run": report.not_run,
         "unknown": report.unknown,
-        "no_answer": report.no_answer,
+        "no_answer": report.no_response,
         "not_taken": report.not_taken,
         "latency_ms": {
             "median": report.quantile(0.5) / 1_000,
--- a/packages/local_fleet/src/scenarios/soak.rs
+++ b/packages/local_fleet/src/scenarios/soak.rs
@@ -9,12 +9,12 @@
 use serde_json::{Value, json};
 use std::ops::Range;
 use std::time::{Duration, Instant};
-use test_doubles::{CallerSettings, Callers};
+use test_doubles::{LoadGenerator, LoadSettings};
 
 /// A stop is over before a call that came in its beginning has waited as long as its lane allows (4 s).
 pub(super) const NODE_SETTINGS: &str = "still_accepting_millis = 1000\nstop_within_millis = 2500\n";
 
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const BETWEEN_STOPS: Range<u64> = 150..900;
 const BETWEEN_RELOADS: Range<u64> = 200..1_200;
 const BETWEEN_CHANGES: Range<u64> = 200..1_500;
@@ -64,10 +64,10 @@
         Series { between, next_at: began }
     }
 
-    fn is_due(&mut self, dice: &mut Rng) -> bool {
+    fn is_due(&mut self, rng: &mut Rng) -> bool {
         let is_due = Instant::now() >= self.next_at;
         if is_due {
-            self.next_at = Instant::now() + Duration::from_millis(dice.u64(self.between.clone()));
+            self.next_at = Instant::now() + Duration::from_millis(rng.u64(self.between.clone()));
         }
         is_due
     }
@@ -75,9 +75,9 @@
 
 struct Soak<'run> {
     run: &'run mut Run,
-    dice: Rng,
+    rng: Rng,
     stops: Vec<Stop>,
-    bursts: Vec<Callers>,
+    bursts: Vec<LoadGenerator>,
     stops_begun: u64,
     reloads: u64,
     changes: u64,
@@ -86,10 +86,10 @@
 
 /// Plays the seed's disturbances until the span is over, and waits for the nodes that are still away.
 pub(super) fn disturb(run: &mut Run, began: Instant, span: Duration) -> Result<(), String> {
-    let dice = Rng::with_seed(run.seed);
+    let rng = Rng::with_seed(run.seed);
     let mut soak = Soak {
         run,
-        dice,
+        rng,
         stops: Vec::new(),
         bursts: Vec::new(),
         stops_begun: 0,
@@ -102,23 +102,23 @@
     let mut change_series = Series::new(BETWEEN_CHANGES, began);
     let mut burst_series = Series::new(BETWEEN_BURSTS, began + Duration::from_secs(2));
     while began.elapsed() < span || !soak.stops.is_empty() {
-        soak.look_at_stops()?;
+        soak.check_stops()?;
         let is_ending = began.elapsed() + QUIET_END >= span;
-        if !is_ending && stop_series.is_due(&mut soak.dice) {
+        if !is_ending && stop_series.is_due(&mut soak.rng) {
             soak.begin_stop();
         }
-        if !is_ending && reload_series.is_due(&mut soak.dice) {
+        if !is_ending && reload_series.is_due(&mut soak.rng) {
             soak.reload_one()?;
         }
-        if !is_ending && change_series.is_due(&mut soak.dice) {
+        if !is_ending && change_series.is_due(&mut soak.rng) {
             soak.change_one();
         }
-        if !is_ending && burst_series.is_due(&mut soak.dice) {
+        if !is_ending && burst_series.is_due(&mut soak.rng) {
             soak.begin_burst()?;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    soak.tell();
+    soak.into_report();
     Ok(())
 }
 
@@ -137,17 +137,17 @@
         let is_state_node_away = self.stops.iter().any(|stop| DISK_NODES.contains(&stop.number()));
         let may_stop = |number: &usize| !(is_state_node_away && DISK_NODES.contains(number));
         let candidates: Vec<usize> = self.untouched().into_iter().filter(may_stop).collect();
-        let Some(number) = self.dice.choice(candidates) else { return };
+        let Some(number) = self.rng.choice(candidates) else { return };
         self.run.fleet.signal(number, "TERM");
         self.stops.push(Stop::Stopping { number, since: Instant::now() });
         self.stops_begun += 1;
     }
 
-    fn look_at_stops(&mut self) -> Result<(), String> {
+    fn check_stops(&mut self) -> Result<(), String> {
         for stop in std::mem::take(&mut self.stops) {
             let next = match stop {
                 Stop::Stopping { number, since } if self.run.fleet.is_gone(number) => {
-                    let pause = Duration::from_millis(self.dice.u64(DOWN_FOR));
+                    let pause = Duration::from_millis(self.rng.u64(DOWN_FOR));
                     self.run
                         .note(&format!("stop_{}_ms", self.stops_begun), since.elapsed().as_millis() as u64);
                     Some(Stop::Down { number, until: Instant::now() + pause })
@@ -167,7 +167,7 @@
     }
 
     fn reload_one(&mut self) -> Result<(), String> {
-        let Some(number) = self.dice.choice(self.untouched()) else { return Ok(()) };
+        let Some(number) = self.rng.choice(self.untouched()) else { return Ok(()) };
         let turn = self.reloads as usize;
         self.run
             .fleet
@@ -180,7 +180,7 @@
 
     /// A change that gets no clear answer from a node that is being restarted may hold or not.
     fn change_one(&mut self) {
-        let Some(number) = self.dice.choice(self.untouched()) else { return };
+        let Some(number) = self.rng.choice(self.untouched()) else { return };
         self.changes += 1;
         let function = self.run.deployment.functions()[0].clone();
         let mut partial = json!({"lanes": {}});
@@ -193,18 +193,18 @@
 
     fn begin_burst(&mut self) -> Result<(), String> {
         let narrow = narrow_function(&self.run.deployment);
-        let settings = self.run.caller_settings(BURST_SPAN, BURST_CALLS_PER_SECOND);
+        let settings = self.run.load_settings(BURST_SPAN, BURST_CALLS_PER_SECOND);
         let targets = settings.targets.iter().filter(|target| target.function == narrow).cloned().collect();
-        let settings = CallerSettings { targets, luck_seed: self.dice.u64(..), ..settings };
+        let settings = LoadSettings { targets, random_seed: self.rng.u64(..), ..settings };
         self.bursts.push(self.run.callers(settings)?);
         Ok(())
     }
 
-    fn tell(self) {
+    fn into_report(self) {
         let Soak { run, bursts, stops_begun, reloads, changes, unclear_changes, .. } = self;
-        let reports: Vec<_> = bursts.into_iter().map(Callers::finish).collect();
+        let reports: Vec<_> = bursts.into_iter().map(LoadGenerator::finish).collect();
         run.note("bursts", reports.len() as u64);
-        run.note("bursts_no_answer", reports.iter().map(|report| report.no_answer).sum::<u64>());
+        run.note("bursts_no_answer", reports.iter().map(|report| report.no_response).sum::<u64>());
         run.note("bursts_ran", reports.iter().map(|report| report.ran).sum::<u64>());
         run.note("bursts_not_run", reports.iter().map(|report| report.not_run).sum::<u64>());
         run.note("bursts_not_taken", reports.iter().map(|report| report.not_taken).sum::<u64>());
--- a/packages/local_fleet/tests/soak.rs
+++ b/packages/local_fleet/tests/soak.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn planned_work_in_series_leaves_no_request_without_an_answer() {
+fn planned_work_in_series_leaves_no_request_without_a_response() {
     soak(1, 10, 25);
     soak(2, 20, 25);
 }
--- a/packages/membership/src/lib.rs
+++ b/packages/membership/src/lib.rs
@@ -3,8 +3,8 @@
 //! being probed now and then, so a healed cut joins itself again.
 
 use fastrand::Rng;
-use monotonic_clock::{ClockEvent, Micros};
-use peer_messages::{Address, List, MemberNews, Message, NodeId, stable_hash};
+use monotonic_clock::{Micros, Ticker};
+use peer_messages::{Address, List, MemberUpdate, Message, NodeId, stable_hash};
 use std::collections::BTreeMap;
 
 /// A member that answers or has not yet been doubted.
@@ -16,14 +16,14 @@
 
 /// Remembered members, the gone ones too; when it is full the one gone longest makes room.
 const MEMBER_LIMIT: usize = 1_024;
-const TOLD_LIMIT: usize = 64;
+const UPDATES_PER_MESSAGE: usize = 64;
 /// In a fleet of more colleagues than this a probe tells only what changed lately.
 const SMALL_FLEET: usize = 16;
 /// How many changes a probe tells in a large fleet, and how often each is told.
-const CHANGES_TOLD: usize = 16;
-const TELLS: u32 = 16;
+const CHANGES_PER_MESSAGE: usize = 16;
+const UPDATE_TRANSMISSIONS: u32 = 16;
 /// Of the gone, a whole list tells so many.
-const GONE_TOLD: usize = 64;
+const GONE_PER_MESSAGE: usize = 64;
 
 /// How often and how patiently colleagues are probed.
 /// Example: `ProbeSettings::default().interval == Micros::from_millis(400)`.
@@ -32,7 +32,7 @@
     /// Between two probes of this node.
     pub interval: Micros,
     /// Until third parties are asked.
-    pub answer_within: Micros,
+    pub response_within: Micros,
     /// From suspicion to removal.
     pub suspicion: Micros,
     /// How long a removed member is still remembered and probed.
@@ -43,7 +43,7 @@
     fn default() -> ProbeSettings {
         ProbeSettings {
             interval: Micros::from_millis(400),
-            answer_within: Micros::from_millis(250),
+            response_within: Micros::from_millis(250),
             suspicion: Micros::from_millis(1_500),
             remember_gone: Micros::from_secs(600),
         }
@@ -64,10 +64,10 @@
 
 #[derive(Clone, Debug)]
 struct Member {
-    news: MemberNews,
+    update: MemberUpdate,
     state_since: Micros,
     /// How often this is still told as a change.
-    tells_left: u32,
+    transmissions_left: u32,
 }
 
 #[derive(Debug)]
@@ -75,7 +75,7 @@
     target: NodeId,
     sequence: u64,
     sent_at: Micros,
-    asked_others: bool,
+    requested_others: bool,
 }
 
 #[derive(Debug)]
@@ -87,7 +87,7 @@
 /// One node's view of all members. Example: `Members::new(own, vec![seed], ProbeSettings::default(), 1)`.
 #[derive(Debug)]
 pub struct Members {
-    own: MemberNews,
+    own: MemberUpdate,
     seeds: Vec<Address>,
     settings: ProbeSettings,
     members: BTreeMap<NodeId, Member>,
@@ -95,24 +95,24 @@
     pending: Option<PendingProbe>,
     relays: BTreeMap<u64, Relay>,
     next_sequence: u64,
-    probe_event: ClockEvent,
-    heal_event: ClockEvent,
+    probe_event: Ticker,
+    heal_event: Ticker,
     last_tick: Micros,
     changes: Vec<MemberChange>,
     /// Rises with every change of what is known of any member, this node included.
     revision: u64,
-    dice: Rng,
+    rng: Rng,
 }
 
 impl Members {
     /// A view that knows only itself and its seeds.
     /// Example: `Members::new(own, seeds, settings, 7).live().len() == 1`.
-    pub fn new(own: MemberNews, seeds: Vec<Address>, settings: ProbeSettings, luck_seed: u64) -> Members {
+    pub fn new(own: MemberUpdate, seeds: Vec<Address>, settings: ProbeSettings, random_seed: u64) -> Members {
         let own_address = own.address;
         Members {
             seeds: seeds.into_iter().filter(|seed| *seed != own_address).collect(),
-            probe_event: ClockEvent::each(settings.interval),
-            heal_event: ClockEvent::each(Micros(settings.interval.0 * 2)),
+            probe_event: Ticker::every(settings.interval),
+            heal_event: Ticker::every(Micros(settings.interval.0 * 2)),
             own,
             settings,
             members: BTreeMap::new(),
@@ -123,18 +123,18 @@
             last_tick: Micros(0),
             changes: Vec::new(),
             revision: 1,
-            dice: Rng::with_seed(luck_seed),
+            rng: Rng::with_seed(random_seed),
         }
     }
 
     /// This node's own entry. Example: `members.own().node`.
-    pub fn own(&self) -> &MemberNews {
+    pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
     /// Changes what this node says of itself; colleagues take it for its higher incarnation.
     /// Example: `members.update_own(|own| own.draining = 1)`.
-    pub fn update_own(&mut self, change: impl FnOnce(&mut MemberNews)) {
+    pub fn update_own(&mut self, change: impl FnOnce(&mut MemberUpdate)) {
         let previous_own = self.own.clone();
         change(&mut self.own);
         if self.own != previous_own {
@@ -151,35 +151,35 @@
 
     /// All members believed alive, this node included, by rising id.
     /// Example: `members.live().len()` is the paper's N.
-    pub fn live(&self) -> Vec<&MemberNews> {
-        let mut live_members: Vec<&MemberNews> = self.colleagues().collect();
+    pub fn live(&self) -> Vec<&MemberUpdate> {
+        let mut live_members: Vec<&MemberUpdate> = self.peers().collect();
         live_members.push(&self.own);
-        live_members.sort_by_key(|news| news.node);
+        live_members.sort_by_key(|update| update.node);
         live_members
     }
 
-    /// The colleagues believed alive. Example: `members.colleagues().count()`.
-    pub fn colleagues(&self) -> impl Iterator<Item = &MemberNews> {
-        self.members.values().map(|member| &member.news).filter(|news| news.state != GONE)
+    /// The colleagues believed alive. Example: `members.peers().count()`.
+    pub fn peers(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.members.values().map(|member| &member.update).filter(|update| update.state != GONE)
     }
 
-    /// A live member's entry. Example: `members.find(node).map(|news| news.address)`.
-    pub fn find(&self, node: NodeId) -> Option<&MemberNews> {
+    /// A live member's entry. Example: `members.find(node).map(|update| update.address)`.
+    pub fn find(&self, node: NodeId) -> Option<&MemberUpdate> {
         if node == self.own.node {
             return Some(&self.own);
         }
-        self.members.get(&node).map(|member| &member.news).filter(|news| news.state != GONE)
+        self.members.get(&node).map(|member| &member.update).filter(|update| update.state != GONE)
     }
 
     /// Every remembered entry, the gone ones too. Example: `members.remembered().count()`.
-    pub fn remembered(&self) -> impl Iterator<Item = &MemberNews> {
-        self.members.values().map(|member| &member.news)
+    pub fn remembered(&self) -> impl Iterator<Item = &MemberUpdate> {
+        self.members.values().map(|member| &member.update)
     }
 
     /// How many of the seeds are live members or this node, for the guard on founding.
-    /// Example: `members.seeds_heard() == 3`.
-    pub fn seeds_heard(&self) -> usize {
-        self.seeds.iter().filter(|seed| self.colleagues().any(|news| news.address == **seed)).count()
+    /// Example: `members.seeds_reached() == 3`.
+    pub fn seeds_reached(&self) -> usize {
+        self.seeds.iter().filter(|seed| self.peers().any(|update| update.address == **seed)).count()
     }
 
     /// The seeds other than this node. Example: `members.seed_count() <= 3`.
@@ -187,8 +187,8 @@
         self.seeds.len()
     }
 
-    /// Takes new seeds after a reload. Example: `members.take_seeds(seeds)`.
-    pub fn take_seeds(&mut self, seeds: Vec<Address>) {
+    /// Takes new seeds after a reload. Example: `members.set_seeds(seeds)`.
+    pub fn set_seeds(&mut self, seeds: Vec<Address>) {
         self.seeds = seeds.into_iter().filter(|seed| *seed != self.own.address).collect();
     }
 
@@ -205,7 +205,7 @@
         if was_frozen {
             // Whoever was frozen itself has no ground to doubt others.
             self.pending = None;
-            for member in self.members.values_mut().filter(|member| member.news.state == SUSPECTED) {
+            for member in self.members.values_mut().filter(|member| member.update.state == SUSPECTED) {
                 member.state_since = now;
             }
         }
@@ -239,46 +239,51 @@
                 // A probe meant for the process that was here before is answered all the same: the
                 // answer shows the asker who listens here now.
                 let _ = target;
-                let answer = Message::ProbeAnswer { sequence, members: self.told(Some(from)) };
-                let mut answers = vec![(from_address, answer)];
+                let response = Message::ProbeResponse { sequence, members: self.updates_for(Some(from)) };
+                let mut responses = vec![(from_address, response)];
                 if self.is_large() {
-                    answers.push((from_address, Message::MembersDigest { digest: self.digest() }));
+                    responses.push((from_address, Message::MembersDigest { digest: self.digest() }));
                 }
-                answers
+                responses
             }
             Message::MembersDigest { digest } if digest != self.digest() => {
-                vec![(from_address, Message::MembersTold { is_asked: 1, members: self.whole_list() })]
+                vec![(from_address, Message::MembersResponse { is_requested: 1, members: self.full_list() })]
             }
-            Message::MembersTold { is_asked, members } => {
-                for news in members.0.into_iter().take(MEMBER_LIMIT) {
-                    self.merge_one(news, now);
+            Message::MembersResponse { is_requested, members } => {
+                for update in members.0.into_iter().take(MEMBER_LIMIT) {
+                    self.merge_one(update, now);
                 }
-                match is_asked {
+                match is_requested {
                     1 => {
-                        let members = self.whole_list();
-                        vec![(from_address, Message::MembersTold { is_asked: 0, members })]
+                        let members = self.full_list();
+                        vec![(from_address, Message::MembersResponse { is_requested: 0, members })]
                     }
                     _ => Vec::new(),
                 }
             }
-            Message::ProbeAnswer { sequence, members } => {
+            Message::ProbeResponse { sequence, members } => {
                 self.merge(members, now);
                 if self.pending.as_ref().is_some_and(|pending| pending.sequence == sequence) {
                     self.pending = None;
                 }
                 let Some(relay) = self.relays.remove(&sequence) else { return Vec::new() };
-                let relayed = Message::ProbeAnswer { sequence: relay.sequence, members: self.told(None) };
+                let relayed =
+                    Message::ProbeResponse { sequence: relay.sequence, members: self.updates_for(None) };
                 vec![(relay.requester, relayed)]
             }
             Message::ProbeFor { sequence, target, target_address } => {
                 let own_sequence = self.sequence();
                 self.relays.insert(own_sequence, Relay { requester: from_address, sequence });
-                while self.relays.len() > TOLD_LIMIT {
+                while self.relays.len() > UPDATES_PER_MESSAGE {
                     self.relays.pop_first();
                 }
                 vec![(
                     target_address,
-                    Message::Probe { sequence: own_sequence, target, members: self.told(Some(target)) },
+                    Message::Probe {
+                        sequence: own_sequence,
+                        target,
+                        members: self.updates_for(Some(target)),
+                    },
                 )]
             }
             _ => Vec::new(),
@@ -293,10 +298,10 @@
     /// Another process speaks from this address: the one known there before is gone.
     fn displace(&mut self, from: NodeId, from_address: Address, now: Micros) {
         for (node, member) in &mut self.members {
-            if *node != from && member.news.address == from_address && member.news.state != GONE {
-                member.news.state = GONE;
+            if *node != from && member.update.address == from_address && member.update.state != GONE {
+                member.update.state = GONE;
                 member.state_since = now;
-                member.tells_left = TELLS;
+                member.transmissions_left = UPDATE_TRANSMISSIONS;
                 self.revision += 1;
                 self.changes.push(MemberChange::Gone(*node));
             }
@@ -309,95 +314,99 @@
 
     /// What two nodes agree on when they know the same live members at the same incarnations.
     fn digest(&self) -> u64 {
-        self.colleagues().chain([&self.own]).fold(0, |sum, news| {
-            sum ^ stable_hash(&[news.node.to_le_bytes(), news.incarnation.to_le_bytes()].concat())
+        self.peers().chain([&self.own]).fold(0, |sum, update| {
+            sum ^ stable_hash(&[update.node.to_le_bytes(), update.incarnation.to_le_bytes()].concat())
         })
     }
 
     /// Everybody, for a colleague whose digest differs; of the gone those that went last.
-    fn whole_list(&self) -> List<MemberNews> {
+    fn full_list(&self) -> List<MemberUpdate> {
         let mut gone: Vec<&Member> =
-            self.members.values().filter(|member| member.news.state == GONE).collect();
+            self.members.values().filter(|member| member.update.state == GONE).collect();
         gone.sort_by_key(|member| std::cmp::Reverse(member.state_since));
-        let gone_news = gone.into_iter().take(GONE_TOLD).map(|member| &member.news);
-        std::iter::once(&self.own).chain(self.colleagues()).chain(gone_news).cloned().collect()
+        let gone_updates = gone.into_iter().take(GONE_PER_MESSAGE).map(|member| &member.update);
+        std::iter::once(&self.own).chain(self.peers()).chain(gone_updates).cloned().collect()
     }
 
     /// What is told with every probe: this node first, then colleagues, in a small fleet all of them,
     /// in a large one those that changed lately. A node that is doubted is always told so.
-    fn told(&mut self, hearer: Option<NodeId>) -> List<MemberNews> {
+    fn updates_for(&mut self, recipient: Option<NodeId>) -> List<MemberUpdate> {
         if self.is_large() {
-            return self.told_changes(hearer);
+            return self.changes_for(recipient);
         }
-        let mut told_news: Vec<MemberNews> =
-            self.members.values().map(|member| member.news.clone()).collect();
-        told_news.insert(0, self.own.clone());
-        List(told_news)
+        let mut sent_updates: Vec<MemberUpdate> =
+            self.members.values().map(|member| member.update.clone()).collect();
+        sent_updates.insert(0, self.own.clone());
+        List(sent_updates)
     }
 
-    fn told_changes(&mut self, hearer: Option<NodeId>) -> List<MemberNews> {
-        let mut told_news = vec![self.own.clone()];
-        let doubted = hearer.and_then(|node| self.members.get(&node));
-        told_news
-            .extend(doubted.filter(|member| member.news.state != ALIVE).map(|member| member.news.clone()));
+    fn changes_for(&mut self, recipient: Option<NodeId>) -> List<MemberUpdate> {
+        let mut sent_updates = vec![self.own.clone()];
+        let suspected = recipient.and_then(|node| self.members.get(&node));
+        sent_updates.extend(
+            suspected.filter(|member| member.update.state != ALIVE).map(|member| member.update.clone()),
+        );
         let mut changed: Vec<&mut Member> =
-            self.members.values_mut().filter(|member| member.tells_left > 0).collect();
-        changed.sort_by_key(|member| std::cmp::Reverse(member.tells_left));
-        for member in changed.into_iter().take(CHANGES_TOLD) {
-            member.tells_left -= 1;
-            told_news.push(member.news.clone());
+            self.members.values_mut().filter(|member| member.transmissions_left > 0).collect();
+        changed.sort_by_key(|member| std::cmp::Reverse(member.transmissions_left));
+        for member in changed.into_iter().take(CHANGES_PER_MESSAGE) {
+            member.transmissions_left -= 1;
+            sent_updates.push(member.update.clone());
         }
-        List(told_news)
+        List(sent_updates)
     }
 
-    fn merge(&mut self, told_members: List<MemberNews>, now: Micros) {
-        for news in told_members.0.into_iter().take(TOLD_LIMIT) {
-            self.merge_one(news, now);
+    fn merge(&mut self, received_members: List<MemberUpdate>, now: Micros) {
+        for update in received_members.0.into_iter().take(UPDATES_PER_MESSAGE) {
+            self.merge_one(update, now);
         }
     }
 
-    fn merge_one(&mut self, news: MemberNews, now: Micros) {
-        if news.node == self.own.node {
-            if news.state != ALIVE && news.incarnation >= self.own.incarnation {
-                self.own.incarnation = news.incarnation + 1;
+    fn merge_one(&mut self, update: MemberUpdate, now: Micros) {
+        if update.node == self.own.node {
+            if update.state != ALIVE && update.incarnation >= self.own.incarnation {
+                self.own.incarnation = update.incarnation + 1;
                 self.revision += 1;
             }
             return;
         }
-        let Some(member) = self.members.get_mut(&news.node) else {
-            if news.state == GONE || !self.has_place() {
+        let Some(member) = self.members.get_mut(&update.node) else {
+            if update.state == GONE || !self.make_room() {
                 return;
             }
             self.revision += 1;
-            self.changes.push(MemberChange::Joined(news.node));
-            self.rotation.push(news.node);
-            self.members.insert(news.node, Member { news, state_since: now, tells_left: TELLS });
+            self.changes.push(MemberChange::Joined(update.node));
+            self.rotation.push(update.node);
+            self.members.insert(
+                update.node,
+                Member { update, state_since: now, transmissions_left: UPDATE_TRANSMISSIONS },
+            );
             return;
         };
-        let is_newer = (news.incarnation, news.state) > (member.news.incarnation, member.news.state);
+        let is_newer = (update.incarnation, update.state) > (member.update.incarnation, member.update.state);
         if !is_newer {
             return;
         }
-        if news.state == GONE && member.news.state != GONE {
-            self.changes.push(MemberChange::Gone(news.node));
+        if update.state == GONE && member.update.state != GONE {
+            self.changes.push(MemberChange::Gone(update.node));
         }
-        if news.state != GONE && member.news.state == GONE {
-            self.changes.push(MemberChange::Joined(news.node));
+        if update.state != GONE && member.update.state == GONE {
+            self.changes.push(MemberChange::Joined(update.node));
         }
-        if news.state != member.news.state {
+        if update.state != member.update.state {
             member.state_since = now;
         }
-        member.news = news;
-        member.tells_left = TELLS;
+        member.update = update;
+        member.transmissions_left = UPDATE_TRANSMISSIONS;
         self.revision += 1;
     }
 
     /// Whether one member more is remembered: the one that is gone longest makes room.
-    fn has_place(&mut self) -> bool {
+    fn make_room(&mut self) -> bool {
         if self.members.len() < MEMBER_LIMIT {
             return true;
         }
-        let gone = self.members.iter().filter(|(_, member)| member.news.state == GONE);
+        let gone = self.members.iter().filter(|(_, member)| member.update.state == GONE);
         let longest_gone = gone.min_by_key(|(_, member)| member.state_since).map(|(node, _)| *node);
         longest_gone.is_some_and(|node| self.members.remove(&node).is_some())
     }
@@ -408,29 +417,29 @@
             self.pending = None;
             return;
         };
-        if !pending.asked_others && now >= pending.sent_at + self.settings.answer_within {
-            pending.asked_others = true;
+        if !pending.requested_others && now >= pending.sent_at + self.settings.response_within {
+            pending.requested_others = true;
             let (sequence, suspect_node, suspect_address) =
-                (pending.sequence, pending.target, target.news.address);
+                (pending.sequence, pending.target, target.update.address);
             let mut helpers: Vec<Address> = self
                 .members
                 .values()
-                .filter(|member| member.news.state == ALIVE && member.news.node != suspect_node)
-                .map(|member| member.news.address)
+                .filter(|member| member.update.state == ALIVE && member.update.node != suspect_node)
+                .map(|member| member.update.address)
                 .collect();
-            self.dice.shuffle(&mut helpers);
+            self.rng.shuffle(&mut helpers);
             outgoing.extend(helpers.into_iter().take(3).map(|helper| {
-                let ask =
+                let request_id =
                     Message::ProbeFor { sequence, target: suspect_node, target_address: suspect_address };
-                (helper, ask)
+                (helper, request_id)
             }));
             return;
         }
-        if now >= pending.sent_at + Micros(self.settings.answer_within.0 * 2) {
-            if target.news.state == ALIVE {
-                target.news.state = SUSPECTED;
+        if now >= pending.sent_at + Micros(self.settings.response_within.0 * 2) {
+            if target.update.state == ALIVE {
+                target.update.state = SUSPECTED;
                 target.state_since = now;
-                target.tells_left = TELLS;
+                target.transmissions_left = UPDATE_TRANSMISSIONS;
                 self.revision += 1;
             }
             self.pending = None;
@@ -439,17 +448,17 @@
 
     fn check_suspicions(&mut self, now: Micros) {
         for (node, member) in &mut self.members {
-            if member.news.state == SUSPECTED && now >= member.state_since + self.settings.suspicion {
-                member.news.state = GONE;
+            if member.update.state == SUSPECTED && now >= member.state_since + self.settings.suspicion {
+                member.update.state = GONE;
                 member.state_since = now;
-                member.tells_left = TELLS;
+                member.transmissions_left = UPDATE_TRANSMISSIONS;
                 self.revision += 1;
                 self.changes.push(MemberChange::Gone(*node));
             }
         }
         let remember_gone = self.settings.remember_gone;
         self.members
-            .retain(|_, member| member.news.state != GONE || now < member.state_since + remember_gone);
+            .retain(|_, member| member.update.state != GONE || now < member.state_since + remember_gone);
     }
 
     fn probe_next(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
@@ -457,16 +466,16 @@
             return;
         }
         if self.rotation.is_empty() {
-            self.rotation = self.colleagues().map(|news| news.node).collect();
-            self.dice.shuffle(&mut self.rotation);
+            self.rotation = self.peers().map(|update| update.node).collect();
+            self.rng.shuffle(&mut self.rotation);
         }
         while let Some(target) = self.rotation.pop() {
-            let Some(target_address) = self.find(target).map(|news| news.address) else { continue };
+            let Some(target_address) = self.find(target).map(|update| update.address) else { continue };
             let sequence = self.sequence();
-            self.pending = Some(PendingProbe { target, sequence, sent_at: now, asked_others: false });
+            self.pending = Some(PendingProbe { target, sequence, sent_at: now, requested_others: false });
             outgoing.push((
                 target_address,
-                Message::Probe { sequence, target, members: self.told(Some(target)) },
+                Message::Probe { sequence, target, members: self.updates_for(Some(target)) },
             ));
             return;
         }
@@ -474,23 +483,26 @@
 
     /// One probe to a seed that is no live member or to a removed member.
     fn probe_lost(&mut self, outgoing: &mut Vec<Outgoing>) {
-        let live_addresses: Vec<Address> = self.colleagues().map(|news| news.address).collect();
+        let live_addresses: Vec<Address> = self.peers().map(|update| update.address).collect();
         let mut lost_addresses: Vec<Address> = self
             .seeds
             .iter()
             .copied()
-            .chain(self.members.values().map(|member| member.news.address))
+            .chain(self.members.values().map(|member| member.update.address))
             .filter(|address| !live_addresses.contains(address))
             .collect();
         lost_addresses.sort();
         lost_addresses.dedup();
         let probed_addresses = match live_addresses.is_empty() {
             true => lost_addresses,
-            false => self.dice.choice(lost_addresses).into_iter().collect(),
+            false => self.rng.choice(lost_addresses).into_iter().collect(),
         };
         for lost_address in probed_addresses {
             let sequence = self.sequence();
-            outgoing.push((lost_address, Message::Probe { sequence, target: 0, members: self.told(None) }));
+            outgoing.push((
+                lost_address,
+                Message::Probe { sequence, target: 0, members: self.updates_for(None) },
+            ));
         }
     }
 }
--- a/packages/membership/src/tests.rs
+++ b/packages/membership/src/tests.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-fn news(node: NodeId) -> MemberNews {
-    MemberNews {
+fn update(node: NodeId) -> MemberUpdate {
+    MemberUpdate {
         node,
         address: Address::from(SocketAddr::from(([127, 0, 0, 1], node as u16))),
         zone: "a".into(),
@@ -26,7 +26,7 @@
             waiting.extend(members.tick(now).into_iter().map(|sent| (sender, sent)));
         }
         while let Some((sender, (address, message))) = waiting.pop() {
-            let sender_address = news(sender).address;
+            let sender_address = update(sender).address;
             let Some(receiver) = fleet.iter_mut().find(|members| members.own().address == address) else {
                 continue;
             };
@@ -34,20 +34,20 @@
             if cut(sender, receiver_node) {
                 continue;
             }
-            let answers = receiver.received(sender, sender_address, message, now);
-            waiting.extend(answers.into_iter().map(|sent| (receiver_node, sent)));
+            let responses = receiver.received(sender, sender_address, message, now);
+            waiting.extend(responses.into_iter().map(|sent| (receiver_node, sent)));
         }
     }
 }
 
 fn seen(members: &Members) -> BTreeSet<NodeId> {
-    members.live().iter().map(|news| news.node).collect()
+    members.live().iter().map(|update| update.node).collect()
 }
 
 #[test]
 fn a_cut_is_seen_by_both_sides_and_heals_and_one_bad_link_harms_nobody() {
     let mut fleet: Vec<Members> = (1..=10)
-        .map(|node| Members::new(news(node), vec![news(1).address], ProbeSettings::default(), node))
+        .map(|node| Members::new(update(node), vec![update(1).address], ProbeSettings::default(), node))
         .collect();
     let everyone: BTreeSet<NodeId> = (1..=10).collect();
     run(&mut fleet, 0, 8_000, |_, _| false);
@@ -64,10 +64,10 @@
 #[test]
 fn a_restarted_process_displaces_the_one_before_at_its_address() {
     let mut fleet: Vec<Members> = (1..=3)
-        .map(|node| Members::new(news(node), vec![news(1).address], ProbeSettings::default(), node))
+        .map(|node| Members::new(update(node), vec![update(1).address], ProbeSettings::default(), node))
         .collect();
     run(&mut fleet, 0, 5_000, |_, _| false);
-    let reborn = MemberNews { node: 77, ..news(3) };
+    let reborn = MemberUpdate { node: 77, ..update(3) };
     let displacing = Message::Probe { sequence: 1, target: 0, members: List(vec![reborn.clone()]) };
     fleet[0].received(77, reborn.address, displacing, Micros::from_secs(5));
     assert_eq!(seen(&fleet[0]), BTreeSet::from([1, 2, 77]));
@@ -78,40 +78,40 @@
 }
 
 /// What one node says in so many milliseconds, in bytes, on its own side of the probes.
-fn said_by(fleet: &mut [Members], place: usize, from_millis: u64, to_millis: u64) -> usize {
-    let mut said_bytes = 0;
+fn sent_by(fleet: &mut [Members], place: usize, from_millis: u64, to_millis: u64) -> usize {
+    let mut sent_bytes = 0;
     for millisecond in (from_millis..to_millis).step_by(50) {
         let now = Micros::from_millis(millisecond);
         let sender = fleet[place].own().node;
         for (address, message) in fleet[place].tick(now) {
             let receiver = fleet.iter_mut().find(|members| members.own().address == address);
-            let answers =
-                receiver.map(|members| members.received(sender, news(sender).address, message.clone(), now));
-            said_bytes += [message]
+            let responses = receiver
+                .map(|members| members.received(sender, update(sender).address, message.clone(), now));
+            sent_bytes += [message]
                 .into_iter()
-                .chain(answers.into_iter().flatten().map(|sent| sent.1))
+                .chain(responses.into_iter().flatten().map(|sent| sent.1))
                 .map(|message| deku::DekuContainerWrite::to_bytes(&message).expect("bytes").len())
                 .sum::<usize>();
         }
     }
-    said_bytes
+    sent_bytes
 }
 
 #[test]
 fn a_large_fleet_finds_itself_says_little_and_forgets_nobody() {
     let mut fleet: Vec<Members> = (1..=90)
-        .map(|node| Members::new(news(node), vec![news(1).address], ProbeSettings::default(), node))
+        .map(|node| Members::new(update(node), vec![update(1).address], ProbeSettings::default(), node))
         .collect();
     let everyone: BTreeSet<NodeId> = (1..=90).collect();
     run(&mut fleet, 0, 6_000, |_, _| false);
     assert!(fleet.iter().all(|members| seen(members) == everyone), "found within six seconds");
     run(&mut fleet, 6_000, 20_000, |_, _| false);
-    let said_bytes = said_by(&mut fleet, 5, 20_000, 22_000) / 2;
-    assert!(said_bytes < 2_000, "{said_bytes} bytes a second while nothing changes");
+    let sent_bytes = sent_by(&mut fleet, 5, 20_000, 22_000) / 2;
+    assert!(sent_bytes < 2_000, "{sent_bytes} bytes a second while nothing changes");
     // What one node says of itself is everywhere soon.
     fleet[40].update_own(|own| own.draining = 1);
     run(&mut fleet, 22_000, 25_000, |_, _| false);
-    let is_draining = |members: &Members| members.find(41).is_some_and(|news| news.draining == 1);
+    let is_draining = |members: &Members| members.find(41).is_some_and(|update| update.draining == 1);
     assert!(fleet.iter().all(is_draining));
     // Three of them die; everybody finds out, and a cut in two heals.
     run(&mut fleet, 25_000, 40_000, |sender, receiver| {
@@ -130,14 +130,14 @@
 
 #[test]
 fn whoever_is_gone_longest_makes_room() {
-    let mut members = Members::new(news(1), Vec::new(), ProbeSettings::default(), 1);
+    let mut members = Members::new(update(1), Vec::new(), ProbeSettings::default(), 1);
     for node in 2..3_000u64 {
-        let mut told = vec![MemberNews { node, ..news(2) }];
+        let mut updates_for = vec![MemberUpdate { node, ..update(2) }];
         if node > 2 {
-            told.push(MemberNews { node: node - 1, state: GONE, ..news(2) });
+            updates_for.push(MemberUpdate { node: node - 1, state: GONE, ..update(2) });
         }
-        let message = Message::MembersTold { is_asked: 0, members: List(told) };
-        members.received(900, news(900).address, message, Micros(node));
+        let message = Message::MembersResponse { is_requested: 0, members: List(updates_for) };
+        members.received(900, update(900).address, message, Micros(node));
     }
     assert!(members.find(2_999).is_some());
     assert!(members.remembered().count() <= MEMBER_LIMIT);
--- a/packages/monotonic_clock/src/lib.rs
+++ b/packages/monotonic_clock/src/lib.rs
@@ -71,15 +71,15 @@
 ///
 /// Example: one of `Micros(10)` is due at once, then not before ten microseconds passed.
 #[derive(Clone, Debug)]
-pub struct ClockEvent {
+pub struct Ticker {
     interval: Micros,
     due_at: Micros,
 }
 
-impl ClockEvent {
-    /// An event first due at time zero. Example: `ClockEvent::each(Micros::from_secs(1))`.
-    pub fn each(interval: Micros) -> ClockEvent {
-        ClockEvent { interval, due_at: Micros(0) }
+impl Ticker {
+    /// An event first due at time zero. Example: `Ticker::every(Micros::from_secs(1))`.
+    pub fn every(interval: Micros) -> Ticker {
+        Ticker { interval, due_at: Micros(0) }
     }
 
     /// Whether the event is due; if so it is set for one interval from now, never to catch up in a
--- a/packages/monotonic_clock/src/tests.rs
+++ b/packages/monotonic_clock/src/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn a_clock_event_does_not_catch_up_after_a_freeze() {
-    let mut probe_event = ClockEvent::each(Micros(10));
+fn a_tick_does_not_catch_up_after_a_freeze() {
+    let mut probe_event = Ticker::every(Micros(10));
     assert!(probe_event.due(Micros(0)));
     assert!(!probe_event.due(Micros(9)));
     assert!(probe_event.due(Micros(1_000)));
--- a/packages/node_protocol/src/configuration_part.rs
+++ b/packages/node_protocol/src/configuration_sync.rs
@@ -1,23 +1,23 @@
 //! The configuration at this node: the state that its parts share, and their clock events.
 //!
-//! The parts: operators' changes on their way to the owner of the key ([`carried_changes`]), the batches in
+//! The parts: operators' changes on their way to the owner of the key ([`forwarded_changes`]), the batches in
 //! which that owner settles them ([`batches`]), and which generation holds here
-//! ([`standing_generation`]).
+//! ([`current_generation`]).
 
 mod batches;
-mod carried_changes;
-mod standing_generation;
+mod current_generation;
+mod forwarded_changes;
 
 use crate::node::Node;
-use batches::{AskedChange, Batch};
-use carried_changes::CarriedChange;
+use batches::{Batch, RequestedChange};
 use configuration_schema::{ChangeOutcome, Configuration, StoredConfiguration};
-use monotonic_clock::{ClockEvent, Micros};
+use forwarded_changes::ForwardedChange;
+use monotonic_clock::{Micros, Ticker};
 use peer_messages::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-const CHANGE_WAITLIST: usize = 256;
+const CHANGE_QUEUE_LIMIT: usize = 256;
 /// A change that has no outcome after this is given up.
 const CHANGE_SPAN: Micros = Micros::from_secs(6);
 const UNCONFIRMED: &str = "no majority of the disks confirmed it; send it again under the same id";
@@ -27,60 +27,60 @@
 
 /// Who waits for a change's outcome: the node that an operator asked, which may be this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Asker {
+struct Requester {
     node: NodeId,
-    ask: u64,
+    request_id: u64,
 }
 
 #[derive(Debug)]
-pub(crate) struct ConfigurationPart {
+pub(crate) struct ConfigurationSync {
     current: Arc<Configuration>,
     generation: u64,
     confirmed: bool,
     /// Set while this node, asleep or cut off until then, does not know whether a newer generation
     /// holds: no ticket is used meanwhile.
-    doubted_since: Option<Micros>,
-    ready_told: bool,
+    suspected_since: Option<Micros>,
+    is_ready_reported: bool,
     /// The register's version and value as last seen.
     base: (u64, StoredConfiguration),
     batch: Option<Batch>,
-    waitlist: VecDeque<AskedChange>,
-    carried: BTreeMap<u64, CarriedChange>,
-    confirm_event: ClockEvent,
+    queue: VecDeque<RequestedChange>,
+    forwarded: BTreeMap<u64, ForwardedChange>,
+    confirm_event: Ticker,
     /// When this node last heard from a majority which version of the register stands.
     majority_read_at: Option<Micros>,
     majority_version: u64,
     /// Which nodes answered probes of this one directly, and when, while changes wait.
-    voter_answers: BTreeMap<NodeId, Micros>,
-    voter_probe_event: ClockEvent,
-    read_asked_at: Micros,
+    voter_responses: BTreeMap<NodeId, Micros>,
+    voter_probe_event: Ticker,
+    read_requested_at: Micros,
 }
 
-impl ConfigurationPart {
-    pub(crate) fn new() -> ConfigurationPart {
-        ConfigurationPart {
+impl ConfigurationSync {
+    pub(crate) fn new() -> ConfigurationSync {
+        ConfigurationSync {
             current: Arc::new(Configuration::empty()),
             generation: 0,
             confirmed: false,
-            doubted_since: None,
-            ready_told: false,
+            suspected_since: None,
+            is_ready_reported: false,
             base: (0, StoredConfiguration::empty()),
             batch: None,
-            waitlist: VecDeque::new(),
-            carried: BTreeMap::new(),
-            confirm_event: ClockEvent::each(Micros::from_millis(300)),
+            queue: VecDeque::new(),
+            forwarded: BTreeMap::new(),
+            confirm_event: Ticker::every(Micros::from_millis(300)),
             majority_read_at: None,
             majority_version: 0,
-            voter_answers: BTreeMap::new(),
-            voter_probe_event: ClockEvent::each(VOTER_PROBE_INTERVAL),
-            read_asked_at: Micros(0),
+            voter_responses: BTreeMap::new(),
+            voter_probe_event: Ticker::every(VOTER_PROBE_INTERVAL),
+            read_requested_at: Micros(0),
         }
     }
 }
 
 impl Node {
     pub(crate) fn tick_configuration(&mut self) {
-        self.tick_carried();
+        self.tick_forwarded();
         if let Some(batch) = &self.configuration.batch
             && batch.retry_at.is_some_and(|retry_at| self.now >= retry_at)
         {
--- a/packages/node_protocol/src/configuration_part/batches.rs
+++ b/packages/node_protocol/src/configuration_sync/batches.rs
@@ -1,8 +1,8 @@
 //! Changes at the owner of the configuration's key: those that wait are applied in turn, written as one
 //! value, and answered together.
 
-use super::{Asker, CHANGE_SPAN, CHANGE_WAITLIST, RETRY_PAUSE, UNCONFIRMED, overloaded};
-use crate::control_part::WritePurpose;
+use super::{CHANGE_QUEUE_LIMIT, CHANGE_SPAN, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
+use crate::control_store::WritePurpose;
 use crate::node::Node;
 use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
 use control_registers::{CONFIGURATION_KEY, DIFFERS, WRITTEN};
@@ -14,16 +14,16 @@
 const WRITE_LIMIT: u32 = 8;
 
 #[derive(Debug)]
-pub(super) struct AskedChange {
-    asker: Asker,
+pub(super) struct RequestedChange {
+    requester: Requester,
     change: Change,
-    asked_at: Micros,
+    requested_at: Micros,
     outcome: Option<ChangeOutcome>,
 }
 
 #[derive(Debug)]
 pub(super) struct Batch {
-    changes: Vec<AskedChange>,
+    changes: Vec<RequestedChange>,
     /// The version of the base that the outcomes rest on: the base may move on meanwhile.
     base_version: u64,
     /// The next value, if any change was accepted on top of the base.
@@ -39,10 +39,10 @@
         self.next = base;
         self.base_version = base_version;
         let mut accepted_count = 0;
-        for asked in &mut self.changes {
-            let outcome = self.next.apply(&asked.change);
+        for requested in &mut self.changes {
+            let outcome = self.next.apply(&requested.change);
             accepted_count += u32::from(matches!(outcome, ChangeOutcome::Accepted { repeated: false, .. }));
-            asked.outcome = Some(outcome);
+            requested.outcome = Some(outcome);
         }
         accepted_count
     }
@@ -50,39 +50,39 @@
 
 impl Node {
     /// A peer passes a change on to this node.
-    pub(crate) fn change_carried(&mut self, from: NodeId, ask: u64, change_bytes: &Bytes) {
+    pub(crate) fn change_forwarded(&mut self, from: NodeId, request_id: u64, change_bytes: &Bytes) {
         let Ok(change) = serde_json::from_slice::<Change>(&change_bytes.0) else { return };
-        self.await_turn(Asker { node: from, ask }, change, self.now);
+        self.await_turn(Requester { node: from, request_id }, change, self.now);
     }
 
-    pub(super) fn await_turn(&mut self, asker: Asker, change: Change, asked_at: Micros) {
-        let is_known = |asked: &AskedChange| asked.asker == asker;
+    pub(super) fn await_turn(&mut self, requester: Requester, change: Change, requested_at: Micros) {
+        let is_known = |requested: &RequestedChange| requested.requester == requester;
         let in_batch = self.configuration.batch.iter().flat_map(|batch| &batch.changes).any(is_known);
-        if in_batch || self.configuration.waitlist.iter().any(is_known) {
+        if in_batch || self.configuration.queue.iter().any(is_known) {
             return;
         }
-        if self.configuration.waitlist.len() >= CHANGE_WAITLIST {
+        if self.configuration.queue.len() >= CHANGE_QUEUE_LIMIT {
             let outcome = overloaded();
-            self.answer_change(asker, &outcome);
+            self.respond_to_change(requester, &outcome);
             return;
         }
-        let asked_change = AskedChange { asker, change, asked_at, outcome: None };
-        self.configuration.waitlist.push_back(asked_change);
+        let requested_change = RequestedChange { requester, change, requested_at, outcome: None };
+        self.configuration.queue.push_back(requested_change);
         self.begin_batch();
     }
 
-    fn answer_change(&mut self, asker: Asker, outcome: &ChangeOutcome) {
+    fn respond_to_change(&mut self, requester: Requester, outcome: &ChangeOutcome) {
         let outcome = Bytes(serde_json::to_vec(outcome).unwrap_or_default());
-        self.send(asker.node, Message::ChangeSettled { ask: asker.ask, outcome });
+        self.send(requester.node, Message::ChangeSettled { request_id: requester.request_id, outcome });
     }
 
     /// Changes that wait are applied together, in turn, and written as one value.
     fn begin_batch(&mut self) {
-        if self.configuration.batch.is_some() || self.configuration.waitlist.is_empty() {
+        if self.configuration.batch.is_some() || self.configuration.queue.is_empty() {
             return;
         }
-        let batch_size = self.configuration.waitlist.len().min(BATCH_LIMIT);
-        let changes = self.configuration.waitlist.drain(..batch_size).collect();
+        let batch_size = self.configuration.queue.len().min(BATCH_LIMIT);
+        let changes = self.configuration.queue.drain(..batch_size).collect();
         self.configuration.batch = Some(Batch {
             changes,
             base_version: 0,
@@ -118,11 +118,11 @@
             WRITTEN => {
                 let Some(batch) = &self.configuration.batch else { return };
                 self.configuration.base = (outcome.version, batch.next.clone());
-                self.majority_told(outcome.version);
+                self.majority_reported(outcome.version);
                 self.end_batch();
             }
             DIFFERS => {
-                self.take_base(&outcome);
+                self.adopt_base(&outcome);
                 self.retry_batch(Micros(0));
             }
             _ => self.configuration_unanswered(),
@@ -137,7 +137,7 @@
         }
         let Some(batch) = &self.configuration.batch else { return };
         let is_base_newest = outcome.version == batch.base_version;
-        self.take_base(&outcome);
+        self.adopt_base(&outcome);
         match is_base_newest {
             true => self.end_batch(),
             false => self.retry_batch(Micros(0)),
@@ -152,12 +152,12 @@
     fn retry_batch(&mut self, pause: Micros) {
         let now = self.now;
         let Some(batch) = &mut self.configuration.batch else { return };
-        let is_over = batch.changes.iter().any(|asked| now >= asked.asked_at + CHANGE_SPAN);
+        let is_over = batch.changes.iter().any(|requested| now >= requested.requested_at + CHANGE_SPAN);
         if (batch.writes >= WRITE_LIMIT && pause == Micros(0)) || is_over {
-            for asked in &mut batch.changes {
-                asked.outcome = Some(ChangeOutcome::Unknown { reason: UNCONFIRMED.to_owned() });
+            for requested in &mut batch.changes {
+                requested.outcome = Some(ChangeOutcome::Unknown { reason: UNCONFIRMED.to_owned() });
             }
-            self.answer_batch();
+            self.respond_to_batch();
             return;
         }
         if pause > Micros(0) {
@@ -169,16 +169,17 @@
 
     fn end_batch(&mut self) {
         self.publish_base();
-        self.answer_batch();
+        self.respond_to_batch();
     }
 
-    fn answer_batch(&mut self) {
+    fn respond_to_batch(&mut self) {
         let Some(batch) = self.configuration.batch.take() else { return };
-        for asked in batch.changes {
-            let outcome = asked.outcome.unwrap_or(ChangeOutcome::Unknown { reason: "not tried".to_owned() });
-            let line = outcome.line(&asked.change.change_id);
-            self.journal.append("change", line, self.now);
-            self.answer_change(asked.asker, &outcome);
+        for requested in batch.changes {
+            let outcome =
+                requested.outcome.unwrap_or(ChangeOutcome::Unknown { reason: "not tried".to_owned() });
+            let line = outcome.line(&requested.change.change_id);
+            self.decision_log.append("change", line, self.now);
+            self.respond_to_change(requested.requester, &outcome);
         }
         self.begin_batch();
     }
--- a/packages/node_protocol/src/configuration_part/standing_generation.rs
+++ b/packages/node_protocol/src/configuration_sync/current_generation.rs
@@ -1,10 +1,10 @@
 //! Which generation of the configuration holds at this node, and how a majority of the disks is asked which
 //! one stands. A generation, once seen, never goes back.
 
-use super::ConfigurationPart;
-use crate::control_part::WritePurpose;
+use super::ConfigurationSync;
+use crate::control_store::WritePurpose;
 use crate::node::Node;
-use crate::{Act, ConfigurationAnswer};
+use crate::{Action, ConfigurationResponse};
 use configuration_schema::{Configuration, ConfigurationDelta, StoredConfiguration};
 use control_registers::{CONFIGURATION_KEY, WRITTEN};
 use monotonic_clock::Micros;
@@ -21,12 +21,12 @@
 const READ_SHARE: Micros = Micros::from_millis(60);
 /// A newer generation that colleagues told of and that the news did not bring within this is asked of a majority,
 /// again after as long and the time that the whole takes over this machine's link.
-const NEWS_PATIENCE: Micros = Micros::from_millis(2_000);
+const GOSSIP_TIMEOUT: Micros = Micros::from_millis(2_000);
 const AWAITED_READ_INTERVAL: Micros = Micros::from_millis(1_000);
 /// A node that was away goes on by what it has and by what colleagues told it after this.
-const DOUBT_PATIENCE: Micros = Micros::from_millis(2_000);
+const STALENESS_TIMEOUT: Micros = Micros::from_millis(2_000);
 
-impl ConfigurationPart {
+impl ConfigurationSync {
     /// How long ago a majority told this node which version of the configuration stands.
     pub(crate) fn majority_read_age(&self, now: Micros) -> Option<Micros> {
         self.majority_read_at.map(|read_at| now - read_at)
@@ -44,8 +44,8 @@
         self.confirmed
     }
 
-    pub(crate) fn is_doubted(&self) -> bool {
-        self.doubted_since.is_some()
+    pub(crate) fn is_suspected(&self) -> bool {
+        self.suspected_since.is_some()
     }
 }
 
@@ -55,35 +55,35 @@
         if outcome.outcome != WRITTEN {
             return;
         }
-        self.take_base(&outcome);
+        self.adopt_base(&outcome);
         self.configuration_confirmed(outcome.version);
     }
 
     /// A majority confirmed that the configuration known here stands, under this version.
     pub(crate) fn configuration_confirmed(&mut self, version: u64) {
-        self.majority_told(version);
+        self.majority_reported(version);
         self.configuration.confirmed = true;
-        self.configuration.doubted_since = None;
-        self.tell_ready();
+        self.configuration.suspected_since = None;
+        self.report_ready();
     }
 
-    pub(super) fn majority_told(&mut self, version: u64) {
+    pub(super) fn majority_reported(&mut self, version: u64) {
         self.configuration.majority_read_at = Some(self.now);
         self.configuration.majority_version = self.configuration.majority_version.max(version);
     }
 
     /// This node was away: before its calls go on it asks which generation holds.
-    pub(crate) fn doubt_configuration(&mut self) {
+    pub(crate) fn suspect_configuration(&mut self) {
         if !self.configuration.confirmed {
             return;
         }
-        self.configuration.doubted_since = Some(self.now);
+        self.configuration.suspected_since = Some(self.now);
         self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
     }
 
     /// Takes the configuration's register as a majority confirmed it.
-    pub(crate) fn take_base(&mut self, outcome: &WriteOutcome) {
-        self.majority_told(outcome.version);
+    pub(crate) fn adopt_base(&mut self, outcome: &WriteOutcome) {
+        self.majority_reported(outcome.version);
         if outcome.version <= self.configuration.base.0 {
             return;
         }
@@ -94,7 +94,7 @@
 
     pub(super) fn publish_base(&mut self) {
         let stored = &self.configuration.base.1;
-        if stored.generation <= self.news.sequence(CONFIGURATION_KEY) {
+        if stored.generation <= self.gossip.sequence(CONFIGURATION_KEY) {
             return;
         }
         let (generation, stored_bytes) = (stored.generation, Bytes(stored.encode()));
@@ -103,80 +103,87 @@
             ConfigurationDelta::between(base, (generation, &next)).encode()
         });
         let own = self.settings.node;
-        self.news.publish_changed(CONFIGURATION_KEY, own, generation, stored_bytes, Bytes(meaning));
-        self.configuration_news();
+        self.gossip.publish_changed(CONFIGURATION_KEY, own, generation, stored_bytes, Bytes(meaning));
+        self.handle_configuration_update();
     }
 
     /// Newer news of the configuration: it was checked before it was stored.
-    pub(crate) fn configuration_news(&mut self) {
+    pub(crate) fn handle_configuration_update(&mut self) {
         // The news' sequence is the generation.
-        if self.news.sequence(CONFIGURATION_KEY) <= self.configuration.generation {
+        if self.gossip.sequence(CONFIGURATION_KEY) <= self.configuration.generation {
             return;
         }
         match self.known_deltas() {
-            Some(deltas) => self.take_deltas(deltas),
-            None => self.take_whole_configuration(),
+            Some(deltas) => self.apply_deltas(deltas),
+            None => self.adopt_whole_configuration(),
         }
     }
 
     /// What changed since the generation that holds here, item by item, if the news tell all of it.
     fn known_deltas(&self) -> Option<Vec<ConfigurationDelta>> {
         let held = self.configuration.generation;
-        let meanings = self.news.meanings_since(CONFIGURATION_KEY, held)?;
+        let meanings = self.gossip.meanings_since(CONFIGURATION_KEY, held)?;
         let deltas: Vec<ConfigurationDelta> =
             meanings.iter().map(|meaning| ConfigurationDelta::decode(&meaning.0)).collect::<Option<_>>()?;
         let made = deltas.iter().try_fold(held, |generation, delta| {
             (delta.base_generation == generation).then_some(delta.generation)
         })?;
-        (made == self.news.sequence(CONFIGURATION_KEY)).then_some(deltas)
+        (made == self.gossip.sequence(CONFIGURATION_KEY)).then_some(deltas)
     }
 
     /// Costs what changed, not what the configuration holds.
-    fn take_deltas(&mut self, deltas: Vec<ConfigurationDelta>) {
+    fn apply_deltas(&mut self, deltas: Vec<ConfigurationDelta>) {
         for delta in &deltas {
             let touched = self.configuration_changes(delta);
             delta.apply(Arc::make_mut(&mut self.configuration.current));
             self.configuration.generation = delta.generation;
             self.settings_changed(delta, &touched);
         }
-        self.tell_configuration(deltas);
+        self.emit_configuration(deltas);
     }
 
-    fn take_whole_configuration(&mut self) {
-        let Some(news_body) = self.news.body(CONFIGURATION_KEY) else { return };
-        let Some(stored) = StoredConfiguration::decode(&news_body.0) else { return };
+    fn adopt_whole_configuration(&mut self) {
+        let Some(gossip_body) = self.gossip.body(CONFIGURATION_KEY) else { return };
+        let Some(stored) = StoredConfiguration::decode(&gossip_body.0) else { return };
         if stored.generation <= self.configuration.generation {
             return;
         }
         let Some(configuration) = stored.trusted() else {
-            self.journal.append("foreign_configuration", json!({"generation": stored.generation}), self.now);
+            self.decision_log.append(
+                "foreign_configuration",
+                json!({"generation": stored.generation}),
+                self.now,
+            );
             return;
         };
         self.configuration.current = Arc::new(configuration);
         self.configuration.generation = stored.generation;
         self.configuration_replaced();
-        self.tell_configuration(Vec::new());
+        self.emit_configuration(Vec::new());
     }
 
-    fn tell_configuration(&mut self, deltas: Vec<ConfigurationDelta>) {
+    fn emit_configuration(&mut self, deltas: Vec<ConfigurationDelta>) {
         let (generation, configuration) = (self.configuration.generation, self.configuration.current());
-        self.journal.append("configuration", json!({"generation": generation}), self.now);
-        self.act(Act::ConfigurationTaken { generation, configuration, deltas });
+        self.decision_log.append("configuration", json!({"generation": generation}), self.now);
+        self.emit(Action::ConfigurationApplied { generation, configuration, deltas });
     }
 
     /// An operator's read is confirmed by a majority, so that it never shows less than what was
     /// acknowledged anywhere.
-    pub(crate) fn configuration_asked(&mut self, request: u64) {
-        let purpose = WritePurpose::ConfigurationAsked { request };
+    pub(crate) fn configuration_requested(&mut self, request: u64) {
+        let purpose = WritePurpose::ConfigurationRequested { request };
         if self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), purpose).is_none() {
-            self.act(Act::ConfigurationAnswered { request, answer: ConfigurationAnswer::Unconfirmed });
+            self.emit(Action::ConfigurationAnswered {
+                request,
+                response: ConfigurationResponse::Unconfirmed,
+            });
         }
     }
 
     /// The configuration's stored bytes as this node knows them.
     /// Example: `StoredConfiguration::decode(&node.stored_configuration())`.
     pub fn stored_configuration(&self) -> Vec<u8> {
-        match self.news.body(CONFIGURATION_KEY) {
+        match self.gossip.body(CONFIGURATION_KEY) {
             Some(body) => body.0.clone(),
             None => StoredConfiguration::empty().encode(),
         }
@@ -184,13 +191,13 @@
 
     /// How many bytes [`Node::stored_configuration`] has, zero before the first configuration.
     pub(crate) fn stored_configuration_length(&self) -> usize {
-        self.news.body(CONFIGURATION_KEY).map_or(0, |body| body.0.len())
+        self.gossip.body(CONFIGURATION_KEY).map_or(0, |body| body.0.len())
     }
 
     /// Keeps to what is known, or asks a majority: a doubt begins and ends with time.
     pub(super) fn tick_generation(&mut self) {
-        self.update_doubt();
-        if self.configuration.confirmed && !self.configuration.is_doubted() {
+        self.update_staleness();
+        if self.configuration.confirmed && !self.configuration.is_suspected() {
             self.read_in_turn();
             return;
         }
@@ -201,17 +208,17 @@
         }
     }
 
-    fn update_doubt(&mut self) {
+    fn update_staleness(&mut self) {
         let now = self.now;
         // Nobody is heard and the platform does not answer either: this machine is cut off. A lone
         // survivor, which still reaches the platform, goes on.
-        if self.configuration.confirmed && self.is_unheard() && !self.has_fresh_list() {
-            self.configuration.doubted_since = Some(now);
+        if self.configuration.confirmed && self.is_out_of_contact() && !self.has_fresh_list() {
+            self.configuration.suspected_since = Some(now);
         }
-        if let Some(doubted_since) = self.configuration.doubted_since
-            && now >= doubted_since + DOUBT_PATIENCE
+        if let Some(suspected_since) = self.configuration.suspected_since
+            && now >= suspected_since + STALENESS_TIMEOUT
         {
-            self.configuration.doubted_since = None;
+            self.configuration.suspected_since = None;
         }
     }
 
@@ -222,7 +229,7 @@
     fn read_in_turn(&mut self) {
         let now = self.now;
         let read_at = self.configuration.majority_read_at.unwrap_or(Micros(0));
-        let asked_at = self.configuration.read_asked_at.max(read_at);
+        let requested_at = self.configuration.read_requested_at.max(read_at);
         let stored_version = self.control.stored_version(CONFIGURATION_KEY);
         let is_stored_newer = stored_version > self.configuration.majority_version;
         let share = Micros(READ_SHARE.0 * self.members.live().len() as u64);
@@ -230,22 +237,22 @@
         let interval = match is_stored_newer {
             true => STORED_READ_INTERVAL,
             false if self.key_owner(CONFIGURATION_KEY) == Some(self.settings.node) => OWNER_READ_INTERVAL,
-            false if self.is_news_overdue() => {
+            false if self.is_gossip_overdue() => {
                 usual_interval.min(AWAITED_READ_INTERVAL + self.whole_travel())
             }
             false => usual_interval,
         };
-        if now < asked_at + interval {
+        if now < requested_at + interval {
             return;
         }
-        self.configuration.read_asked_at = now;
+        self.configuration.read_requested_at = now;
         self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
     }
 
     /// Whether a newer generation was told of and has not come by the news for so long.
-    fn is_news_overdue(&self) -> bool {
-        let awaited_since = self.news.awaited_since(CONFIGURATION_KEY);
-        awaited_since.is_some_and(|since| self.now >= since + NEWS_PATIENCE)
+    fn is_gossip_overdue(&self) -> bool {
+        let awaited_since = self.gossip.awaited_since(CONFIGURATION_KEY);
+        awaited_since.is_some_and(|since| self.now >= since + GOSSIP_TIMEOUT)
     }
 
     /// How long the whole configuration is under way over this machine's link.
@@ -254,10 +261,10 @@
         Micros((self.settings.link_rate.map_or(0.0, |rate| bytes / rate) * 1e6) as u64)
     }
 
-    fn tell_ready(&mut self) {
-        if !self.configuration.ready_told {
-            self.configuration.ready_told = true;
-            self.act(Act::Ready);
+    fn report_ready(&mut self) {
+        if !self.configuration.is_ready_reported {
+            self.configuration.is_ready_reported = true;
+            self.emit(Action::Ready);
         }
     }
 }
--- a/packages/node_protocol/src/control_part.rs
+++ b/packages/node_protocol/src/control_store.rs
@@ -1,32 +1,32 @@
 //! The replicated control state at this node: the state that its parts share, the messages dealt out to
 //! them, and the clock events.
 //!
-//! The parts: the own [`disk`] and its syncs; the [`standing_set`] of voters; [`founding`];
-//! [`voter_changes`] and the copy; [`key_owners`]; [`owner_answers`], this node's work as an owner;
+//! The parts: the own [`disk`] and its syncs; the [`current_set`] of voters; [`bootstrap`];
+//! [`voter_changes`] and the copy; [`key_owners`]; [`owner_responses`], this node's work as an owner;
 //! [`requests`] in flight to owners; [`record_polls`] and the [`record_relay`] of a zone.
 
+mod bootstrap;
+mod current_set;
 mod disk;
-mod founding;
 mod key_owners;
-mod owner_answers;
+mod owner_responses;
 mod record_polls;
 mod record_relay;
 mod requests;
-mod standing_set;
 mod voter_changes;
 
 pub(crate) use requests::WritePurpose;
 
 use crate::node::Node;
-use crate::vote_swaps::DiskSightings;
+use crate::voter_replacement::DiskSightings;
 use control_registers::{ChosenSet, DiskRegisters, KeyOwner, SetCopy, VoterSet};
 use disk::Disk;
-use monotonic_clock::{ClockEvent, Micros};
-use owner_answers::OWNS_NO_KEYS;
+use monotonic_clock::{Micros, Ticker};
+use owner_responses::OWNS_NO_KEYS;
 use peer_messages::{Message, NodeId};
 use record_polls::PollGroups;
 use record_relay::{ObservedRecords, RelayedPoll};
-use requests::WriteFlight;
+use requests::WriteAttempt;
 use std::collections::BTreeMap;
 
 /// A blank disk that never voted.
@@ -39,25 +39,25 @@
 pub(crate) const DISK_FAILED: u8 = 4;
 
 /// After this an owner that does not answer is passed over for a while.
-const OWNER_PATIENCE: Micros = Micros::from_millis(600);
+const OWNER_TIMEOUT: Micros = Micros::from_millis(600);
 /// A confirmed read's outcome: a large value stands that the asker lacks, and the answering node has it
 /// as news. It takes the place of the value for machines without a disk, whose links may be small.
-const AS_NEWS: u8 = 5;
+const VIA_GOSSIP: u8 = 5;
 
 #[derive(Debug)]
-pub(crate) struct ControlPart {
+pub(crate) struct ControlStore {
     disk: Option<Disk>,
     /// Why there is a data folder and no disk.
-    disk_trouble: Option<String>,
+    disk_fault: Option<String>,
     /// The disk was formatted in the place of a damaged one.
     replaces_damaged: bool,
     owner: KeyOwner,
     /// The newest chosen set that this node knows: the one it goes by.
     set: ChosenSet,
     /// Writes and confirmed reads that await their answers, by their asks.
-    flights: BTreeMap<u64, WriteFlight>,
+    attempts: BTreeMap<u64, WriteAttempt>,
     /// Owners that left something unanswered, and until when they are passed over.
-    doubted: BTreeMap<NodeId, Micros>,
+    suspected: BTreeMap<NodeId, Micros>,
     /// Owners that were polled and did not answer yet, and since when.
     polls: BTreeMap<NodeId, Micros>,
     poll_groups: PollGroups,
@@ -66,32 +66,32 @@
     sightings: DiskSightings,
     /// The copying that this node does while the voter set changes.
     copy: Option<SetCopy>,
-    found_event: ClockEvent,
-    is_wait_told: bool,
-    upkeep_event: ClockEvent,
-    replace_event: ClockEvent,
+    bootstrap_ticker: Ticker,
+    is_wait_reported: bool,
+    upkeep_event: Ticker,
+    replace_event: Ticker,
 }
 
-impl ControlPart {
-    pub(crate) fn new(own: NodeId, disk: Option<(u64, DiskRegisters)>) -> ControlPart {
-        ControlPart {
+impl ControlStore {
+    pub(crate) fn new(own: NodeId, disk: Option<(u64, DiskRegisters)>) -> ControlStore {
+        ControlStore {
             disk: disk.map(|(id, registers)| Disk::new(id, registers)),
-            disk_trouble: None,
+            disk_fault: None,
             replaces_damaged: false,
             owner: KeyOwner::new(own),
             set: ChosenSet::default(),
-            flights: BTreeMap::new(),
-            doubted: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            suspected: BTreeMap::new(),
             polls: BTreeMap::new(),
             poll_groups: PollGroups::default(),
             observed_records: ObservedRecords::default(),
             relayed_poll: RelayedPoll::default(),
             sightings: DiskSightings::default(),
             copy: None,
-            found_event: ClockEvent::each(Micros::from_millis(200)),
-            is_wait_told: false,
-            upkeep_event: ClockEvent::each(Micros::from_millis(500)),
-            replace_event: ClockEvent::each(Micros::from_millis(100)),
+            bootstrap_ticker: Ticker::every(Micros::from_millis(200)),
+            is_wait_reported: false,
+            upkeep_event: Ticker::every(Micros::from_millis(500)),
+            replace_event: Ticker::every(Micros::from_millis(100)),
         }
     }
 
@@ -99,8 +99,8 @@
         &self.set
     }
 
-    pub(crate) fn disk_trouble(&self) -> Option<&str> {
-        self.disk_trouble.as_deref()
+    pub(crate) fn disk_fault(&self) -> Option<&str> {
+        self.disk_fault.as_deref()
     }
 
     pub(crate) fn owned_count(&self) -> usize {
@@ -109,32 +109,36 @@
 }
 
 impl Node {
-    pub(crate) fn take_control_message(&mut self, from: NodeId, message: Message) {
+    pub(crate) fn handle_control_message(&mut self, from: NodeId, message: Message) {
         let now = self.now;
         match message {
-            Message::Promise { fleet_set, entries } => self.promise_asked(from, fleet_set, &entries),
-            Message::Store { fleet_set, entries } => self.store_asked(from, fleet_set, &entries),
+            Message::Promise { fleet_set, entries } => self.promise_requested(from, fleet_set, &entries),
+            Message::Store { fleet_set, entries } => self.store_requested(from, fleet_set, &entries),
             Message::Promised { disk, entries, .. } => self.control.owner.promised(disk, entries, now),
             Message::Stored { disk, entries, .. } => self.control.owner.stored(disk, entries, now),
-            Message::Found { set, disks } => self.found(from, set, &disks.0),
-            Message::FoundAnswer { accepted: 0, disk, .. } => self.founding_refused(disk),
-            Message::KeysAsk { fleet_set } => self.keys_asked(from, fleet_set),
-            Message::KeysTold { fleet_set, disk, keys } => self.keys_told(disk, fleet_set, keys),
-            Message::RecordsPoll { mark, since, keys } => self.records_asked(from, mark, since, &keys),
-            Message::RecordsPolled { mark, known: 0, .. } => self.poll_unknown(from, mark),
+            Message::Bootstrap { set, disks } => self.bootstrap(from, set, &disks.0),
+            Message::BootstrapResponse { accepted: 0, disk, .. } => self.bootstrap_refused(disk),
+            Message::KeysRequest { fleet_set } => self.keys_requested(from, fleet_set),
+            Message::KeysResponse { fleet_set, disk, keys } => self.keys_received(disk, fleet_set, keys),
+            Message::RecordsPoll { keys_digest, since, keys } => {
+                self.records_requested(from, keys_digest, since, &keys)
+            }
+            Message::RecordsPolled { keys_digest, known: 0, .. } => self.poll_unknown(from, keys_digest),
             Message::RecordsPolled { known: OWNS_NO_KEYS, .. } => self.poll_refused(from),
-            Message::RecordsPolled { mark, change, records, renewed, .. } => {
-                self.records_polled(from, (mark, change), records.0, &renewed.0);
+            Message::RecordsPolled { keys_digest, change, records, renewed, .. } => {
+                self.records_polled(from, (keys_digest, change), records.0, &renewed.0);
             }
-            Message::RelayPoll { mark, since } => self.relay_polled_by(from, mark, since),
+            Message::RelayPoll { keys_digest, since } => self.relay_polled_by(from, keys_digest, since),
             Message::RelayPolled { relays: 0, .. } => self.relay_refused(from),
-            Message::RelayPolled { mark, change, records, renewed, silent, .. } => {
+            Message::RelayPolled { keys_digest, change, records, renewed, silent, .. } => {
                 self.owners_silent(silent);
-                self.relay_answered(from, (mark, change), &records.0, &renewed.0);
+                self.relay_answered(from, (keys_digest, change), &records.0, &renewed.0);
+            }
+            Message::Write { entries } => self.writes_requested(from, entries),
+            Message::ReadConfirmed { request_id, key, digest } => {
+                self.read_requested(from, request_id, key, digest)
             }
-            Message::Write { entries } => self.writes_asked(from, entries),
-            Message::ReadConfirmed { ask, key, digest } => self.read_asked(from, ask, key, digest),
-            Message::WriteAnswer { outcomes } => {
+            Message::WriteResponse { outcomes } => {
                 for outcome in outcomes.0 {
                     self.write_answered(from, outcome);
                 }
@@ -144,14 +148,14 @@
     }
 
     pub(crate) fn tick_control(&mut self) {
-        self.check_flights();
+        self.check_attempts();
         let now = self.now;
-        if self.control.found_event.due(now) {
-            self.try_founding();
+        if self.control.bootstrap_ticker.due(now) {
+            self.try_bootstrap();
         }
         if self.control.upkeep_event.due(now) {
             self.try_repair();
-            self.hand_over_keys();
+            self.transfer_keys();
         }
         // A change that was begun goes on with each clock event.
         if self.control.replace_event.due(now) || !self.control.set.joining.0.is_empty() {
--- /dev/null
+++ b/packages/node_protocol/src/control_store/bootstrap.rs
@@ -0,0 +1,132 @@
+//! Founding the first voter set, once in a fleet's life: who may, when, and what the asked disks answer.
+
+use super::{DISK_BLANK, DISK_VOTING};
+use crate::node::Node;
+use control_registers::{ChosenSet, VoterSet};
+use peer_messages::{Address, List, Message, NodeId, stable_hash};
+use serde_json::json;
+
+impl Node {
+    /// The one node that may found: the seed with the lowest address among those that carry a disk. Each
+    /// lower one must be heard, and carry none: a process never changes that, so no two nodes can be it.
+    /// Any rule by what a node sees of the disks lets two found two sets that share disks.
+    fn is_bootstrap_node(&self) -> bool {
+        let own = self.settings.address;
+        if self.settings.seeds.is_empty() {
+            return true;
+        }
+        let is_seed = self.settings.seeds.contains(&own);
+        is_seed && self.settings.seeds.iter().filter(|seed| **seed < own).all(|seed| self.lacks_disk(*seed))
+    }
+
+    fn lacks_disk(&self, address: Address) -> bool {
+        self.members
+            .peers()
+            .any(|member| member.address == address && member.disk == 0 && member.disk_state == 0)
+    }
+
+    /// Founds the first voter set, once: the founder's own disk and others that are blank, all live;
+    /// no member may have voted before, and at least half of the seeds must have been heard.
+    pub(super) fn try_bootstrap(&mut self) {
+        let is_bootstrap_node = self.is_bootstrap_node();
+        let Some(disk) = &self.control.disk else {
+            self.report_bootstrap_wait(is_bootstrap_node);
+            return;
+        };
+        let (own_disk, own_set) = (disk.id, disk.registers.chosen().clone());
+        if own_set.generation == 1 && own_set.joining.0.is_empty() {
+            if self.members.own().disk_state != DISK_BLANK {
+                self.finish_bootstrap(&own_set);
+            }
+            return;
+        }
+        let is_bootstrapped = own_set.generation != 0 || self.control.set.generation != 0;
+        if !is_bootstrap_node
+            || !self.settings.may_bootstrap
+            || is_bootstrapped
+            || disk.is_broken
+            || !self.may_be_first()
+        {
+            return;
+        }
+        let mut bootstrap_disks = self.blank_disks();
+        if bootstrap_disks.len() < self.settings.bootstrap_disks {
+            return;
+        }
+        // Its own disk takes the set first, and is asked in a message to itself: whatever happens to
+        // this process afterwards, it founds no other.
+        bootstrap_disks.sort_unstable_by_key(|disk| (*disk != own_disk, *disk));
+        bootstrap_disks.truncate(self.settings.bootstrap_disks);
+        bootstrap_disks.sort_unstable();
+        self.announce_bootstrap(&bootstrap_disks, &[own_disk]);
+    }
+
+    /// Tells once, on a founding seed without a disk, that no seed can found.
+    fn report_bootstrap_wait(&mut self, is_bootstrap_node: bool) {
+        let own = self.settings.address;
+        let no_seed_can = is_bootstrap_node
+            && self.settings.seeds.iter().filter(|seed| **seed != own).all(|seed| self.lacks_disk(*seed));
+        let is_missing = no_seed_can && self.control.set.generation == 0 && !self.control.is_wait_reported;
+        if is_missing && self.members.live().len() > 1 {
+            self.control.is_wait_reported = true;
+            let reason = "a seed founds the state, and none has a data folder";
+            self.decision_log.append("founding_waits", json!({"reason": reason}), self.now);
+        }
+    }
+
+    /// Enough seeds were heard, and no live member has a disk that ever voted or that fails.
+    fn may_be_first(&self) -> bool {
+        self.members.seeds_reached() * 2 >= self.members.seed_count()
+            && self.members.live().iter().all(|member| member.disk_state < DISK_VOTING)
+    }
+
+    fn blank_disks(&self) -> Vec<u64> {
+        let live = self.members.live().into_iter();
+        live.filter(|member| member.disk_state == DISK_BLANK).map(|member| member.disk).collect()
+    }
+
+    /// A founding that was cut short is told again to the members of the set that are still blank.
+    fn finish_bootstrap(&mut self, bootstrap_set: &VoterSet) {
+        let mut blank_disks = self.blank_disks();
+        blank_disks.retain(|disk| bootstrap_set.disks.0.contains(disk));
+        self.announce_bootstrap(&bootstrap_set.disks.0, &blank_disks);
+    }
+
+    fn announce_bootstrap(&mut self, bootstrap_disks: &[u64], received_disks: &[u64]) {
+        let set_digest = stable_hash(&VoterSet::bootstrap(bootstrap_disks).encode().0);
+        for disk in received_disks {
+            if let Some(node) = self.node_of_disk(*disk) {
+                self.send(
+                    node,
+                    Message::Bootstrap { set: set_digest, disks: List(bootstrap_disks.to_vec()) },
+                );
+            }
+        }
+    }
+
+    pub(super) fn bootstrap(&mut self, from: NodeId, set_digest: u64, bootstrap_disks: &[u64]) {
+        let bootstrap_set = ChosenSet::bootstrap(bootstrap_disks);
+        let is_known_other = self.control.set.generation > 0 && self.control.set != bootstrap_set;
+        let wanted_count = self.settings.bootstrap_disks;
+        let Some(disk) = self.control.sound_disk() else { return };
+        let disk_id = disk.id;
+        let is_sound = bootstrap_disks.len() == wanted_count
+            && bootstrap_disks.contains(&disk_id)
+            && set_digest == stable_hash(&bootstrap_set.encode().0)
+            && !is_known_other;
+        let records = if is_sound { disk.registers.bootstrap(&bootstrap_set) } else { None };
+        let Some(records) = records else {
+            self.send(from, Message::BootstrapResponse { set: set_digest, disk: disk_id, accepted: 0 });
+            return;
+        };
+        self.write_then_response(
+            records,
+            from,
+            Message::BootstrapResponse { set: set_digest, disk: disk_id, accepted: 1 },
+        );
+    }
+
+    pub(super) fn bootstrap_refused(&mut self, disk: u64) {
+        self.decision_log.append("founding_refused", json!({"disk": format!("{disk:016x}")}), self.now);
+    }
+}
--- a/packages/node_protocol/src/control_part/standing_set.rs
+++ b/packages/node_protocol/src/control_store/current_set.rs
@@ -3,14 +3,14 @@
 
 use crate::node::Node;
 use control_registers::{ChosenSet, DISKS_KEY};
-use peer_messages::{List, Message, NewsItem, NodeId};
+use peer_messages::{GossipItem, List, Message, NodeId};
 use serde_json::json;
 
 impl Node {
     /// A new process goes by the chosen set that its disk knows, until it hears of a newer one.
     pub(crate) fn start_by_own_set(&mut self) {
         self.go_by_own_set();
-        self.tell_disk_state();
+        self.report_disk_state();
     }
 
     pub(super) fn go_by_own_set(&mut self) {
@@ -20,9 +20,9 @@
     }
 
     /// News tell chosen sets only.
-    pub(crate) fn set_told(&mut self) {
-        if let Some(told_set) = self.news.body(DISKS_KEY).and_then(ChosenSet::told) {
-            self.learn_chosen(&told_set);
+    pub(crate) fn set_received(&mut self) {
+        if let Some(received_set) = self.gossip.body(DISKS_KEY).and_then(ChosenSet::received) {
+            self.learn_chosen(&received_set);
         }
     }
 
@@ -30,10 +30,10 @@
     pub(super) fn learn_chosen(&mut self, chosen_set: &ChosenSet) {
         if chosen_set.generation > self.control.set.generation {
             self.adopt_set(chosen_set);
-            self.news.publish(DISKS_KEY, self.settings.node, chosen_set.generation, chosen_set.encode());
+            self.gossip.publish(DISKS_KEY, self.settings.node, chosen_set.generation, chosen_set.encode());
         }
         self.keep_chosen();
-        self.tell_disk_state();
+        self.report_disk_state();
     }
 
     /// A blank disk takes the first set in which it votes; one that took a set takes each that follows.
@@ -53,8 +53,8 @@
     fn adopt_set(&mut self, next_set: &ChosenSet) {
         self.control.set = next_set.clone();
         self.control.copy = None;
-        self.control.owner.take_set(next_set);
-        self.journal.append(
+        self.control.owner.adopt_set(next_set);
+        self.decision_log.append(
             "voters",
             json!({
                 "generation": next_set.generation,
@@ -66,27 +66,27 @@
     }
 
     /// The voters hear at once of a set that was chosen here; the others get it as news.
-    pub(super) fn tell_chosen(&mut self, chosen_set: &ChosenSet) {
+    pub(super) fn announce_chosen(&mut self, chosen_set: &ChosenSet) {
         self.learn_chosen(chosen_set);
         for disk in chosen_set.all() {
             if let Some(node) = self.node_of_disk(disk).filter(|node| *node != self.settings.node) {
-                self.tell_set(node);
+                self.announce_set(node);
             }
         }
     }
 
     /// An owner under an older set than the one this node goes by hears of the newer one at once.
-    pub(super) fn tell_outdated_owner(&mut self, owner: NodeId, owner_set: u64) {
+    pub(super) fn notify_outdated_owner(&mut self, owner: NodeId, owner_set: u64) {
         if owner_set >> 32 < self.control.set.generation {
-            self.tell_set(owner);
+            self.announce_set(owner);
         }
     }
 
-    fn tell_set(&mut self, node: NodeId) {
+    fn announce_set(&mut self, node: NodeId) {
         let set = &self.control.set;
         let (origin, sequence) = (self.settings.node, set.generation);
-        let item = NewsItem { topic: DISKS_KEY.into(), origin, sequence, body: set.encode() };
-        self.send(node, Message::News { items: List(vec![item]) });
+        let item = GossipItem { topic: DISKS_KEY.into(), origin, sequence, body: set.encode() };
+        self.send(node, Message::Gossip { items: List(vec![item]) });
     }
 }
 
--- a/packages/node_protocol/src/control_part/disk.rs
+++ b/packages/node_protocol/src/control_store/disk.rs
@@ -1,8 +1,8 @@
 //! The node's own disk: its registers, the groups of records on their way to it, the answers that wait
 //! for their sync, and the repair of a disk that failed.
 
-use super::{ControlPart, DISK_BLANK, DISK_FAILED, DISK_SPARE, DISK_VOTING};
-use crate::Act;
+use super::{ControlStore, DISK_BLANK, DISK_FAILED, DISK_SPARE, DISK_VOTING};
+use crate::Action;
 use crate::node::Node;
 use control_registers::DiskRegisters;
 use monotonic_clock::Micros;
@@ -22,11 +22,11 @@
     /// It failed, or was not rewritten since the start: it answers nothing before a rewrite succeeded.
     pub(super) is_broken: bool,
     /// The decision stream was told that it failed.
-    is_failure_told: bool,
+    is_failure_reported: bool,
     next_token: u64,
     synced_token: u64,
     /// What is answered once the group of records with this token is synced.
-    answers: BTreeMap<u64, Vec<(NodeId, Message)>>,
+    responses: BTreeMap<u64, Vec<(NodeId, Message)>>,
     appended_bytes: usize,
     /// The rewrite that would make a broken disk sound again, and when the next is tried.
     repair_token: Option<u64>,
@@ -39,31 +39,31 @@
             id,
             registers,
             is_broken: false,
-            is_failure_told: false,
+            is_failure_reported: false,
             next_token: 1,
             synced_token: 0,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             appended_bytes: 0,
             repair_token: None,
             repair_due: Micros(0),
         }
     }
 
-    fn take_token(&mut self) -> u64 {
+    fn next_token(&mut self) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
         token
     }
 
     /// The answers that waited for what is synced by now.
-    fn ready_answers(&mut self) -> impl Iterator<Item = (NodeId, Message)> + use<> {
-        let waiting_answers = self.answers.split_off(&(self.synced_token + 1));
-        let ready_answers = std::mem::replace(&mut self.answers, waiting_answers);
-        ready_answers.into_values().flatten()
+    fn ready_responses(&mut self) -> impl Iterator<Item = (NodeId, Message)> + use<> {
+        let waiting_responses = self.responses.split_off(&(self.synced_token + 1));
+        let ready_responses = std::mem::replace(&mut self.responses, waiting_responses);
+        ready_responses.into_values().flatten()
     }
 }
 
-impl ControlPart {
+impl ControlStore {
     /// The version of a key that the own disk stored, whether or not a majority has it; zero without one.
     pub(crate) fn stored_version(&self, key: &str) -> u64 {
         let stored = self.disk.as_ref().and_then(|disk| disk.registers.stored(key));
@@ -76,33 +76,33 @@
 }
 
 impl Node {
-    pub(super) fn promise_asked(&mut self, from: NodeId, fleet_set: u64, entries: &List<PromiseEntry>) {
+    pub(super) fn promise_requested(&mut self, from: NodeId, fleet_set: u64, entries: &List<PromiseEntry>) {
         let Some(disk) = self.control.sound_disk() else { return };
-        let (answers, records) = disk.registers.promise(fleet_set, entries);
-        let answer = Message::Promised { disk: disk.id, entries: List(answers) };
-        self.write_then_answer(records, from, answer);
-        self.tell_outdated_owner(from, fleet_set);
+        let (responses, records) = disk.registers.promise(fleet_set, entries);
+        let response = Message::Promised { disk: disk.id, entries: List(responses) };
+        self.write_then_response(records, from, response);
+        self.notify_outdated_owner(from, fleet_set);
     }
 
-    pub(super) fn store_asked(&mut self, from: NodeId, fleet_set: u64, entries: &List<StoreEntry>) {
+    pub(super) fn store_requested(&mut self, from: NodeId, fleet_set: u64, entries: &List<StoreEntry>) {
         let Some(disk) = self.control.sound_disk() else { return };
-        let (answers, records) = disk.registers.store(fleet_set, entries);
-        let answer = Message::Stored { disk: disk.id, entries: List(answers) };
-        self.write_then_answer(records, from, answer);
-        self.tell_outdated_owner(from, fleet_set);
+        let (responses, records) = disk.registers.store(fleet_set, entries);
+        let response = Message::Stored { disk: disk.id, entries: List(responses) };
+        self.write_then_response(records, from, response);
+        self.notify_outdated_owner(from, fleet_set);
     }
 
     /// The owner that copies under a joint set asks which keys this disk knows.
-    pub(super) fn keys_asked(&mut self, from: NodeId, fleet_set: u64) {
+    pub(super) fn keys_requested(&mut self, from: NodeId, fleet_set: u64) {
         let Some(disk) = self.control.sound_disk() else { return };
         let Some(keys) = disk.registers.list_keys(fleet_set) else { return };
         let keys = List(keys.into_iter().map(Text).collect());
-        let answer = Message::KeysTold { fleet_set, disk: disk.id, keys };
+        let response = Message::KeysResponse { fleet_set, disk: disk.id, keys };
         // What bars owners under the set before must be synced.
-        self.write_then_answer(Vec::new(), from, answer);
+        self.write_then_response(Vec::new(), from, response);
     }
 
-    pub(super) fn tell_disk_state(&mut self) {
+    pub(super) fn report_disk_state(&mut self) {
         let Some(disk) = &self.control.disk else { return };
         let is_voting = self.control.set.all().contains(&disk.id);
         let state = match (disk.is_broken, is_voting, disk.registers.chosen().generation) {
@@ -121,24 +121,24 @@
     }
 
     /// Answers only once the records, and all before them, are synced.
-    pub(super) fn write_then_answer(&mut self, records: Vec<Vec<u8>>, node: NodeId, answer: Message) {
+    pub(super) fn write_then_response(&mut self, records: Vec<Vec<u8>>, node: NodeId, response: Message) {
         let Some(disk) = self.control.sound_disk() else { return };
         if records.is_empty() {
             let last_token = disk.next_token - 1;
             if disk.synced_token >= last_token {
-                self.send(node, answer);
+                self.send(node, response);
                 return;
             }
-            disk.answers.entry(last_token).or_default().push((node, answer));
+            disk.responses.entry(last_token).or_default().push((node, response));
             return;
         }
-        self.write_records(records, Some((node, answer)));
+        self.write_records(records, Some((node, response)));
     }
 
-    pub(super) fn write_records(&mut self, records: Vec<Vec<u8>>, answer: Option<(NodeId, Message)>) {
+    pub(super) fn write_records(&mut self, records: Vec<Vec<u8>>, response: Option<(NodeId, Message)>) {
         let Some(disk) = self.control.sound_disk() else { return };
-        let token = disk.take_token();
-        disk.answers.entry(token).or_default().extend(answer);
+        let token = disk.next_token();
+        disk.responses.entry(token).or_default().extend(response);
         disk.appended_bytes += records.iter().map(|record| record.len() + 8).sum::<usize>();
         let is_rewrite = disk.appended_bytes > REWRITE_SLACK;
         let written = match is_rewrite {
@@ -149,7 +149,7 @@
             false => records,
         };
         self.counts.disk_groups += 1;
-        self.act(Act::WriteDisk { token, records: written, is_rewrite });
+        self.emit(Action::WriteDisk { token, records: written, is_rewrite });
     }
 
     pub(crate) fn disk_done(&mut self, token: u64, is_synced: bool) {
@@ -164,12 +164,12 @@
         }
         disk.synced_token = disk.synced_token.max(token);
         // A founding set is gone by, and told, once it is synced here.
-        let is_founded =
+        let is_bootstrapped =
             disk.registers.chosen().generation > 0 && self.members.own().disk_state == DISK_BLANK;
-        for (node, answer) in disk.ready_answers() {
-            self.send(node, answer);
+        for (node, response) in disk.ready_responses() {
+            self.send(node, response);
         }
-        if is_founded {
+        if is_bootstrapped {
             self.go_by_own_set();
         }
     }
@@ -179,10 +179,10 @@
         let Some(disk) = &mut self.control.disk else { return };
         disk.is_broken = true;
         disk.repair_due = self.now + REPAIR_PAUSE;
-        disk.answers.clear();
-        self.control.owner.keep_only(|_| false);
-        self.tell_disk_failure();
-        self.tell_disk_state();
+        disk.responses.clear();
+        self.control.owner.retain_keys(|_| false);
+        self.report_disk_failure();
+        self.report_disk_state();
     }
 
     /// What became of a broken disk's repair. Records that were on their way when it failed do not
@@ -195,22 +195,22 @@
         disk.repair_token = None;
         disk.repair_due = now + REPAIR_PAUSE;
         if !is_synced {
-            self.tell_disk_failure();
+            self.report_disk_failure();
             return;
         }
         disk.is_broken = false;
         disk.synced_token = token;
         disk.appended_bytes = 0;
-        if std::mem::take(&mut disk.is_failure_told) {
-            self.journal.append("disk_sound_again", json!({}), now);
+        if std::mem::take(&mut disk.is_failure_reported) {
+            self.decision_log.append("disk_sound_again", json!({}), now);
         }
-        self.tell_disk_state();
+        self.report_disk_state();
     }
 
-    fn tell_disk_failure(&mut self) {
+    fn report_disk_failure(&mut self) {
         let Some(disk) = &mut self.control.disk else { return };
-        if !std::mem::replace(&mut disk.is_failure_told, true) {
-            self.journal.append("disk_failed", json!({}), self.now);
+        if !std::mem::replace(&mut disk.is_failure_reported, true) {
+            self.decision_log.append("disk_failed", json!({}), self.now);
         }
     }
 
@@ -221,7 +221,7 @@
         let Some(disk) = &mut self.control.disk else { return };
         disk.is_broken = true;
         disk.repair_due = now;
-        self.tell_disk_state();
+        self.report_disk_state();
         self.try_repair();
     }
 
@@ -233,19 +233,19 @@
         if !disk.is_broken || disk.repair_token.is_some() || now < disk.repair_due {
             return;
         }
-        let token = disk.take_token();
+        let token = disk.next_token();
         disk.repair_token = Some(token);
         let records = disk.registers.live_records();
         self.counts.disk_groups += 1;
-        self.act(Act::WriteDisk { token, records, is_rewrite: true });
+        self.emit(Action::WriteDisk { token, records, is_rewrite: true });
     }
 
     /// The node goes on as one without a disk. Its state keeps others from founding anew, and lets a spare
     /// disk take its vote.
     pub(crate) fn disk_unusable(&mut self, reason: String) {
-        self.journal.append("disk_unusable", json!({"reason": reason}), self.now);
+        self.decision_log.append("disk_unusable", json!({"reason": reason}), self.now);
         self.control.disk = None;
-        self.control.disk_trouble = Some(reason);
+        self.control.disk_fault = Some(reason);
         self.members.update_own(|own| {
             own.disk_state = DISK_FAILED;
             own.disk = 0;
@@ -253,9 +253,9 @@
     }
 
     /// A disk that was formatted after damage may be taken in by a majority, and founds nothing.
-    pub(crate) fn disk_set_aside(&mut self) {
+    pub(crate) fn disk_quarantined(&mut self) {
         self.control.replaces_damaged = true;
-        self.settings.may_found = false;
-        self.tell_disk_state();
+        self.settings.may_bootstrap = false;
+        self.report_disk_state();
     }
 }
--- a/packages/node_protocol/src/control_part/key_owners.rs
+++ b/packages/node_protocol/src/control_store/key_owners.rs
@@ -3,7 +3,7 @@
 use super::DISK_VOTING;
 use crate::node::Node;
 use control_registers::{CONFIGURATION_KEY, is_leader_key};
-use peer_messages::{Address, List, MemberNews, Message, NodeId};
+use peer_messages::{Address, List, MemberUpdate, Message, NodeId};
 use std::collections::BTreeSet;
 
 /// An operator gives a node up after about a second; with a quarter of it spent on the wire enough is
@@ -12,28 +12,30 @@
 
 impl Node {
     /// Live members whose disks vote now.
-    pub(super) fn voting_members(&self) -> Vec<MemberNews> {
+    pub(super) fn voting_members(&self) -> Vec<MemberUpdate> {
         let voters = self.control.set.all();
         let live = self.members.live().into_iter();
-        live.filter(|news| news.disk_state == DISK_VOTING && voters.contains(&news.disk)).cloned().collect()
+        live.filter(|member| member.disk_state == DISK_VOTING && voters.contains(&member.disk))
+            .cloned()
+            .collect()
     }
 
     pub(super) fn node_of_disk(&self, disk: u64) -> Option<NodeId> {
-        self.members.live().into_iter().find(|news| news.disk == disk).map(|news| news.node)
+        self.members.live().into_iter().find(|member| member.disk == disk).map(|member| member.node)
     }
 
     /// The nodes that own keys: live voters, those in doubt only where there are no others.
     pub(crate) fn owner_choices(&self) -> Vec<NodeId> {
         let voters = self.voting_members();
-        let is_doubted = |news: &MemberNews| {
-            news.draining == 1
-                || news.state != 0
-                || self.control.doubted.get(&news.node).is_some_and(|until| self.now < *until)
+        let is_suspected = |member: &MemberUpdate| {
+            member.draining == 1
+                || member.state != 0
+                || self.control.suspected.get(&member.node).is_some_and(|until| self.now < *until)
         };
         let sound_nodes: Vec<NodeId> =
-            voters.iter().filter(|news| !is_doubted(news)).map(|news| news.node).collect();
+            voters.iter().filter(|member| !is_suspected(member)).map(|member| member.node).collect();
         match sound_nodes.is_empty() {
-            true => voters.iter().map(|news| news.node).collect(),
+            true => voters.iter().map(|member| member.node).collect(),
             false => sound_nodes,
         }
     }
@@ -53,7 +55,7 @@
     pub(crate) fn probe_voters(&mut self) {
         let own = self.settings.node;
         let voters: Vec<NodeId> =
-            self.voting_members().iter().map(|news| news.node).filter(|voter| *voter != own).collect();
+            self.voting_members().iter().map(|member| member.node).filter(|voter| *voter != own).collect();
         for voter in voters {
             self.send(voter, Message::Probe { sequence: 0, target: 0, members: List(Vec::new()) });
         }
@@ -63,8 +65,8 @@
     pub(crate) fn is_majority(&self, answering: &BTreeSet<NodeId>) -> bool {
         let own = self.settings.node;
         let voters = self.voting_members();
-        let answering = voters.iter().filter(|news| news.node == own || answering.contains(&news.node));
-        self.control.set.quorum(&answering.map(|news| news.disk).collect())
+        let answering = voters.iter().filter(|member| member.node == own || answering.contains(&member.node));
+        self.control.set.quorum(&answering.map(|member| member.disk).collect())
     }
 
     /// The node to ask about a key: the rendezvous choice among live voters, those in doubt last.
@@ -80,18 +82,18 @@
     }
 
     /// Keys whose rendezvous choice is another live voter are let go.
-    pub(super) fn hand_over_keys(&mut self) {
+    pub(super) fn transfer_keys(&mut self) {
         let voters: Vec<NodeId> = self
             .voting_members()
             .iter()
-            .filter(|news| news.state == 0 && news.draining == 0)
-            .map(|news| news.node)
+            .filter(|member| member.state == 0 && member.draining == 0)
+            .map(|member| member.node)
             .collect();
         let own = self.settings.node;
         if self.draining_since.is_some() || self.control.copy.is_some() {
             return;
         }
-        self.control.owner.keep_only(|key| {
+        self.control.owner.retain_keys(|key| {
             Node::rendezvous_choice(key, voters.iter().copied()).is_none_or(|node| node == own)
         });
     }
@@ -99,14 +101,14 @@
     /// The peer where an operator had better send a body of so many bytes to, or read the whole
     /// configuration from (`None`): the owner of its key, if this machine's link is too small for that.
     /// A machine with a disk may be that owner itself, and sends nobody on.
-    /// Example: `node.better_place(Some(400_000))`.
-    pub fn better_place(&self, bytes: Option<usize>) -> Option<Address> {
+    /// Example: `node.redirect_target(Some(400_000))`.
+    pub fn redirect_target(&self, bytes: Option<usize>) -> Option<Address> {
         let link_rate = self.settings.link_rate?;
         let seconds = bytes.unwrap_or_else(|| self.stored_configuration_length()) as f64 / link_rate;
         if seconds <= WIRE_SECONDS || self.control.disk.is_some() {
             return None;
         }
         let owner = self.key_owner(CONFIGURATION_KEY)?;
-        self.members.find(owner).map(|news| news.address)
+        self.members.find(owner).map(|member| member.address)
     }
 }
--- a/packages/node_protocol/src/control_part/record_polls.rs
+++ b/packages/node_protocol/src/control_store/record_polls.rs
@@ -2,7 +2,7 @@
 //! owner's changes were heard.
 
 use crate::node::Node;
-use control_registers::{keys_mark, steward_key};
+use control_registers::{keys_digest, leader_key};
 use peer_messages::{LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord, Text};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 struct PollGroup {
     owner: NodeId,
-    mark: u64,
+    keys_digest: u64,
     functions: Vec<String>,
     change: u64,
 }
@@ -37,11 +37,11 @@
             .poll_groups
             .groups
             .iter()
-            .map(|group| (group.owner, group.mark, group.change))
+            .map(|group| (group.owner, group.keys_digest, group.change))
             .collect();
-        for (owner, mark, since) in polls {
+        for (owner, keys_digest, since) in polls {
             self.control.polls.entry(owner).or_insert(self.now);
-            self.send(owner, Message::RecordsPoll { mark, since, keys: List(Vec::new()) });
+            self.send(owner, Message::RecordsPoll { keys_digest, since, keys: List(Vec::new()) });
         }
     }
 
@@ -55,17 +55,18 @@
         }
         let mut dealt: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
         for function in self.configuration.current().functions.keys() {
-            if let Some(owner) = Node::rendezvous_choice(&steward_key(function), owners.iter().copied()) {
+            if let Some(owner) = Node::rendezvous_choice(&leader_key(function), owners.iter().copied()) {
                 dealt.entry(owner).or_default().push(function.clone());
             }
         }
         let mut groups = Vec::new();
         for (owner, functions) in dealt {
-            let mark = keys_mark(&keys_of(&functions));
+            let keys_digest = keys_digest(&keys_of(&functions));
             let known = self.control.poll_groups.groups.iter();
-            let known = known.into_iter().find(|group| group.owner == owner && group.mark == mark);
+            let known =
+                known.into_iter().find(|group| group.owner == owner && group.keys_digest == keys_digest);
             let change = known.map_or(0, |group| group.change);
-            groups.push(PollGroup { owner, mark, functions, change });
+            groups.push(PollGroup { owner, keys_digest, functions, change });
         }
         self.control.poll_groups = PollGroups { owners, generation, groups };
     }
@@ -74,13 +75,13 @@
     pub(super) fn records_polled(
         &mut self,
         from: NodeId,
-        (mark, change): (u64, u64),
+        (keys_digest, change): (u64, u64),
         records: Vec<PolledRecord>,
         renewed: &[RenewedRecord],
     ) {
         let now = self.now;
         self.control.polls.remove(&from);
-        let election = &mut self.stewards.election;
+        let election = &mut self.leadership.election;
         let observed = &mut self.control.observed_records;
         for record in records {
             if let Some(function) = record.key.0.strip_prefix("steward/") {
@@ -90,7 +91,9 @@
             }
         }
         let groups = &mut self.control.poll_groups.groups;
-        let Some(group) = groups.iter_mut().find(|group| group.owner == from && group.mark == mark) else {
+        let Some(group) =
+            groups.iter_mut().find(|group| group.owner == from && group.keys_digest == keys_digest)
+        else {
             return;
         };
         for renewal in renewed {
@@ -109,21 +112,21 @@
     /// The asked node owns nothing: another voter is asked until it does.
     pub(super) fn poll_refused(&mut self, from: NodeId) {
         self.control.polls.remove(&from);
-        self.doubt_owner(from);
+        self.suspect_owner(from);
     }
 
     /// The owner does not know the keys of a mark: they are listed.
-    pub(super) fn poll_unknown(&mut self, from: NodeId, mark: u64) {
+    pub(super) fn poll_unknown(&mut self, from: NodeId, keys_digest: u64) {
         self.control.polls.remove(&from);
         let mut groups = self.control.poll_groups.groups.iter();
-        let group = groups.find(|group| group.owner == from && group.mark == mark);
+        let group = groups.find(|group| group.owner == from && group.keys_digest == keys_digest);
         if let Some(group) = group {
             let keys = List(keys_of(&group.functions));
-            self.send(from, Message::RecordsPoll { mark, since: 0, keys });
+            self.send(from, Message::RecordsPoll { keys_digest, since: 0, keys });
         }
     }
 }
 
 pub(super) fn keys_of(functions: &[String]) -> Vec<Text> {
-    functions.iter().map(|function| steward_key(function).into()).collect()
+    functions.iter().map(|function| leader_key(function).into()).collect()
 }
--- a/packages/node_protocol/src/control_part/record_relay.rs
+++ b/packages/node_protocol/src/control_store/record_relay.rs
@@ -7,13 +7,13 @@
 
 use super::record_polls::keys_of;
 use crate::node::Node;
-use control_registers::{keys_mark, steward_key};
+use control_registers::{keys_digest, leader_key};
 use monotonic_clock::Micros;
 use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord};
 use std::collections::BTreeMap;
 
 /// A node that does not relay by its own view is passed over for so long.
-const RELAY_DOUBT: Micros = Micros::from_secs(1);
+const RELAY_SUSPECT_SPAN: Micros = Micros::from_secs(1);
 
 /// An owner that this node itself heard within this time is not silent, whatever a relay says.
 const SILENT_FOR: Micros = Micros::from_millis(600);
@@ -65,7 +65,7 @@
             };
             match known.anew_at > since {
                 true => records.push(PolledRecord {
-                    key: steward_key(function).into(),
+                    key: leader_key(function).into(),
                     version: known.version,
                     value: known.value.clone(),
                 }),
@@ -81,7 +81,7 @@
 pub(super) struct RelayedPoll {
     generation: u64,
     functions: Vec<String>,
-    mark: u64,
+    keys_digest: u64,
     /// The relay that the change number is of.
     relay: NodeId,
     change: u64,
@@ -92,9 +92,9 @@
     /// The relay that this node polls in place of the owners, if it has one that answers.
     pub(crate) fn polled_relay(&self) -> Option<NodeId> {
         let relay = self.zones.relay().filter(|relay| *relay != self.settings.node)?;
-        let is_doubted = self.control.doubted.get(&relay).is_some_and(|until| self.now < *until);
+        let is_suspected = self.control.suspected.get(&relay).is_some_and(|until| self.now < *until);
         let is_passed_over = self.now < self.control.relayed_poll.passed_over_until;
-        (!is_doubted && !is_passed_over && self.configuration.generation() > 0).then_some(relay)
+        (!is_suspected && !is_passed_over && self.configuration.generation() > 0).then_some(relay)
     }
 
     /// Asks the relay what changed since its last answer.
@@ -104,9 +104,9 @@
         if poll.relay != relay {
             (poll.relay, poll.change) = (relay, 0);
         }
-        let (mark, since) = (poll.mark, poll.change);
+        let (keys_digest, since) = (poll.keys_digest, poll.change);
         self.control.polls.entry(relay).or_insert(self.now);
-        self.send(relay, Message::RelayPoll { mark, since });
+        self.send(relay, Message::RelayPoll { keys_digest, since });
     }
 
     fn list_relayed_functions(&mut self) {
@@ -115,42 +115,42 @@
             return;
         }
         let functions: Vec<String> = self.configuration.current().functions.keys().cloned().collect();
-        let mark = keys_mark(&keys_of(&functions));
+        let keys_digest = keys_digest(&keys_of(&functions));
         let poll = &mut self.control.relayed_poll;
-        let change = if poll.mark == mark { poll.change } else { 0 };
+        let change = if poll.keys_digest == keys_digest { poll.change } else { 0 };
         let (relay, passed_over_until) = (poll.relay, poll.passed_over_until);
-        *poll = RelayedPoll { generation, functions, mark, relay, change, passed_over_until };
+        *poll = RelayedPoll { generation, functions, keys_digest, relay, change, passed_over_until };
     }
 
     /// A node of the zone polls here: it is answered only by a relay that polls the owners itself.
-    pub(super) fn relay_polled_by(&mut self, from: NodeId, mark: u64, since: u64) {
+    pub(super) fn relay_polled_by(&mut self, from: NodeId, keys_digest: u64, since: u64) {
         self.list_relayed_functions();
         let is_relaying = self.zones.may_relay() && self.polled_relay().is_none();
-        let answer = if is_relaying && mark == self.control.relayed_poll.mark {
+        let response = if is_relaying && keys_digest == self.control.relayed_poll.keys_digest {
             let observed = &self.control.observed_records;
             let since = if since > observed.change_count { 0 } else { since };
             let (records, renewed) = observed.since(&self.control.relayed_poll.functions, since);
             let change = observed.change_count;
-            let silent = self.doubted_owners();
+            let silent = self.suspected_owners();
             let (records, renewed) = (List(records), List(renewed));
-            Message::RelayPolled { mark, relays: 1, change, records, renewed, silent }
+            Message::RelayPolled { keys_digest, relays: 1, change, records, renewed, silent }
         } else {
             let (records, renewed, silent) = (List(Vec::new()), List(Vec::new()), List(Vec::new()));
-            Message::RelayPolled { mark, relays: 0, change: 0, records, renewed, silent }
+            Message::RelayPolled { keys_digest, relays: 0, change: 0, records, renewed, silent }
         };
-        self.send(from, answer);
+        self.send(from, response);
     }
 
-    fn doubted_owners(&self) -> List<NodeId> {
-        let doubted = self.control.doubted.iter().filter(|(_, until)| self.now < **until);
-        doubted.map(|(owner, _)| *owner).collect()
+    fn suspected_owners(&self) -> List<NodeId> {
+        let suspected = self.control.suspected.iter().filter(|(_, until)| self.now < **until);
+        suspected.map(|(owner, _)| *owner).collect()
     }
 
     /// Owners that the relay found silent are passed over here as well: this node does not poll them itself.
     pub(super) fn owners_silent(&mut self, owners: List<NodeId>) {
         for owner in owners.0 {
-            if !self.calls.is_heard_since(owner, self.now - SILENT_FOR) {
-                self.doubt_owner(owner);
+            if !self.calls.has_received_since(owner, self.now - SILENT_FOR) {
+                self.suspect_owner(owner);
             }
         }
     }
@@ -159,13 +159,13 @@
     pub(super) fn relay_answered(
         &mut self,
         from: NodeId,
-        (mark, change): (u64, u64),
+        (keys_digest, change): (u64, u64),
         records: &[PolledRecord],
         renewed: &[RenewedRecord],
     ) {
         let now = self.now;
         self.control.polls.remove(&from);
-        let election = &mut self.stewards.election;
+        let election = &mut self.leadership.election;
         for record in records {
             if let Some(function) = record.key.0.strip_prefix("steward/") {
                 let leader = LeaderRecord::decode(&record.value);
@@ -173,7 +173,7 @@
             }
         }
         let poll = &mut self.control.relayed_poll;
-        if poll.relay != from || poll.mark != mark {
+        if poll.relay != from || poll.keys_digest != keys_digest {
             return;
         }
         for renewal in renewed {
@@ -188,7 +188,7 @@
     /// The asked node does not relay: the owners are polled for a while, beginning now.
     pub(super) fn relay_refused(&mut self, from: NodeId) {
         self.control.polls.remove(&from);
-        self.control.relayed_poll.passed_over_until = self.now + RELAY_DOUBT;
+        self.control.relayed_poll.passed_over_until = self.now + RELAY_SUSPECT_SPAN;
         self.poll_records();
     }
 }
--- a/packages/node_protocol/src/control_part/record_relay/tests.rs
+++ b/packages/node_protocol/src/control_store/record_relay/tests.rs
@@ -11,16 +11,16 @@
     observed.observe("rush", 7, &Bytes(vec![2]));
     let (records, renewed) = observed.since(&functions(), 0);
     assert_eq!((records.len(), renewed.len()), (2, 0), "whoever knows nothing is told everything");
-    let heard = observed.change_count;
-    assert_eq!(observed.since(&functions(), heard), (Vec::new(), Vec::new()));
+    let received = observed.change_count;
+    assert_eq!(observed.since(&functions(), received), (Vec::new(), Vec::new()));
     observed.renewed("rush", 8);
     observed.renewed("proof", 3);
-    let (records, renewed) = observed.since(&functions(), heard);
+    let (records, renewed) = observed.since(&functions(), received);
     assert!(records.is_empty(), "a record that was never polled is not known by a renewal");
     assert_eq!(renewed, [RenewedRecord { place: 2, version: 8 }]);
     observed.observe("rush", 9, &Bytes(vec![3]));
     observed.renewed("rush", 10);
-    let (records, _) = observed.since(&functions(), heard);
+    let (records, _) = observed.since(&functions(), received);
     assert_eq!((records[0].version, &records[0].value), (10, &Bytes(vec![3])), "a new holder, renewed since");
 }
 
@@ -28,8 +28,8 @@
 fn a_record_never_goes_back() {
     let mut observed = ObservedRecords::default();
     observed.observe("batch", 4, &Bytes(vec![1]));
-    let heard = observed.change_count;
+    let received = observed.change_count;
     observed.observe("batch", 3, &Bytes(vec![9]));
     observed.renewed("batch", 4);
-    assert_eq!(observed.since(&functions(), heard), (Vec::new(), Vec::new()));
+    assert_eq!(observed.since(&functions(), received), (Vec::new(), Vec::new()));
 }
