--- a/packages/node_protocol/src/control_part/requests.rs
+++ b/packages/node_protocol/src/control_store/requests.rs
@@ -1,24 +1,24 @@
 //! Conditional writes and confirmed reads that this node sent to the owners of keys: what each is for,
 //! where its answer goes, and what follows when the owner stays silent.
 
-use super::{AS_NEWS, OWNER_PATIENCE};
+use super::{OWNER_TIMEOUT, VIA_GOSSIP};
 use crate::node::Node;
-use crate::{Act, ConfigurationAnswer};
-use control_registers::{AS_KNOWN, CONFIGURATION_KEY, DIFFERS, NOT_OWNER, UNKNOWN, WRITTEN, steward_key};
+use crate::{Action, ConfigurationResponse};
+use control_registers::{AS_KNOWN, CONFIGURATION_KEY, DIFFERS, NOT_OWNER, UNKNOWN, WRITTEN, leader_key};
 use monotonic_clock::Micros;
 use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, WriteEntry, WriteOutcome, value_digest};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An operator that reads asks elsewhere after about a second.
-const ASKED_PATIENCE: Micros = Micros::from_millis(900);
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(900);
 /// Any other write or read is given up after this.
-const FLIGHT_PATIENCE: Micros = Micros::from_millis(2_500);
+const ATTEMPT_TIMEOUT: Micros = Micros::from_millis(2_500);
 /// An owner that was heard meanwhile is waited for longer: it is slow, and asking elsewhere makes it slower.
-const SLOW_OWNER_PATIENCE: Micros = Micros::from_millis(2_400);
+const SLOW_OWNER_TIMEOUT: Micros = Micros::from_millis(2_400);
 /// A renewal has to stand within a lease, so it is not waited for as long.
-const SLOW_LEADER_PATIENCE: Micros = Micros::from_millis(1_200);
+const SLOW_LEADER_TIMEOUT: Micros = Micros::from_millis(1_200);
 /// For so long an owner that did not answer is passed over.
-const OWNER_DOUBT: Micros = Micros::from_secs(2);
+const OWNER_SUSPECT_SPAN: Micros = Micros::from_secs(2);
 
 /// What a write or confirmed read in flight is for.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     Configuration,
     ConfigurationRead,
     ConfigurationCheck,
-    ConfigurationAsked {
+    ConfigurationRequested {
         request: u64,
     },
     DisksRead,
@@ -49,7 +49,7 @@
         match self {
             WritePurpose::ConfigurationRead
             | WritePurpose::ConfigurationCheck
-            | WritePurpose::ConfigurationAsked { .. }
+            | WritePurpose::ConfigurationRequested { .. }
             | WritePurpose::DisksRead
             | WritePurpose::UsageRead
             | WritePurpose::DisksCopy { .. } => true,
@@ -61,21 +61,21 @@
     }
 
     /// How long its answer is awaited.
-    fn patience(&self, is_owner_heard: bool) -> Micros {
+    fn timeout(&self, has_owner_responded: bool) -> Micros {
         match self {
             // A renewal waits up to the owner's group time; another voter is tried after that.
-            WritePurpose::Leader { .. } if is_owner_heard => SLOW_LEADER_PATIENCE,
-            WritePurpose::Leader { .. } => OWNER_PATIENCE,
-            WritePurpose::ConfigurationAsked { .. } | WritePurpose::UsageRead | WritePurpose::UsageWrite => {
-                ASKED_PATIENCE
-            }
-            _ => FLIGHT_PATIENCE,
+            WritePurpose::Leader { .. } if has_owner_responded => SLOW_LEADER_TIMEOUT,
+            WritePurpose::Leader { .. } => OWNER_TIMEOUT,
+            WritePurpose::ConfigurationRequested { .. }
+            | WritePurpose::UsageRead
+            | WritePurpose::UsageWrite => REQUEST_TIMEOUT,
+            _ => ATTEMPT_TIMEOUT,
         }
     }
 }
 
 #[derive(Debug)]
-pub(super) struct WriteFlight {
+pub(super) struct WriteAttempt {
     pub(super) owner: NodeId,
     pub(super) purpose: WritePurpose,
     pub(super) sent_at: Micros,
@@ -93,25 +93,27 @@
         purpose: WritePurpose,
     ) -> Option<u64> {
         let owner = self.key_owner(key)?;
-        let ask = self.fresh_ask();
+        let request_id = self.next_request_id();
         let is_read = purpose.is_read();
         let known_digest = if is_read { self.known_digest(key) } else { 0 };
         let message = match is_read {
-            true => Message::ReadConfirmed { ask, key: key.into(), digest: known_digest },
+            true => Message::ReadConfirmed { request_id, key: key.into(), digest: known_digest },
             false => {
-                let entry = WriteEntry { ask, key: key.into(), expected, value, hasty: 1 };
+                let entry = WriteEntry { request_id, key: key.into(), expected, value, urgent: 1 };
                 Message::Write { entries: List(vec![entry]) }
             }
         };
-        self.control.flights.insert(ask, WriteFlight { owner, purpose, sent_at: self.now, known_digest });
+        self.control
+            .attempts
+            .insert(request_id, WriteAttempt { owner, purpose, sent_at: self.now, known_digest });
         self.send(owner, message);
-        Some(ask)
+        Some(request_id)
     }
 
     /// The digest of the configuration's bytes as this node has them, zero for none. Of other keys the
     /// values are small, and none is told.
     pub(super) fn known_digest(&self, key: &str) -> u64 {
-        let body = self.news.body(key).filter(|_| key == CONFIGURATION_KEY);
+        let body = self.gossip.body(key).filter(|_| key == CONFIGURATION_KEY);
         body.map_or(0, |body| value_digest(&body.0))
     }
 
@@ -119,21 +121,21 @@
     pub(crate) fn send_leader_writes(&mut self, writes: Vec<leader_election::RecordWrite>) {
         let mut groups: BTreeMap<NodeId, Vec<WriteEntry>> = BTreeMap::new();
         for write in writes {
-            let key = steward_key(&write.function);
+            let key = leader_key(&write.function);
             let Some(owner) = self.key_owner(&key) else {
-                self.stewards.election.unanswered(&write.function, self.now);
+                self.leadership.election.unanswered(&write.function, self.now);
                 continue;
             };
-            let ask = self.fresh_ask();
+            let request_id = self.next_request_id();
             let purpose = WritePurpose::Leader { function: write.function, record: write.record.clone() };
-            let flight = WriteFlight { owner, purpose, sent_at: self.now, known_digest: 0 };
-            self.control.flights.insert(ask, flight);
+            let attempt = WriteAttempt { owner, purpose, sent_at: self.now, known_digest: 0 };
+            self.control.attempts.insert(request_id, attempt);
             groups.entry(owner).or_default().push(WriteEntry {
-                ask,
+                request_id,
                 key: key.into(),
                 expected: write.expected,
                 value: write.record.encode(),
-                hasty: u8::from(write.hasty),
+                urgent: u8::from(write.urgent),
             });
         }
         for (owner, entries) in groups {
@@ -143,11 +145,11 @@
 
     pub(super) fn write_answered(&mut self, from: NodeId, outcome: WriteOutcome) {
         if outcome.outcome != NOT_OWNER {
-            self.control.doubted.remove(&from);
+            self.control.suspected.remove(&from);
         }
-        let Some(flight) = self.control.flights.remove(&outcome.ask) else { return };
-        let outcome = self.with_known_value(outcome, &flight);
-        match flight.purpose {
+        let Some(attempt) = self.control.attempts.remove(&outcome.request_id) else { return };
+        let outcome = self.with_known_value(outcome, &attempt);
+        match attempt.purpose {
             WritePurpose::Leader { function, record } => {
                 self.leader_answered(&function, &record, outcome);
             }
@@ -157,7 +159,7 @@
             }
             WritePurpose::ConfigurationRead => self.configuration_read(outcome),
             WritePurpose::ConfigurationCheck => self.configuration_checked(outcome),
-            WritePurpose::ConfigurationAsked { request } => {
+            WritePurpose::ConfigurationRequested { request } => {
                 self.operators_read_answered(from, request, outcome);
             }
             WritePurpose::DisksRead | WritePurpose::DisksChange => self.disks_answered(&outcome),
@@ -174,103 +176,103 @@
         let now = self.now;
         match outcome.outcome {
             WRITTEN => {
-                self.stewards.election.written(function, outcome.version, record, now);
+                self.leadership.election.written(function, outcome.version, record, now);
                 if ![0, self.settings.node].contains(&record.holder) {
                     self.term_written_away(function, record, outcome.version);
                 }
             }
             DIFFERS => {
                 let standing = LeaderRecord::decode(&outcome.value);
-                self.stewards.election.differs(function, outcome.version, standing, now);
+                self.leadership.election.differs(function, outcome.version, standing, now);
             }
-            _ => self.stewards.election.unanswered(function, now),
+            _ => self.leadership.election.unanswered(function, now),
         }
     }
 
     fn operators_read_answered(&mut self, from: NodeId, request: u64, outcome: WriteOutcome) {
-        let answer = match outcome.outcome {
-            WRITTEN => ConfigurationAnswer::Stored(outcome.value.0),
+        let response = match outcome.outcome {
+            WRITTEN => ConfigurationResponse::Stored(outcome.value.0),
             // What came meanwhile is newer, and stands on a majority as well.
-            AS_KNOWN => ConfigurationAnswer::Stored(self.stored_configuration()),
-            AS_NEWS => self.configuration_elsewhere(from),
-            _ => ConfigurationAnswer::Unconfirmed,
+            AS_KNOWN => ConfigurationResponse::Stored(self.stored_configuration()),
+            VIA_GOSSIP => self.configuration_elsewhere(from),
+            _ => ConfigurationResponse::Unconfirmed,
         };
-        self.act(Act::ConfigurationAnswered { request, answer });
+        self.emit(Action::ConfigurationAnswered { request, response });
     }
 
     /// The value of an answer that only says that this node's own value stands, where it is needed. A
     /// value that changed here since the question is of no use: the question is put again.
-    fn with_known_value(&mut self, outcome: WriteOutcome, flight: &WriteFlight) -> WriteOutcome {
+    fn with_known_value(&mut self, outcome: WriteOutcome, attempt: &WriteAttempt) -> WriteOutcome {
         let needs_value =
-            matches!(flight.purpose, WritePurpose::ConfigurationCheck | WritePurpose::DisksCopy { .. });
+            matches!(attempt.purpose, WritePurpose::ConfigurationCheck | WritePurpose::DisksCopy { .. });
         if outcome.outcome != AS_KNOWN || !needs_value {
             return outcome;
         }
-        match self.known_digest(&outcome.key.0) == flight.known_digest {
+        match self.known_digest(&outcome.key.0) == attempt.known_digest {
             true => WriteOutcome { outcome: WRITTEN, value: Bytes(self.stored_configuration()), ..outcome },
             false => WriteOutcome { outcome: UNKNOWN, ..outcome },
         }
     }
 
-    fn configuration_elsewhere(&self, node: NodeId) -> ConfigurationAnswer {
-        let address = self.members.find(node).map(|news| news.address);
-        address.map_or(ConfigurationAnswer::Unconfirmed, ConfigurationAnswer::Elsewhere)
+    fn configuration_elsewhere(&self, node: NodeId) -> ConfigurationResponse {
+        let address = self.members.find(node).map(|member| member.address);
+        address.map_or(ConfigurationResponse::Unconfirmed, ConfigurationResponse::Elsewhere)
     }
 
     /// A write or poll that its owner leaves unanswered: another voter is asked next time.
-    pub(super) fn check_flights(&mut self) {
-        self.doubt_silent_owners();
+    pub(super) fn check_attempts(&mut self) {
+        self.suspect_silent_owners();
         let now = self.now;
-        let flights = self.control.flights.iter();
-        let over_asks: Vec<u64> = flights
-            .filter(|(_, flight)| {
-                let is_heard = self.calls.is_heard_since(flight.owner, flight.sent_at);
-                now >= flight.sent_at + flight.purpose.patience(is_heard)
+        let attempts = self.control.attempts.iter();
+        let expired_requests: Vec<u64> = attempts
+            .filter(|(_, attempt)| {
+                let is_received = self.calls.has_received_since(attempt.owner, attempt.sent_at);
+                now >= attempt.sent_at + attempt.purpose.timeout(is_received)
             })
-            .map(|(ask, _)| *ask)
+            .map(|(request_id, _)| *request_id)
             .collect();
-        for ask in over_asks {
-            if let Some(flight) = self.control.flights.remove(&ask) {
-                self.flight_unanswered(flight.purpose);
+        for request_id in expired_requests {
+            if let Some(attempt) = self.control.attempts.remove(&request_id) {
+                self.attempt_unanswered(attempt.purpose);
             }
         }
     }
 
-    fn doubt_silent_owners(&mut self) {
+    fn suspect_silent_owners(&mut self) {
         let now = self.now;
-        let flights = self.control.flights.values().map(|flight| (flight.owner, flight.sent_at));
+        let attempts = self.control.attempts.values().map(|attempt| (attempt.owner, attempt.sent_at));
         let polls = self.control.polls.iter().map(|(owner, sent_at)| (*owner, *sent_at));
-        let silent_owners: BTreeSet<NodeId> = flights
+        let silent_owners: BTreeSet<NodeId> = attempts
             .chain(polls)
             .filter(|(owner, sent_at)| {
                 // One that is heard is slow, not gone.
-                let patience = match self.calls.is_heard_since(*owner, *sent_at) {
-                    true => SLOW_OWNER_PATIENCE,
-                    false => OWNER_PATIENCE,
+                let timeout = match self.calls.has_received_since(*owner, *sent_at) {
+                    true => SLOW_OWNER_TIMEOUT,
+                    false => OWNER_TIMEOUT,
                 };
-                now >= *sent_at + patience
+                now >= *sent_at + timeout
             })
             .map(|(owner, _)| owner)
             .collect();
         for owner in silent_owners {
-            self.doubt_owner(owner);
+            self.suspect_owner(owner);
             self.control.polls.remove(&owner);
         }
     }
 
     /// Another voter is asked for the keys of this one for a while.
-    pub(super) fn doubt_owner(&mut self, owner: NodeId) {
-        self.control.doubted.insert(owner, self.now + OWNER_DOUBT);
+    pub(super) fn suspect_owner(&mut self, owner: NodeId) {
+        self.control.suspected.insert(owner, self.now + OWNER_SUSPECT_SPAN);
     }
 
-    fn flight_unanswered(&mut self, purpose: WritePurpose) {
+    fn attempt_unanswered(&mut self, purpose: WritePurpose) {
         match purpose {
-            WritePurpose::Leader { function, .. } => self.stewards.election.unanswered(&function, self.now),
+            WritePurpose::Leader { function, .. } => self.leadership.election.unanswered(&function, self.now),
             WritePurpose::Configuration | WritePurpose::ConfigurationCheck => self.configuration_unanswered(),
             WritePurpose::DisksCopy { key, generation } => self.copy_answered(&key, generation, false),
-            WritePurpose::ConfigurationAsked { request } => {
-                let answer = ConfigurationAnswer::Unconfirmed;
-                self.act(Act::ConfigurationAnswered { request, answer });
+            WritePurpose::ConfigurationRequested { request } => {
+                let response = ConfigurationResponse::Unconfirmed;
+                self.emit(Action::ConfigurationAnswered { request, response });
             }
             WritePurpose::UsageRead => self.usage_read_unanswered(),
             WritePurpose::UsageWrite => self.usage_write_unanswered(),
--- a/packages/node_protocol/src/control_part/voter_changes.rs
+++ b/packages/node_protocol/src/control_store/voter_changes.rs
@@ -1,10 +1,10 @@
 //! Changes of the voter set: the votes of lost disks go to others by way of a joint set, under which every
 //! key is copied before the new set stands.
 
-use super::requests::{WriteFlight, WritePurpose};
+use super::requests::{WriteAttempt, WritePurpose};
 use crate::node::Node;
 use control_registers::{ChosenSet, DIFFERS, DISKS_KEY, SetCopy, VoterSet, WRITTEN};
-use peer_messages::{Bytes, List, MemberNews, Message, NodeId, Text, WriteOutcome};
+use peer_messages::{Bytes, List, MemberUpdate, Message, NodeId, Text, WriteOutcome};
 
 /// So many keys are copied at a time while the voter set changes.
 const COPY_WINDOW: usize = 256;
@@ -17,7 +17,7 @@
     pub(super) fn try_replacing(&mut self) {
         let now = self.now;
         let set = self.control.set.clone();
-        let live: Vec<MemberNews> = self.members.live().into_iter().cloned().collect();
+        let live: Vec<MemberUpdate> = self.members.live().into_iter().cloned().collect();
         self.control.sightings.update(&set, &live, now);
         if set.generation == 0 {
             return;
@@ -28,11 +28,11 @@
         let owner = self.key_owner(DISKS_KEY);
         if owner != Some(self.settings.node) || !self.owns_keys() {
             self.control.copy = None;
-            self.tell_sightings(owner, &set, &live);
+            self.report_sightings(owner, &set, &live);
             return;
         }
-        let patience = self.settings.replace_disk_after;
-        let swaps = self.control.sightings.swaps(&set, &live, patience, now);
+        let timeout = self.settings.replace_disk_after;
+        let swaps = self.control.sightings.swaps(&set, &live, timeout, now);
         if !set.joining.0.is_empty() {
             self.continue_copy(&set);
         } else if let Some(joint_set) = set.begin_changes(&swaps) {
@@ -41,10 +41,10 @@
     }
 
     /// Tells the owner of the voter set's key what it was not told yet of the voters' machines.
-    fn tell_sightings(&mut self, owner: Option<NodeId>, set: &VoterSet, live: &[MemberNews]) {
-        let told = self.control.sightings.untold(set, live);
-        if let Some(owner) = owner.filter(|_| !told.is_empty()) {
-            self.send(owner, Message::Probe { sequence: 0, target: 0, members: List(told) });
+    fn report_sightings(&mut self, owner: Option<NodeId>, set: &VoterSet, live: &[MemberUpdate]) {
+        let reported = self.control.sightings.unreported(set, live);
+        if let Some(owner) = owner.filter(|_| !reported.is_empty()) {
+            self.send(owner, Message::Probe { sequence: 0, target: 0, members: List(reported) });
         }
     }
 
@@ -63,20 +63,20 @@
         is_voting && (self.has_proposal() || !self.control.set.joining.0.is_empty())
     }
 
-    fn is_set_asked(&self) -> bool {
-        let mut purposes = self.control.flights.values().map(|flight| &flight.purpose);
+    fn is_set_requested(&self) -> bool {
+        let mut purposes = self.control.attempts.values().map(|attempt| &attempt.purpose);
         purposes.any(|purpose| matches!(purpose, WritePurpose::DisksRead | WritePurpose::DisksChange))
     }
 
     fn read_disks(&mut self) {
-        if !self.is_set_asked() {
+        if !self.is_set_requested() {
             self.send_write(DISKS_KEY, 0, Bytes::default(), WritePurpose::DisksRead);
         }
     }
 
     /// Versions of the set's key are generations.
     fn write_disks(&mut self, next_set: &VoterSet) {
-        if !self.is_set_asked() {
+        if !self.is_set_requested() {
             let expected = self.control.set.generation;
             self.send_write(DISKS_KEY, expected, next_set.encode(), WritePurpose::DisksChange);
         }
@@ -88,8 +88,8 @@
         if ![WRITTEN, DIFFERS].contains(&outcome.outcome) {
             return;
         }
-        if let Some(standing_set) = ChosenSet::told(&outcome.value) {
-            self.learn_chosen(&standing_set);
+        if let Some(current_set) = ChosenSet::received(&outcome.value) {
+            self.learn_chosen(&current_set);
         }
     }
 
@@ -104,9 +104,9 @@
         }
         let due_lists = copy.due_lists(now);
         let due_keys = copy.due_keys(COPY_WINDOW);
-        let fleet_set = joint_set.mark();
+        let fleet_set = joint_set.digest();
         for node in due_lists.into_iter().filter_map(|disk| self.node_of_disk(disk)).collect::<Vec<_>>() {
-            self.send(node, Message::KeysAsk { fleet_set });
+            self.send(node, Message::KeysRequest { fleet_set });
         }
         self.copy_keys(due_keys, joint_set.generation);
     }
@@ -115,16 +115,16 @@
     fn copy_keys(&mut self, due_keys: Vec<String>, generation: u64) {
         let (own, now) = (self.settings.node, self.now);
         for key in due_keys {
-            let ask = self.fresh_ask();
+            let request_id = self.next_request_id();
             let purpose = WritePurpose::DisksCopy { key: key.clone(), generation };
             let known_digest = self.known_digest(&key);
-            let flight = WriteFlight { owner: own, purpose, sent_at: now, known_digest };
-            self.control.flights.insert(ask, flight);
-            self.send(own, Message::ReadConfirmed { ask, key: key.into(), digest: known_digest });
+            let attempt = WriteAttempt { owner: own, purpose, sent_at: now, known_digest };
+            self.control.attempts.insert(request_id, attempt);
+            self.send(own, Message::ReadConfirmed { request_id, key: key.into(), digest: known_digest });
         }
     }
 
-    pub(super) fn keys_told(&mut self, disk: u64, fleet_set: u64, keys: List<Text>) {
+    pub(super) fn keys_received(&mut self, disk: u64, fleet_set: u64, keys: List<Text>) {
         if let Some(copy) = &mut self.control.copy {
             copy.listed(disk, fleet_set, keys.0.into_iter().map(|key| key.0));
         }
--- a/packages/node_protocol/src/journal.rs
+++ b/packages/node_protocol/src/decision_log.rs
@@ -3,26 +3,26 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-const JOURNAL_LIMIT: usize = 4_096;
+const DECISION_LOG_LIMIT: usize = 4_096;
 
 /// The node's journal of decisions in memory; views such as the counts by kind are folded from it.
 ///
-/// Example: `journal.append("steward_taken", json!({"function": "proof"}), now)`.
+/// Example: `decision_log.append("steward_taken", json!({"function": "proof"}), now)`.
 #[derive(Debug)]
-pub struct Journal {
+pub struct DecisionLog {
     node: NodeId,
     next_sequence: u64,
     lines: VecDeque<DecisionLine>,
     counts: BTreeMap<&'static str, u64>,
 }
 
-impl Journal {
-    /// An empty journal. Example: `Journal::new(7).after(0, 10).is_empty()`.
-    pub fn new(node: NodeId) -> Journal {
-        Journal { node, next_sequence: 1, lines: VecDeque::new(), counts: BTreeMap::new() }
+impl DecisionLog {
+    /// An empty journal. Example: `DecisionLog::new(7).after(0, 10).is_empty()`.
+    pub fn new(node: NodeId) -> DecisionLog {
+        DecisionLog { node, next_sequence: 1, lines: VecDeque::new(), counts: BTreeMap::new() }
     }
 
-    /// Appends a decision. Example: `journal.append("refused", json!({"reason": "waitlist full"}), now)`.
+    /// Appends a decision. Example: `decision_log.append("refused", json!({"reason": "waitlist full"}), now)`.
     pub fn append(&mut self, kind: &'static str, details: Value, now: Micros) {
         let mut line = json!({
             "node": format!("{:016x}", self.node),
@@ -40,17 +40,17 @@
         });
         self.next_sequence += 1;
         *self.counts.entry(kind).or_default() += 1;
-        if self.lines.len() > JOURNAL_LIMIT {
+        if self.lines.len() > DECISION_LOG_LIMIT {
             self.lines.pop_front();
         }
     }
 
-    /// The lines behind a sequence, oldest first. Example: `journal.after(12, 100)`.
+    /// The lines behind a sequence, oldest first. Example: `decision_log.after(12, 100)`.
     pub fn after(&self, sequence: u64, most: usize) -> Vec<DecisionLine> {
         self.lines.iter().filter(|line| line.sequence > sequence).take(most).cloned().collect()
     }
 
-    /// How many decisions of each kind. Example: `journal.counts()["steward_taken"]`.
+    /// How many decisions of each kind. Example: `decision_log.counts()["steward_taken"]`.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
--- a/packages/node_protocol/src/steward_part/allowances.rs
+++ b/packages/node_protocol/src/function_leadership/quotas.rs
@@ -4,9 +4,9 @@
 use crate::Policy;
 use crate::node::Node;
 use deku::{DekuContainerRead, DekuContainerWrite};
-use function_scheduler::{Demand, DemandedCells, Totals, allowance_split};
+use function_scheduler::{Demand, DemandedInstances, Totals, quota_split};
 use monotonic_clock::Micros;
-use peer_messages::{Bytes, DemandEntry, DemandNews, List, NodeId};
+use peer_messages::{Bytes, DemandEntry, DemandUpdate, List, NodeId};
 use std::collections::BTreeMap;
 
 /// Between two splits that only other nodes' news asks for, and between two that nothing asks for.
@@ -20,56 +20,56 @@
 #[derive(Debug, Default)]
 pub(super) struct Split {
     basis: SplitBasis,
-    news_mark: u64,
+    gossip_digest: u64,
     done_at: Micros,
 }
 
 impl Node {
     /// Tells what own functions want and applies the split of everything to them.
-    pub(super) fn split_allowances(&mut self, members: &[NodeId]) {
+    pub(super) fn split_quotas(&mut self, members: &[NodeId]) {
         let now = self.now;
         let configuration = self.configuration.current();
         let mut own_demands: BTreeMap<String, Demand> = BTreeMap::new();
-        for (function, work) in &self.stewards.works {
+        for (function, work) in &self.leadership.works {
             let Some(settings) = configuration.functions.get(function) else { continue };
-            let cell_memory_mb = settings.cell_memory_mb as f64;
-            let mut cells = work.demanded_cells();
-            if !self.is_on(Policy::SpareCells) {
-                cells.spare = 0;
+            let instance_memory_mb = settings.instance_memory_mb as f64;
+            let mut instances = work.demanded_instances();
+            if !self.is_on(Policy::SpareInstances) {
+                instances.spare = 0;
             }
             if !self.is_on(Policy::DemandClasses) {
-                cells = DemandedCells { needed: cells.total(), ..DemandedCells::default() };
+                instances = DemandedInstances { needed: instances.total(), ..DemandedInstances::default() };
             }
             let demand = Demand {
-                memory_mb: f64::from(cells.needed) * cell_memory_mb,
-                warm_mb: f64::from(cells.warm) * cell_memory_mb,
-                spare_mb: f64::from(cells.spare) * cell_memory_mb,
-                starts: f64::from(work.wanted_acts()),
+                memory_mb: f64::from(instances.needed) * instance_memory_mb,
+                warm_mb: f64::from(instances.warm) * instance_memory_mb,
+                spare_mb: f64::from(instances.spare) * instance_memory_mb,
+                starts: f64::from(work.wanted_operations()),
             };
             if demand != Demand::default() {
                 own_demands.insert(function.clone(), demand);
             }
         }
-        self.tell_demand(&own_demands, members.len());
+        self.publish_demand(&own_demands, members.len());
         // Before the first list nothing is known that could be split: by a split of nothing a node that is just
         // back would stop the cells of all that it leads as soon as it sees them.
-        if !self.stewards.has_list {
+        if !self.leadership.has_list {
             return;
         }
         // The split goes over the whole configuration: it is done when something it rests on changed.
-        let news_mark = self
-            .news
+        let gossip_digest = self
+            .gossip
             .topics("demand/")
             .fold(0u64, |sum, item| sum.rotate_left(5) ^ item.sequence.wrapping_add(item.origin));
         let basis = (
             self.configuration.generation(),
-            self.stewards.placement.total_memory_mb(),
+            self.leadership.placement.total_memory_mb(),
             members.len(),
-            self.stewards.works.len(),
+            self.leadership.works.len(),
             own_demands.clone(),
         );
-        let split = &self.stewards.split;
-        let pause = match (split.basis == basis, split.news_mark == news_mark) {
+        let split = &self.leadership.split;
+        let pause = match (split.basis == basis, split.gossip_digest == gossip_digest) {
             (false, _) => Micros(0),
             (true, false) => SPLIT_PAUSE,
             (true, true) => IDLE_SPLIT_PAUSE,
@@ -77,14 +77,14 @@
         if now < split.done_at + pause {
             return;
         }
-        self.stewards.split = Split { basis, news_mark, done_at: now };
+        self.leadership.split = Split { basis, gossip_digest, done_at: now };
         let mut demands = own_demands.clone();
-        for item in self.news.topics("demand/") {
+        for item in self.gossip.topics("demand/") {
             if item.origin == self.settings.node || !members.contains(&item.origin) {
                 continue;
             }
-            let Ok((_, demand_news)) = DemandNews::from_bytes((&item.body.0, 0)) else { continue };
-            for entry in demand_news.entries.0 {
+            let Ok((_, demand_update)) = DemandUpdate::from_bytes((&item.body.0, 0)) else { continue };
+            for entry in demand_update.entries.0 {
                 let demand = Demand {
                     memory_mb: f64::from(entry.memory_mb),
                     warm_mb: f64::from(entry.warm_mb),
@@ -95,28 +95,29 @@
             }
         }
         let member_count = members.len().max(1) as f64;
-        let acts_per_second = self.settings.acts_per_second;
+        let operations_per_second = self.settings.operations_per_second;
         // Half of the acts is every node's own in equal parts, so that a lone start never waits for
         // news; the other half follows the demand through the tree.
         let totals = Totals {
-            memory_mb: self.stewards.placement.total_memory_mb() as f64,
-            starts: acts_per_second / 2.0,
+            memory_mb: self.leadership.placement.total_memory_mb() as f64,
+            starts: operations_per_second / 2.0,
         };
-        let shares = allowance_split(&configuration, &demands, totals);
-        let equal_part = acts_per_second / 2.0 / member_count;
-        let mut own_acts = equal_part;
-        for (function, work) in &mut self.stewards.works {
+        let shares = quota_split(&configuration, &demands, totals);
+        let equal_share = operations_per_second / 2.0 / member_count;
+        let mut own_actions = equal_share;
+        for (function, work) in &mut self.leadership.works {
             let Some(settings) = configuration.functions.get(function) else { continue };
             // Who wants nothing is not named.
             let share = shares.get(function).copied().unwrap_or_default();
-            own_acts += share.starts;
-            let cell_count = (share.memory_mb / settings.cell_memory_mb as f64 + 0.001).floor() as u32;
-            work.allow_cells(cell_count);
+            own_actions += share.starts;
+            let instance_count =
+                (share.memory_mb / settings.instance_memory_mb as f64 + 0.001).floor() as u32;
+            work.set_allowed_instances(instance_count);
         }
-        self.stewards.rate.take_rate(own_acts, equal_part, now);
+        self.leadership.rate.set_rate(own_actions, equal_share, now);
     }
 
-    fn tell_demand(&mut self, own_demands: &BTreeMap<String, Demand>, member_count: usize) {
+    fn publish_demand(&mut self, own_demands: &BTreeMap<String, Demand>, member_count: usize) {
         let now = self.now;
         let entries: List<DemandEntry> = own_demands
             .iter()
@@ -128,17 +129,17 @@
                 milli_starts: (demand.starts * 1_000.0) as u32,
             })
             .collect();
-        let demand_news = DemandNews { entries };
-        let (told_at, told_news) = &self.stewards.demand_told;
+        let demand_update = DemandUpdate { entries };
+        let (reported_at, sent_updates) = &self.leadership.demand_published;
         // All nodes' news reaches every node: in a large fleet each tells its own less often.
         let pause = Micros::from_millis(300.max(member_count as u64 * 13));
-        if *told_news == demand_news || now < *told_at + pause {
+        if *sent_updates == demand_update || now < *reported_at + pause {
             return;
         }
         let topic = format!("demand/{:016x}", self.settings.node);
-        let sequence = self.news.sequence(&topic) + 1;
-        let body = Bytes(demand_news.to_bytes().unwrap_or_default());
-        self.news.publish(&topic, self.settings.node, sequence, body);
-        self.stewards.demand_told = (now, demand_news);
+        let sequence = self.gossip.sequence(&topic) + 1;
+        let body = Bytes(demand_update.to_bytes().unwrap_or_default());
+        self.gossip.publish(&topic, self.settings.node, sequence, body);
+        self.leadership.demand_published = (now, demand_update);
     }
 }
--- a/packages/node_protocol/src/policy.rs
+++ b/packages/node_protocol/src/policy.rs
@@ -10,15 +10,15 @@
     /// News, leader records and the list cross a zone's border through its relay.
     Relays,
     /// A call goes to a cell in its zone, and cells are started where calls come from.
-    NearCells,
+    LocalInstances,
     /// Functions that nobody calls have longer leases, renewed less often.
     IdleLeases,
     /// Cells are kept ready for functions that nobody called yet.
-    SpareCells,
+    SpareInstances,
     /// Memory goes to calls first, then to what keeps called functions quick.
     DemandClasses,
     /// Another node grants tickets while a function's leader does not answer.
-    Deputies,
+    FallbackSchedulers,
     /// A function that takes much of a small machine goes to a larger one.
     LargeFunctions,
     /// A node that stops names who takes over what it leads.
@@ -28,11 +28,11 @@
 /// All policies with their names in settings.
 const NAMES: [(Policy, &str); 8] = [
     (Policy::Relays, "relays"),
-    (Policy::NearCells, "near_cells"),
+    (Policy::LocalInstances, "near_cells"),
     (Policy::IdleLeases, "idle_leases"),
-    (Policy::SpareCells, "spare_cells"),
+    (Policy::SpareInstances, "spare_cells"),
     (Policy::DemandClasses, "demand_classes"),
-    (Policy::Deputies, "deputies"),
+    (Policy::FallbackSchedulers, "deputies"),
     (Policy::LargeFunctions, "large_functions"),
     (Policy::NamedSuccessors, "named_successors"),
 ];
--- a/packages/node_protocol/src/ask_relay.rs
+++ b/packages/node_protocol/src/request_relay.rs
@@ -7,7 +7,7 @@
 //! number, and a return that is lost is made up for by the end of the ticket, as on the direct way.
 
 use monotonic_clock::Micros;
-use peer_messages::{HeldTicket, NodeId, Ticket};
+use peer_messages::{HeldPermit, NodeId, Permit};
 use std::collections::BTreeMap;
 
 /// Numbers from here on are those of relayed asks; a node's own calls stay below.
@@ -19,10 +19,10 @@
 
 /// An ask on its way between a node and the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct RelayedAsk {
+pub(crate) struct RelayedRequest {
     /// Who wants the ticket, and under which number.
-    pub(crate) asker: NodeId,
-    pub(crate) ask: u64,
+    pub(crate) requester: NodeId,
+    pub(crate) request_id: u64,
     /// The leader that was asked.
     pub(crate) leader: NodeId,
     /// When it was asked last, if it has not answered since.
@@ -30,13 +30,13 @@
     ends_at: Micros,
 }
 
-/// The asks and tickets that this node relays. Example: `AskRelay::default().number_of(7, 12) == None`.
+/// The asks and tickets that this node relays. Example: `RequestRelay::default().number_of(7, 12) == None`.
 #[derive(Debug, Default)]
-pub(crate) struct AskRelay {
-    by_number: BTreeMap<u64, RelayedAsk>,
+pub(crate) struct RequestRelay {
+    by_number: BTreeMap<u64, RelayedRequest>,
     numbers: BTreeMap<(NodeId, u64), u64>,
     /// Tickets that went through here, by id, until they cannot be returned any more.
-    tickets: BTreeMap<u64, (Ticket, Micros)>,
+    permits: BTreeMap<u64, (Permit, Micros)>,
     next: u64,
 }
 
@@ -45,27 +45,27 @@
     number >= FIRST_NUMBER
 }
 
-impl AskRelay {
+impl RequestRelay {
     /// The number under which an ask was passed on before.
-    pub(crate) fn number_of(&self, asker: NodeId, ask: u64) -> Option<u64> {
-        self.numbers.get(&(asker, ask)).copied()
+    pub(crate) fn number_of(&self, requester: NodeId, request_id: u64) -> Option<u64> {
+        self.numbers.get(&(requester, request_id)).copied()
     }
 
     /// The ask that was passed on under a number.
-    pub(crate) fn get(&self, number: u64) -> Option<&RelayedAsk> {
+    pub(crate) fn get(&self, number: u64) -> Option<&RelayedRequest> {
         self.by_number.get(&number)
     }
 
     /// Notes that an ask goes to a leader now, and gives its number; none where too many are on their way.
     pub(crate) fn pass_on(
         &mut self,
-        asker: NodeId,
-        ask: u64,
+        requester: NodeId,
+        request_id: u64,
         leader: NodeId,
         ends_at: Micros,
         now: Micros,
     ) -> Option<u64> {
-        let number = match self.number_of(asker, ask) {
+        let number = match self.number_of(requester, request_id) {
             Some(number) => number,
             None if self.by_number.len() >= RELAYED_MOST => return None,
             None => {
@@ -73,14 +73,15 @@
                 FIRST_NUMBER | self.next
             }
         };
-        self.numbers.insert((asker, ask), number);
+        self.numbers.insert((requester, request_id), number);
         let unanswered_since = self
             .by_number
             .get(&number)
             .filter(|before| before.leader == leader)
             .and_then(|before| before.unanswered_since);
         let unanswered_since = Some(unanswered_since.unwrap_or(now));
-        self.by_number.insert(number, RelayedAsk { asker, ask, leader, unanswered_since, ends_at });
+        self.by_number
+            .insert(number, RelayedRequest { requester, request_id, leader, unanswered_since, ends_at });
         Some(number)
     }
 
@@ -88,26 +89,26 @@
     pub(crate) fn answered(&mut self, number: u64, leader: NodeId) -> Option<(NodeId, u64)> {
         let relayed = self.by_number.get_mut(&number).filter(|relayed| relayed.leader == leader)?;
         relayed.unanswered_since = None;
-        Some((relayed.asker, relayed.ask))
+        Some((relayed.requester, relayed.request_id))
     }
 
     /// The ask waits no more.
-    pub(crate) fn finish(&mut self, number: u64) -> Option<RelayedAsk> {
+    pub(crate) fn finish(&mut self, number: u64) -> Option<RelayedRequest> {
         let relayed = self.by_number.remove(&number)?;
-        self.numbers.remove(&(relayed.asker, relayed.ask));
+        self.numbers.remove(&(relayed.requester, relayed.request_id));
         Some(relayed)
     }
 
     /// A ticket went through here: its return does too.
-    pub(crate) fn note_ticket(&mut self, ticket: &Ticket, ends_at: Micros) {
-        if self.tickets.len() < RELAYED_MOST {
-            self.tickets.insert(ticket.id, (ticket.clone(), ends_at + RETURN_SPAN));
+    pub(crate) fn note_permit(&mut self, permit: &Permit, ends_at: Micros) {
+        if self.permits.len() < RELAYED_MOST {
+            self.permits.insert(permit.id, (permit.clone(), ends_at + RETURN_SPAN));
         }
     }
 
     /// Whether a ticket that is returned here went through here.
-    pub(crate) fn takes_back(&mut self, ticket: &Ticket) -> bool {
-        self.tickets.remove(&ticket.id).is_some()
+    pub(crate) fn accepts_return(&mut self, permit: &Permit) -> bool {
+        self.permits.remove(&permit.id).is_some()
     }
 
     /// When the call of a relayed ask is over.
@@ -126,14 +127,14 @@
         for number in over {
             self.finish(number);
         }
-        self.tickets.retain(|_, (_, ends_at)| now < *ends_at);
+        self.permits.retain(|_, (_, ends_at)| now < *ends_at);
     }
 
     /// The tickets for a function that went through here and did not come back yet.
-    pub(crate) fn held_for(&self, function: &str, now: Micros) -> impl Iterator<Item = HeldTicket> {
-        let tickets = self.tickets.values().filter(move |(ticket, _)| ticket.function.0 == function);
-        tickets.map(move |(ticket, ends_at)| HeldTicket {
-            ticket: ticket.clone(),
+    pub(crate) fn held_for(&self, function: &str, now: Micros) -> impl Iterator<Item = HeldPermit> {
+        let permits = self.permits.values().filter(move |(permit, _)| permit.function.0 == function);
+        permits.map(move |(permit, ends_at)| HeldPermit {
+            permit: permit.clone(),
             ends_in_micros: (*ends_at - now).0,
         })
     }
--- a/packages/node_protocol/src/vote_swaps/tests.rs
+++ b/packages/node_protocol/src/voter_replacement/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::control_part::{DISK_FAILED, DISK_VOTING};
+use crate::control_store::{DISK_FAILED, DISK_VOTING};
 use std::net::SocketAddr;
 
-const PATIENCE: Micros = Micros::from_secs(20);
+const TIMEOUT: Micros = Micros::from_secs(20);
 
-fn member(machine: u8, disk: u64, disk_state: u8) -> MemberNews {
-    MemberNews {
+fn member(machine: u8, disk: u64, disk_state: u8) -> MemberUpdate {
+    MemberUpdate {
         node: u64::from(machine),
         address: Address::from(SocketAddr::from(([10, 0, 0, machine], 7_000))),
         zone: "zone".into(),
@@ -18,21 +18,26 @@
     }
 }
 
-fn voters(disks: &[u64]) -> Vec<MemberNews> {
+fn voters(disks: &[u64]) -> Vec<MemberUpdate> {
     disks.iter().map(|disk| member(*disk as u8, *disk, DISK_VOTING)).collect()
 }
 
 /// What follows from these members after others were seen.
-fn swaps_after(set: &VoterSet, before: &[MemberNews], live: &[MemberNews], later: Micros) -> Vec<(u64, u64)> {
+fn swaps_after(
+    set: &VoterSet,
+    before: &[MemberUpdate],
+    live: &[MemberUpdate],
+    later: Micros,
+) -> Vec<(u64, u64)> {
     let mut sightings = DiskSightings::default();
     sightings.update(set, before, Micros(0));
     sightings.update(set, live, Micros(1));
-    sightings.swaps(set, live, PATIENCE, Micros(1) + later)
+    sightings.swaps(set, live, TIMEOUT, Micros(1) + later)
 }
 
 #[test]
 fn a_machine_back_with_a_blank_disk_gets_its_vote_at_once() {
-    let set = VoterSet::founding(&[1, 2, 3]);
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.extend([member(3, 90, DISK_BLANK), member(4, 4, DISK_SPARE)]);
     // Its own machine's disk, not the lower spare one's.
@@ -41,73 +46,73 @@
 
 #[test]
 fn a_lost_machine_is_replaced_within_a_second() {
-    let set = VoterSet::founding(&[1, 2, 3]);
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, PATIENCE), []);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
     live.push(member(7, 90, DISK_BLANK));
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), [(3, 90)]);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
     // Suspected is enough: removal takes longer.
-    let suspected = MemberNews { state: membership::SUSPECTED, ..member(3, 3, DISK_VOTING) };
+    let suspected = MemberUpdate { state: membership::SUSPECTED, ..member(3, 3, DISK_VOTING) };
     let all = [live.clone(), vec![suspected]].concat();
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &all, LOST_PATIENCE), [(3, 90)]);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &all, LOST_TIMEOUT), [(3, 90)]);
     // One that this process never met may only not have been heard of yet.
-    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, LOST_PATIENCE), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, UNMET_PATIENCE), [(3, 90)]);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, LOST_TIMEOUT), []);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, UNMET_TIMEOUT), [(3, 90)]);
     // Neither a suspected nor a draining machine takes a vote.
     live[2].state = membership::SUSPECTED;
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), []);
-    live[2] = MemberNews { draining: 1, ..member(7, 90, DISK_BLANK) };
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), []);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
+    live[2] = MemberUpdate { draining: 1, ..member(7, 90, DISK_BLANK) };
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
 }
 
 /// The machine of voter 2 is back with disk 80 while its old process still counts as alive.
 #[test]
 fn a_disk_at_another_voters_address_is_kept_for_that_voter() {
-    let set = VoterSet::founding(&[1, 2, 3]);
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.push(member(2, 80, DISK_BLANK));
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, PATIENCE), []);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
     live.push(member(7, 90, DISK_BLANK));
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_PATIENCE), [(3, 90)]);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
 }
 
 #[test]
 fn a_live_machine_with_a_failed_disk_keeps_its_vote_for_the_set_time() {
-    let set = VoterSet::founding(&[1, 2, 3]);
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.extend([member(3, 0, DISK_FAILED), member(4, 4, DISK_BLANK)]);
-    let almost = Micros(PATIENCE.0 - 1);
+    let almost = Micros(TIMEOUT.0 - 1);
     assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, almost), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, PATIENCE), [(3, 4)]);
+    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), [(3, 4)]);
 }
 
 #[test]
 fn two_of_five_are_swapped_at_once_and_a_minority_swaps_nothing() {
-    let set = VoterSet::founding(&[1, 2, 3, 4, 5]);
+    let set = VoterSet::bootstrap(&[1, 2, 3, 4, 5]);
     let spares = [member(8, 8, DISK_BLANK), member(9, 9, DISK_SPARE), member(5, 50, DISK_BLANK)];
     let mut live = voters(&[1, 2, 3]);
     live.extend(spares.clone());
     let all = voters(&[1, 2, 3, 4, 5]);
-    assert_eq!(swaps_after(&set, &all, &live, LOST_PATIENCE), [(5, 50), (4, 8)]);
+    assert_eq!(swaps_after(&set, &all, &live, LOST_TIMEOUT), [(5, 50), (4, 8)]);
     let mut few = voters(&[1, 2]);
     few.extend(spares);
-    assert_eq!(swaps_after(&set, &all, &few, PATIENCE), []);
+    assert_eq!(swaps_after(&set, &all, &few, TIMEOUT), []);
 }
 
 #[test]
 fn the_owner_is_told_once_of_suspected_voters_and_blank_disks() {
-    let set = VoterSet::founding(&[1, 2, 3]);
+    let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2, 3]);
     let mut sightings = DiskSightings::default();
-    assert_eq!(sightings.untold(&set, &live), []);
+    assert_eq!(sightings.unreported(&set, &live), []);
     live[2].state = membership::SUSPECTED;
     live.push(member(7, 90, DISK_BLANK));
-    assert_eq!(sightings.untold(&set, &live), live[2..]);
-    assert_eq!(sightings.untold(&set, &live), []);
+    assert_eq!(sightings.unreported(&set, &live), live[2..]);
+    assert_eq!(sightings.unreported(&set, &live), []);
     // It answers again, and is suspected anew.
     live[2].state = membership::ALIVE;
-    assert_eq!(sightings.untold(&set, &live), []);
+    assert_eq!(sightings.unreported(&set, &live), []);
     live[2].state = membership::SUSPECTED;
-    assert_eq!(sightings.untold(&set, &live), live[2..3]);
+    assert_eq!(sightings.unreported(&set, &live), live[2..3]);
 }
--- a/packages/node_protocol/src/zones.rs
+++ b/packages/node_protocol/src/zones.rs
@@ -2,7 +2,7 @@
 
 use gossip::Neighbours;
 use membership::ALIVE;
-use peer_messages::{Address, MemberNews, NodeId, rendezvous_weight};
+use peer_messages::{Address, MemberUpdate, NodeId, rendezvous_weight};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Up to so many colleagues everybody speaks with everybody: relays would add a step and save little.
@@ -11,7 +11,7 @@
 const RELAYS: usize = 2;
 
 /// The live members by zone, derived anew whenever the members change.
-/// Example: `zones.is_near(node)`.
+/// Example: `zones.is_local(node)`.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
     /// The members' revision that this was derived from.
@@ -19,7 +19,7 @@
     own: NodeId,
     own_zone: String,
     zone_of: BTreeMap<NodeId, String>,
-    near_addresses: BTreeSet<Address>,
+    local_addresses: BTreeSet<Address>,
     zone_count: usize,
     /// The relays of each zone, the first one first; none in a fleet that needs none.
     relays: BTreeMap<String, Vec<NodeId>>,
@@ -28,10 +28,15 @@
 impl Zones {
     /// Zones of the members at a revision, with relays where a fleet of this size may have some.
     /// Example: `Zones::of(&own_news, &live, true, 7)`.
-    pub(crate) fn of(own: &MemberNews, live: &[&MemberNews], may_have_relays: bool, revision: u64) -> Zones {
-        let mut members: BTreeMap<&str, Vec<&MemberNews>> = BTreeMap::new();
-        for news in live {
-            members.entry(&news.zone.0).or_default().push(news);
+    pub(crate) fn of(
+        own: &MemberUpdate,
+        live: &[&MemberUpdate],
+        may_have_relays: bool,
+        revision: u64,
+    ) -> Zones {
+        let mut members: BTreeMap<&str, Vec<&MemberUpdate>> = BTreeMap::new();
+        for member in live {
+            members.entry(&member.zone.0).or_default().push(member);
         }
         let has_relays = may_have_relays && live.len() > SMALL_FLEET + 1 && members.len() > 1;
         let relays = members.iter().filter(|_| has_relays);
@@ -39,12 +44,12 @@
             revision,
             own: own.node,
             own_zone: own.zone.0.clone(),
-            zone_of: live.iter().map(|news| (news.node, news.zone.0.clone())).collect(),
+            zone_of: live.iter().map(|member| (member.node, member.zone.0.clone())).collect(),
             zone_count: members.len(),
-            near_addresses: live
+            local_addresses: live
                 .iter()
-                .filter(|news| news.zone == own.zone)
-                .map(|news| news.address)
+                .filter(|member| member.zone == own.zone)
+                .map(|member| member.address)
                 .collect(),
             relays: relays.map(|(zone, members)| ((*zone).to_owned(), relays_of(zone, members))).collect(),
         }
@@ -65,15 +70,15 @@
         self.zone_count
     }
 
-    /// How many live members this node's zone has. Example: `zones.near_count() == 23`.
-    pub(crate) fn near_count(&self) -> usize {
-        self.near_addresses.len()
+    /// How many live members this node's zone has. Example: `zones.local_count() == 23`.
+    pub(crate) fn local_count(&self) -> usize {
+        self.local_addresses.len()
     }
 
     /// Whether a live member of this node's zone listens at an address.
-    /// Example: `zones.is_near_address(own_address)`.
-    pub(crate) fn is_near_address(&self, address: &Address) -> bool {
-        self.near_addresses.contains(address)
+    /// Example: `zones.is_local_address(own_address)`.
+    pub(crate) fn is_local_address(&self, address: &Address) -> bool {
+        self.local_addresses.contains(address)
     }
 
     /// The node that carries things over the border of this node's zone, if the fleet has such nodes.
@@ -87,31 +92,31 @@
         self.relays.get(&self.own_zone).is_some_and(|relays| relays.contains(&self.own))
     }
 
-    /// How news is passed on. Example: `news.take_neighbours(own, zones.neighbours())`.
+    /// How news is passed on. Example: `gossip.set_neighbours(own, zones.neighbours())`.
     pub(crate) fn neighbours(&self) -> Neighbours {
-        let colleagues = self.zone_of.iter().filter(|(node, _)| **node != self.own);
+        let peers = self.zone_of.iter().filter(|(node, _)| **node != self.own);
         if self.relays.is_empty() {
-            return Neighbours::of_one_zone(colleagues.map(|(node, _)| *node).collect());
+            return Neighbours::of_one_zone(peers.map(|(node, _)| *node).collect());
         }
-        let (near, far): (Vec<_>, Vec<_>) = colleagues.partition(|(_, zone)| **zone == self.own_zone);
+        let (local, remote): (Vec<_>, Vec<_>) = peers.partition(|(_, zone)| **zone == self.own_zone);
         let others = self.relays.iter().filter(|(zone, _)| **zone != self.own_zone);
         Neighbours {
-            near: near.into_iter().map(|(node, _)| *node).collect(),
-            far: far.into_iter().map(|(node, _)| *node).collect(),
+            local: local.into_iter().map(|(node, _)| *node).collect(),
+            remote: remote.into_iter().map(|(node, _)| *node).collect(),
             own_relays: self.relays.get(&self.own_zone).cloned().unwrap_or_default(),
-            far_relays: others.map(|(_, relays)| relays.clone()).collect(),
+            remote_relays: others.map(|(_, relays)| relays.clone()).collect(),
         }
     }
 }
 
 /// The members that can carry most, by rendezvous among equals; those in doubt or leaving last.
-fn relays_of(zone: &str, members: &[&MemberNews]) -> Vec<NodeId> {
-    let mut ranked: Vec<&&MemberNews> = members.iter().collect();
-    ranked.sort_by_key(|news| {
-        let is_sound = news.state == ALIVE && news.draining == 0;
-        std::cmp::Reverse((is_sound, news.processor, rendezvous_weight(zone, news.node), news.node))
+fn relays_of(zone: &str, members: &[&MemberUpdate]) -> Vec<NodeId> {
+    let mut ranked: Vec<&&MemberUpdate> = members.iter().collect();
+    ranked.sort_by_key(|member| {
+        let is_sound = member.state == ALIVE && member.draining == 0;
+        std::cmp::Reverse((is_sound, member.processor, rendezvous_weight(zone, member.node), member.node))
     });
-    ranked.into_iter().take(RELAYS).map(|news| news.node).collect()
+    ranked.into_iter().take(RELAYS).map(|member| member.node).collect()
 }
 
 #[cfg(test)]
--- a/packages/node_protocol/src/zones/tests.rs
+++ b/packages/node_protocol/src/zones/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use peer_messages::Address;
 
-fn member(node: NodeId, zone: &str, processor: u32) -> MemberNews {
-    MemberNews {
+fn member(node: NodeId, zone: &str, processor: u32) -> MemberUpdate {
+    MemberUpdate {
         node,
         address: Address::from(std::net::SocketAddr::from(([10, 0, 0, node as u8], 7_000))),
         zone: zone.into(),
@@ -16,12 +16,12 @@
 }
 
 /// Twenty members in two zones; the tenth and the twentieth are larger machines.
-fn fleet() -> Vec<MemberNews> {
+fn fleet() -> Vec<MemberUpdate> {
     let zone = |node| if node <= 10 { "a" } else { "b" };
     (1..=20).map(|node| member(node, zone(node), if node % 10 == 0 { 320 } else { 120 })).collect()
 }
 
-fn zones(fleet: &[MemberNews], own: usize) -> Zones {
+fn zones(fleet: &[MemberUpdate], own: usize) -> Zones {
     Zones::of(&fleet[own], &fleet.iter().collect::<Vec<_>>(), true, 1)
 }
 
@@ -32,9 +32,9 @@
     assert_eq!(zones(&fleet, 14).relay(), Some(20));
     assert!(zones(&fleet, 9).may_relay() && zones(&fleet, 0).zone_of(20) == Some("b"));
     let neighbours = zones(&fleet, 0).neighbours();
-    assert_eq!((neighbours.near.len(), neighbours.far.len()), (9, 10));
-    assert_eq!((neighbours.own_relays[0], neighbours.far_relays.len()), (10, 1));
-    assert_eq!(neighbours.far_relays[0][0], 20);
+    assert_eq!((neighbours.local.len(), neighbours.remote.len()), (9, 10));
+    assert_eq!((neighbours.own_relays[0], neighbours.remote_relays.len()), (10, 1));
+    assert_eq!(neighbours.remote_relays[0][0], 20);
     fleet[9].draining = 1;
     let relay = zones(&fleet, 0).relay().expect("another relay");
     assert!((1..10).contains(&relay), "a node that leaves relays no more: {relay}");
@@ -45,7 +45,7 @@
 fn a_small_fleet_and_one_zone_have_no_relays() {
     let small = &fleet()[5..15];
     assert_eq!(zones(small, 0).relay(), None);
-    assert_eq!(zones(small, 0).neighbours().near.len(), 9, "everybody is near");
-    let one_zone: Vec<MemberNews> = (1..=20).map(|node| member(node, "a", 120)).collect();
+    assert_eq!(zones(small, 0).neighbours().local.len(), 9, "everybody is near");
+    let one_zone: Vec<MemberUpdate> = (1..=20).map(|node| member(node, "a", 120)).collect();
     assert_eq!(zones(&one_zone, 0).relay(), None);
 }
--- a/packages/peer_messages/src/delivery.rs
+++ b/packages/peer_messages/src/delivery.rs
@@ -15,7 +15,7 @@
 /// A probe's answer counts only within its interval; a poll is put again before that.
 const PROBE_SPAN: Duration = Duration::from_millis(1_000);
 /// Whoever asks for a ticket, a promise or a write asks again, or elsewhere, before that.
-const ANSWER_SPAN: Duration = Duration::from_millis(2_000);
+const RESPONSE_SPAN: Duration = Duration::from_millis(2_000);
 /// What nobody sends again, or what stays true however late it comes.
 const LASTING_SPAN: Duration = Duration::from_secs(10);
 
@@ -23,50 +23,50 @@
     /// Which messages go first where some wait. Example: `message.priority()`.
     pub fn priority(&self) -> Priority {
         match self {
-            Message::News { .. }
-            | Message::NewsDigest { .. }
-            | Message::NewsMarks { .. }
-            | Message::NewsAsk { .. }
-            | Message::NewsChanges { .. }
-            | Message::MembersTold { .. }
-            | Message::ListTold { .. }
+            Message::Gossip { .. }
+            | Message::GossipDigest { .. }
+            | Message::GossipVersions { .. }
+            | Message::GossipRequest { .. }
+            | Message::GossipBodyChanges { .. }
+            | Message::MembersResponse { .. }
+            | Message::ListResponse { .. }
             | Message::RecordsPoll { .. }
             | Message::RecordsPolled { .. }
             | Message::RelayPoll { .. }
             | Message::RelayPolled { .. }
-            | Message::UsageTold { .. }
-            | Message::UsageHeard { .. }
-            | Message::DecisionsAnswer { .. } => Priority::Bulk,
+            | Message::UsageUpdate { .. }
+            | Message::UsageAck { .. }
+            | Message::DecisionsResponse { .. } => Priority::Bulk,
             _ => Priority::Urgent,
         }
     }
 
     /// How long after it was made the message is of use. An older one is dropped, unsent or unread: its
     /// sender has asked again by then, and the answer would only take time from those that are waited for.
-    /// Example: `message.useful_for() >= Duration::from_secs(1)`.
-    pub fn useful_for(&self) -> Duration {
+    /// Example: `message.valid_for() >= Duration::from_secs(1)`.
+    pub fn valid_for(&self) -> Duration {
         match self {
             Message::Probe { .. }
-            | Message::ProbeAnswer { .. }
+            | Message::ProbeResponse { .. }
             | Message::ProbeFor { .. }
             | Message::MembersDigest { .. }
-            | Message::NewsDigest { .. }
+            | Message::GossipDigest { .. }
             | Message::RecordsPoll { .. }
             | Message::RecordsPolled { .. }
             | Message::RelayPoll { .. }
             | Message::RelayPolled { .. }
-            | Message::UsageTold { .. }
-            | Message::UsageHeard { .. }
-            | Message::ListAsk { .. } => PROBE_SPAN,
+            | Message::UsageUpdate { .. }
+            | Message::UsageAck { .. }
+            | Message::ListRequest { .. } => PROBE_SPAN,
             Message::Promise { .. }
             | Message::Promised { .. }
             | Message::Store { .. }
             | Message::Stored { .. }
             | Message::Write { .. }
-            | Message::WriteAnswer { .. }
+            | Message::WriteResponse { .. }
             | Message::ReadConfirmed { .. }
-            | Message::TicketAsk { .. }
-            | Message::TicketHeldBack { .. } => ANSWER_SPAN,
+            | Message::PermitRequest { .. }
+            | Message::PermitDeferred { .. } => RESPONSE_SPAN,
             _ => LASTING_SPAN,
         }
     }
--- a/packages/peer_messages/src/lib.rs
+++ b/packages/peer_messages/src/lib.rs
@@ -24,20 +24,20 @@
 /// Bytes before a frame's payload: mark, length, checksum.
 pub const FRAME_HEAD: usize = 12;
 
-const FRAME_MARK: u32 = 0x314C_4E56; // "VNL1"
+const FRAME_MAGIC: u32 = 0x314C_4E56; // "VNL1"
 /// The payload is packed (LZ4, its length in front).
-const PACKED_MARK: u32 = 0x5A4C_4E56; // "VNLZ"
+const PACKED_MAGIC: u32 = 0x5A4C_4E56; // "VNLZ"
 /// Shorter payloads are not worth packing.
 const PACKED_FROM: usize = 256;
 /// What LZ4 packs tightest: a length beyond this is a lie.
 const PACKED_RATIO: usize = 255;
 
-/// In what part a node is asked for a ticket: the values of `TicketAsk`'s `deputy`.
-pub mod ticket_ask {
+/// In what part a node is asked for a ticket: the values of `PermitRequest`'s `fallback`.
+pub mod permit_request {
     /// As the function's leader.
-    pub const NOT_AS_DEPUTY: u8 = 0;
+    pub const AS_LEADER: u8 = 0;
     /// As its deputy: the leader did not answer.
-    pub const AS_DEPUTY: u8 = 1;
+    pub const AS_FALLBACK: u8 = 1;
     /// As its deputy, who may pass the ask on: the leader is out of the asker's reach.
     pub const AS_RELAY: u8 = 2;
 }
@@ -46,7 +46,7 @@
 macro_rules! messages {
     (
         parts { $($(#[$part_note:meta])* $part:ident { $($(#[$part_field_note:meta])* $part_field:ident: $part_type:ty,)* })* }
-        messages { $($(#[$note:meta])* $id:literal $name:ident { $($field:ident: $type:ty,)* })* }
+        messages { $($(#[$note:meta])* $id:literal $name:ident as $text:literal { $($field:ident: $type:ty,)* })* }
     ) => {
         $($(#[$part_note])*
         #[derive(Clone, Debug, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
@@ -61,7 +61,7 @@
         impl Message {
             /// The message's name for logs and counts. Example: `message.name() == "Probe"`.
             pub fn name(&self) -> &'static str {
-                match self { $(Message::$name { .. } => stringify!($name),)* }
+                match self { $(Message::$name { .. } => $text,)* }
             }
         }
     };
@@ -70,7 +70,7 @@
 messages! {
     parts {
         /// What is said of one member: `state` is 0 alive, 1 suspected, 2 gone.
-        MemberNews {
+        MemberUpdate {
             node: NodeId,
             address: Address,
             zone: Text,
@@ -90,47 +90,47 @@
         PromiseEntry { key: Text, epoch: Epoch, }
         /// `granted` 0 means `promised` is the higher epoch that stands.
         PromisedEntry { key: Text, granted: u8, promised: Epoch, stored_epoch: Epoch, version: u64, value: Bytes, }
-        /// `flight` tells apart stores of the same version, so that a late answer to an earlier one
+        /// `attempt` tells apart stores of the same version, so that a late answer to an earlier one
         /// never counts for a later one. A `digest` that is not zero stands for a value left out, which
         /// the disk is taken to hold under this version.
-        StoreEntry { key: Text, epoch: Epoch, flight: u64, version: u64, digest: u64, value: Bytes, }
+        StoreEntry { key: Text, epoch: Epoch, attempt: u64, version: u64, digest: u64, value: Bytes, }
         /// `granted`: 0 refused, 1 stored, 2 the disk does not hold the value of the entry's digest.
-        StoredEntry { key: Text, epoch: Epoch, flight: u64, version: u64, granted: u8, promised: Epoch, }
+        StoredEntry { key: Text, epoch: Epoch, attempt: u64, version: u64, granted: u8, promised: Epoch, }
         PolledRecord { key: Text, version: u64, value: Bytes, }
         /// A record that was only renewed since the asker's last poll, by its place among the polled keys.
         RenewedRecord { place: u16, version: u64, }
-        /// `hasty` 1 asks for a flush at once; renewals wait for the group.
-        WriteEntry { ask: u64, key: Text, expected: u64, value: Bytes, hasty: u8, }
+        /// `urgent` 1 asks for a flush at once; renewals wait for the group.
+        WriteEntry { request_id: u64, key: Text, expected: u64, value: Bytes, urgent: u8, }
         /// `outcome`: 0 written, 1 version differs (value holds what stands), 2 not owner, 3 no majority,
         /// 4 what stands has the digest that the asker told, 5 a large value stands that the asker lacks:
         /// the answering node has it as news.
-        WriteOutcome { ask: u64, key: Text, outcome: u8, version: u64, value: Bytes, }
+        WriteOutcome { request_id: u64, key: Text, outcome: u8, version: u64, value: Bytes, }
         /// The paper's leader record with an epoch beside it.
-        LeaderRecord { holder: NodeId, renew_count: u64, lease_micros: u64, steward_epoch: u64, }
+        LeaderRecord { holder: NodeId, renew_count: u64, lease_micros: u64, leader_epoch: u64, }
         /// The right to one dispatch to one cell.
-        Ticket { id: u64, granted_by: NodeId, steward_epoch: u64, function: Text, cell: Text, address: Address, }
-        HeldTicket { ticket: Ticket, ends_in_micros: u64, }
+        Permit { id: u64, granted_by: NodeId, leader_epoch: u64, function: Text, instance: Text, address: Address, }
+        HeldPermit { permit: Permit, ends_in_micros: u64, }
         /// A ticket that is out as its leader hands the term over; `is_over` 1 where the asker is done with it and
         /// the cell may not be.
-        HandedTicket { asker: NodeId, held: HeldTicket, is_over: u8, }
+        TransferredPermit { requester: NodeId, held: HeldPermit, is_over: u8, }
         /// What a leader saw of a function's calls, loads and rates in thousandths; `called_for_micros` since the first
-        /// call, zero where none came; `cells_kept` cells that it keeps now.
-        HandedDemand {
+        /// call, zero where none came; `instances_kept` cells that it keeps now.
+        TransferredDemand {
             load_fast: u32,
             load_slow: u32,
             rate: u32,
             rate_fast: u32,
             called_for_micros: u64,
-            cells_kept: u32,
+            instances_kept: u32,
             usual_latency_micros: u64,
             boot_micros: u64,
         }
-        HeldAskEntry { function: Text, steward_epoch: u64, }
-        HeldAnswerEntry { function: Text, steward_epoch: u64, tickets: List<HeldTicket>, }
-        NewsItem { topic: Text, origin: NodeId, sequence: u64, body: Bytes, }
-        NewsMark { topic: Text, sequence: u64, }
+        HeldPermitsRequestEntry { function: Text, leader_epoch: u64, }
+        HeldPermitsResponseEntry { function: Text, leader_epoch: u64, permits: List<HeldPermit>, }
+        GossipItem { topic: Text, origin: NodeId, sequence: u64, body: Bytes, }
+        GossipVersion { topic: Text, sequence: u64, }
         /// The mark of a body that does not ride along unasked: who published it, how many bytes it has.
-        LargeMark { topic: Text, sequence: u64, origin: NodeId, bytes: u32, }
+        LargeBodyVersion { topic: Text, sequence: u64, origin: NodeId, bytes: u32, }
         /// A stretch copied from the base, and new bytes behind it.
         DeltaStep { from: u32, length: u32, insert: Bytes, }
         /// How the body of one sequence became another; `digest` is that of the outcome. `meaning` is what
@@ -141,119 +141,119 @@
         /// Megabytes that calls need, that keep a called function quick, and for a function that nobody called.
         DemandEntry { function: Text, memory_mb: u32, warm_mb: u32, spare_mb: u32, milli_starts: u32, }
         /// What a node's functions want, as news.
-        DemandNews { entries: List<DemandEntry>, }
-        CellEntry { cell: Text, address: Address, }
+        DemandUpdate { entries: List<DemandEntry>, }
+        ReadyInstanceEntry { instance: Text, address: Address, }
         /// The cells a steward knows to run, as news for deputies.
-        CellsNews { cells: List<CellEntry>, }
+        ReadyInstancesUpdate { instances: List<ReadyInstanceEntry>, }
         /// A cell of the platform's list, from a node that asked for it.
-        CellTold { cell: Text, function: Text, worker: Text, address: Address, memory_mb: u64, leaving: u8, started: u8, }
-        /// A worker of the platform's list; `free_mb` counts if `tells_free` is 1.
-        WorkerTold { worker: Text, memory_mb: u64, tells_free: u8, free_mb: u64, draining: u8, zone: Text, }
+        InstanceEntry { instance: Text, function: Text, worker: Text, address: Address, memory_mb: u64, draining: u8, started: u8, }
+        /// A worker of the platform's list; `free_mb` counts if `reports_free` is 1.
+        WorkerEntry { worker: Text, memory_mb: u64, reports_free: u8, free_mb: u64, draining: u8, zone: Text, }
         DecisionLine { node: NodeId, sequence: u64, line: Text, }
         /// How many calls of a tenant cells began.
         TenantCount { tenant: Text, count: u32, }
         /// Counts by tenant of one window of usage.
         UsageWindow { window: u64, counts: List<TenantCount>, }
-        CursorMark { node: NodeId, sequence: u64, }
+        CursorPosition { node: NodeId, sequence: u64, }
     }
     messages {
-        "1" Probe { sequence: u64, target: NodeId, members: List<MemberNews>, }
-        "2" ProbeAnswer { sequence: u64, members: List<MemberNews>, }
-        "3" ProbeFor { sequence: u64, target: NodeId, target_address: Address, }
+        "1" Probe as "Probe" { sequence: u64, target: NodeId, members: List<MemberUpdate>, }
+        "2" ProbeResponse as "ProbeAnswer" { sequence: u64, members: List<MemberUpdate>, }
+        "3" ProbeFor as "ProbeFor" { sequence: u64, target: NodeId, target_address: Address, }
         /// In a large fleet probes tell changes; whoever has another digest is told of everybody.
-        "4" MembersDigest { digest: u64, }
-        "5" MembersTold { is_asked: u8, members: List<MemberNews>, }
-        "10" Promise { fleet_set: u64, entries: List<PromiseEntry>, }
-        "11" Promised { disk: u64, entries: List<PromisedEntry>, }
-        "12" Store { fleet_set: u64, entries: List<StoreEntry>, }
-        "13" Stored { disk: u64, entries: List<StoredEntry>, }
-        "14" Found { set: u64, disks: List<u64>, }
-        "15" FoundAnswer { set: u64, disk: u64, accepted: u8, }
+        "4" MembersDigest as "MembersDigest" { digest: u64, }
+        "5" MembersResponse as "MembersTold" { is_requested: u8, members: List<MemberUpdate>, }
+        "10" Promise as "Promise" { fleet_set: u64, entries: List<PromiseEntry>, }
+        "11" Promised as "Promised" { disk: u64, entries: List<PromisedEntry>, }
+        "12" Store as "Store" { fleet_set: u64, entries: List<StoreEntry>, }
+        "13" Stored as "Stored" { disk: u64, entries: List<StoredEntry>, }
+        "14" Bootstrap as "Found" { set: u64, disks: List<u64>, }
+        "15" BootstrapResponse as "FoundAnswer" { set: u64, disk: u64, accepted: u8, }
         /// Asks for the keys that a disk knows, for the copying under a joint set; it answers once it
         /// refuses owners under the set before.
-        "16" KeysAsk { fleet_set: u64, }
-        "17" KeysTold { fleet_set: u64, disk: u64, keys: List<Text>, }
+        "16" KeysRequest as "KeysAsk" { fleet_set: u64, }
+        "17" KeysResponse as "KeysTold" { fleet_set: u64, disk: u64, keys: List<Text>, }
         /// Asks what changed since the owner's change number. The keys go by their mark; they are listed
         /// when the owner does not know the mark.
-        "20" RecordsPoll { mark: u64, since: u64, keys: List<Text>, }
+        "20" RecordsPoll as "RecordsPoll" { keys_digest: u64, since: u64, keys: List<Text>, }
         /// `known` 0 asks for the keys of the mark. What is not in the answer stands unchanged.
-        "21" RecordsPolled { mark: u64, known: u8, change: u64, records: List<PolledRecord>, renewed: List<RenewedRecord>, }
-        "22" Write { entries: List<WriteEntry>, }
-        "23" WriteAnswer { outcomes: List<WriteOutcome>, }
+        "21" RecordsPolled as "RecordsPolled" { keys_digest: u64, known: u8, change: u64, records: List<PolledRecord>, renewed: List<RenewedRecord>, }
+        "22" Write as "Write" { entries: List<WriteEntry>, }
+        "23" WriteResponse as "WriteAnswer" { outcomes: List<WriteOutcome>, }
         /// `digest` is that of the value the asker has, zero for none.
-        "24" ReadConfirmed { ask: u64, key: Text, digest: u64, }
+        "24" ReadConfirmed as "ReadConfirmed" { request_id: u64, key: Text, digest: u64, }
         /// An operator's change (JSON) on its way to the node that owns the configuration's key.
-        "25" ChangeCarry { ask: u64, change: Bytes, }
+        "25" ChangeForward as "ChangeCarry" { request_id: u64, change: Bytes, }
         /// Its outcome (JSON) on the way back.
-        "26" ChangeSettled { ask: u64, outcome: Bytes, }
+        "26" ChangeSettled as "ChangeSettled" { request_id: u64, outcome: Bytes, }
         /// Asks the relay of the zone which of all leader records changed since its change number; the mark is
         /// that of the configured functions.
-        "28" RelayPoll { mark: u64, since: u64, }
+        "28" RelayPoll as "RelayPoll" { keys_digest: u64, since: u64, }
         /// `relays` 0: the asked node does not relay, or goes by other functions; the owners are to be asked.
         /// `silent` are owners that leave the relay's own polls unanswered.
-        "29" RelayPolled {
-            mark: u64,
+        "29" RelayPolled as "RelayPolled" {
+            keys_digest: u64,
             relays: u8,
             change: u64,
             records: List<PolledRecord>,
             renewed: List<RenewedRecord>,
             silent: List<NodeId>,
         }
-        /// `deputy`: one of `ticket_ask`. `target_left_micros`: until the answer is late, all ones where the lane names no target.
-        /// `rank`: the tenant's before the lane's. `tenant`: [`tenant_mark`], zero for none.
-        "30" TicketAsk {
-            ask: u64,
+        /// `fallback`: one of `permit_request`. `target_left_micros`: until the answer is late, all ones where the lane names no target.
+        /// `rank`: the tenant's before the lane's. `tenant`: [`tenant_hash`], zero for none.
+        "30" PermitRequest as "TicketAsk" {
+            request_id: u64,
             function: Text,
             time_left_micros: u64,
             extra: u8,
             avoid: Text,
-            deputy: u8,
+            fallback: u8,
             target_left_micros: u64,
             rank: u16,
             nested: u8,
             tenant: u32,
         }
-        "31" TicketGranted { ask: u64, ticket: Ticket, }
+        "31" PermitGranted as "TicketGranted" { request_id: u64, permit: Permit, }
         /// `outcome`: 0 waiting, 1 refused for good, 2 not the steward.
-        "32" TicketHeldBack { ask: u64, outcome: u8, reason: Text, retry_after_millis: u64, }
-        /// `how`: 0 ran, 1 not run, 2 turned away, 3 unknown, 4 unused.
-        "33" TicketReturn { ticket: Ticket, how: u8, latency_micros: u64, }
-        "34" TicketWithdraw { ask: u64, function: Text, }
+        "32" PermitDeferred as "TicketHeldBack" { request_id: u64, outcome: u8, reason: Text, retry_after_millis: u64, }
+        /// `outcome`: 0 ran, 1 not run, 2 turned away, 3 unknown, 4 unused.
+        "33" PermitReturn as "TicketReturn" { permit: Permit, outcome: u8, latency_micros: u64, }
+        "34" PermitWithdraw as "TicketWithdraw" { request_id: u64, function: Text, }
         /// A new steward asks which tickets are held of its functions.
-        "35" HeldAsk { functions: List<HeldAskEntry>, }
-        "36" HeldAnswer { functions: List<HeldAnswerEntry>, }
+        "35" HeldPermitsRequest as "HeldAsk" { functions: List<HeldPermitsRequestEntry>, }
+        "36" HeldPermitsResponse as "HeldAnswer" { functions: List<HeldPermitsResponseEntry>, }
         /// The sender led the function under this epoch and gave its term to the receiver, whom the record at
         /// this version names. `is_whole` 1 where the tickets are all that are out.
-        "37" TermHandedOver {
+        "37" TermTransferred as "TermHandedOver" {
             function: Text,
             version: u64,
             record: LeaderRecord,
             is_whole: u8,
-            tickets: List<HandedTicket>,
-            demand: HandedDemand,
+            permits: List<TransferredPermit>,
+            demand: TransferredDemand,
         }
-        "40" News { items: List<NewsItem>, }
-        "41" NewsDigest { digests: List<BucketDigest>, }
+        "40" Gossip as "News" { items: List<GossipItem>, }
+        "41" GossipDigest as "NewsDigest" { digests: List<BucketDigest>, }
         /// Every topic that the sender has in the named buckets is in the list.
-        "42" NewsMarks { full_buckets: List<u8>, marks: List<NewsMark>, large: List<LargeMark>, }
+        "42" GossipVersions as "NewsMarks" { full_buckets: List<u8>, versions: List<GossipVersion>, large: List<LargeBodyVersion>, }
         /// The topics that the asker wants, each with the sequence that it has, zero for none.
-        "43" NewsAsk { known: List<NewsMark>, }
+        "43" GossipRequest as "NewsAsk" { known: List<GossipVersion>, }
         /// How a large body changed since the sequence that the asker has, change after change.
-        "44" NewsChanges { topic: Text, origin: NodeId, changes: List<BodyChange>, }
+        "44" GossipBodyChanges as "NewsChanges" { topic: Text, origin: NodeId, changes: List<BodyChange>, }
         /// Pulls the platform's list as it changed since the lister's number; zero for all of it.
-        "60" ListAsk { since: u64, }
+        "60" ListRequest as "ListAsk" { since: u64, }
         /// `base` 0: the whole list. The age counts from when the lister asked the platform. Workers
         /// stand unchanged unless `has_workers` is 1.
-        "61" ListTold { failed: u8, base: u64, sequence: u64, age_micros: u64, has_workers: u8, workers: List<WorkerTold>, cells: List<CellTold>, gone: List<Text>, }
+        "61" ListResponse as "ListTold" { failed: u8, base: u64, sequence: u64, age_micros: u64, has_workers: u8, workers: List<WorkerEntry>, instances: List<InstanceEntry>, gone: List<Text>, }
         /// What changed of the teller's counts (the sender's, or those of a process that is gone) since the number `since`, up to `sequence`; each count is the
         /// whole of its window so far. `wall_micros` is the sender's wall clock, zero where it has none yet,
         /// `clock_micros` the fleet's clock as it goes by it, up to which its counts are complete.
-        "70" UsageTold { teller: NodeId, since: u64, sequence: u64, wall_micros: u64, clock_micros: u64, windows: List<UsageWindow>, }
+        "70" UsageUpdate as "UsageTold" { reporter: NodeId, since: u64, sequence: u64, wall_micros: u64, clock_micros: u64, windows: List<UsageWindow>, }
         /// Up to which number the counts are held. A collector tells the lowest window that is not decided,
         /// and the fleet's clock; zero of whoever does not collect, or does not know.
-        "71" UsageHeard { sequence: u64, next_window: u64, clock_micros: u64, holder: NodeId, fence: u64, }
-        "50" DecisionsAsk { ask: u64, after: List<CursorMark>, most: u32, }
-        "51" DecisionsAnswer { ask: u64, lines: List<DecisionLine>, }
+        "71" UsageAck as "UsageHeard" { sequence: u64, next_window: u64, clock_micros: u64, holder: NodeId, fence: u64, }
+        "50" DecisionsRequest as "DecisionsAsk" { request_id: u64, after: List<CursorPosition>, most: u32, }
+        "51" DecisionsResponse as "DecisionsAnswer" { request_id: u64, lines: List<DecisionLine>, }
     }
 }
 
@@ -283,7 +283,7 @@
 
 /// A message with its sender and the fleet it belongs to.
 ///
-/// Example: `Envelope { fleet: fleet_mark("blue"), from: 7, message }`.
+/// Example: `Envelope { fleet: fleet_id("blue"), from: 7, message }`.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
 pub struct Envelope {
     /// Digest of the fleet's name: colleagues of another fleet are not heard.
@@ -312,8 +312,8 @@
     Malformed,
 }
 
-/// The mark that tells fleets apart. Example: `fleet_mark("blue") != fleet_mark("green")`.
-pub fn fleet_mark(fleet_name: &str) -> u64 {
+/// The mark that tells fleets apart. Example: `fleet_id("blue") != fleet_id("green")`.
+pub fn fleet_id(fleet_name: &str) -> u64 {
     stable_hash(fleet_name.as_bytes())
 }
 
@@ -328,8 +328,8 @@
     mix(running_hash)
 }
 
-/// What tells tenants apart between nodes, never zero. Example: `tenant_mark("a") != tenant_mark("b")`.
-pub fn tenant_mark(tenant: &str) -> u32 {
+/// What tells tenants apart between nodes, never zero. Example: `tenant_hash("a") != tenant_hash("b")`.
+pub fn tenant_hash(tenant: &str) -> u32 {
     (stable_hash(tenant.as_bytes()) >> 32).max(1) as u32
 }
 
@@ -350,14 +350,14 @@
 
 /// A process's id: its place (the address colleagues reach it by) and a draw that tells it from the
 /// processes that were there before. Example: `node_id(own_address, fastrand::u64(..))`.
-pub fn node_id(address: Address, draw: u64) -> NodeId {
+pub fn node_id(address: Address, random: u64) -> NodeId {
     let place = stable_hash(address.socket().to_string().as_bytes()) >> PROCESS_BITS;
-    (place << PROCESS_BITS) | (draw & ((1 << PROCESS_BITS) - 1)).max(1)
+    (place << PROCESS_BITS) | (random & ((1 << PROCESS_BITS) - 1)).max(1)
 }
 
 /// Whether `other` was a process at the place of `own`, before it: two never run at one address, so
-/// that one has surely ended. Example: `is_former_life(own, own) == false`.
-pub fn is_former_life(own: NodeId, other: NodeId) -> bool {
+/// that one has surely ended. Example: `is_previous_incarnation(own, own) == false`.
+pub fn is_previous_incarnation(own: NodeId, other: NodeId) -> bool {
     own != other && own >> PROCESS_BITS == other >> PROCESS_BITS && own >> PROCESS_BITS != 0
 }
 
@@ -389,12 +389,12 @@
             false => None,
         };
         let packed_bytes = packed_bytes.filter(|packed| packed.len() < payload_bytes.len());
-        let (frame_mark, carried_bytes) = match packed_bytes {
-            Some(packed_bytes) => (PACKED_MARK, packed_bytes),
-            None => (FRAME_MARK, payload_bytes),
+        let (frame_magic, carried_bytes) = match packed_bytes {
+            Some(packed_bytes) => (PACKED_MAGIC, packed_bytes),
+            None => (FRAME_MAGIC, payload_bytes),
         };
         let mut frame_bytes = Vec::with_capacity(FRAME_HEAD + carried_bytes.len());
-        frame_bytes.extend_from_slice(&frame_mark.to_le_bytes());
+        frame_bytes.extend_from_slice(&frame_magic.to_le_bytes());
         frame_bytes.extend_from_slice(&(carried_bytes.len() as u32).to_le_bytes());
         frame_bytes.extend_from_slice(&crc32fast::hash(&carried_bytes).to_le_bytes());
         frame_bytes.extend_from_slice(&carried_bytes);
@@ -404,7 +404,7 @@
 
 /// The payload length that a frame's head announces. Example: `frame_length(&frame[..12]) == Ok(n)`.
 pub fn frame_length(head_bytes: &[u8; FRAME_HEAD]) -> Result<usize, FrameError> {
-    if head_bytes[0..4] != FRAME_MARK.to_le_bytes() && !is_packed(head_bytes) {
+    if head_bytes[0..4] != FRAME_MAGIC.to_le_bytes() && !is_packed(head_bytes) {
         return Err(FrameError::Foreign);
     }
     let payload_length =
@@ -416,7 +416,7 @@
 }
 
 fn is_packed(head_bytes: &[u8; FRAME_HEAD]) -> bool {
-    head_bytes[0..4] == PACKED_MARK.to_le_bytes()
+    head_bytes[0..4] == PACKED_MAGIC.to_le_bytes()
 }
 
 fn unpack(packed_bytes: &[u8]) -> Option<Cow<'_, [u8]>> {
--- a/packages/peer_messages/src/tests.rs
+++ b/packages/peer_messages/src/tests.rs
@@ -5,7 +5,7 @@
 
 fn example_envelope() -> Envelope {
     let own_address = Address::from(std::net::SocketAddr::from(([127, 0, 0, 1], 7000)));
-    let member_news = MemberNews {
+    let member_update = MemberUpdate {
         node: 9,
         address: own_address,
         zone: "a".into(),
@@ -17,11 +17,11 @@
         processor: 1_000,
     };
     Envelope {
-        fleet: fleet_mark("blue"),
+        fleet: fleet_id("blue"),
         from: 9,
         from_address: own_address,
         to: 1,
-        message: Message::Probe { sequence: 4, target: 1, members: List(vec![member_news]) },
+        message: Message::Probe { sequence: 4, target: 1, members: List(vec![member_update]) },
     }
 }
 
@@ -43,14 +43,14 @@
         arbtest::arbtest(|source| {
             let payload_bytes: Vec<u8> = source.arbitrary()?;
             let mut head_bytes = [0u8; FRAME_HEAD];
-            head_bytes[0..4].copy_from_slice(&FRAME_MARK.to_le_bytes());
+            head_bytes[0..4].copy_from_slice(&FRAME_MAGIC.to_le_bytes());
             head_bytes[4..8].copy_from_slice(&(payload_bytes.len() as u32).to_le_bytes());
             head_bytes[8..12].copy_from_slice(&crc32fast::hash(&payload_bytes).to_le_bytes());
             if let Ok(envelope) = decode_payload(&head_bytes, &payload_bytes) {
                 assert!(envelope.frame().is_some());
             }
-            let _ = DemandNews::from_bytes((&payload_bytes, 0));
-            let _ = CellsNews::from_bytes((&payload_bytes, 0));
+            let _ = DemandUpdate::from_bytes((&payload_bytes, 0));
+            let _ = ReadyInstancesUpdate::from_bytes((&payload_bytes, 0));
             LeaderRecord::decode(&Bytes(payload_bytes));
             Ok(())
         })
@@ -62,15 +62,19 @@
 fn a_process_knows_those_that_were_at_its_address_before() {
     let address = |port: u16| Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], port)));
     let (own, before, beside) = (node_id(address(1), 7), node_id(address(1), 8), node_id(address(2), 8));
-    assert!(is_former_life(own, before) && !is_former_life(own, own) && !is_former_life(own, beside));
-    assert!(!is_former_life(3, 4), "ids without a place are never taken for each other");
+    assert!(
+        is_previous_incarnation(own, before)
+            && !is_previous_incarnation(own, own)
+            && !is_previous_incarnation(own, beside)
+    );
+    assert!(!is_previous_incarnation(3, 4), "ids without a place are never taken for each other");
 }
 
 #[test]
 fn long_payloads_are_packed_and_come_back_whole() {
     let mut sent_envelope = example_envelope();
     let body = Bytes(br#"{"name":"r-1","host":"a.example"}"#.repeat(12_000));
-    sent_envelope.message = Message::ChangeCarry { ask: 1, change: body.clone() };
+    sent_envelope.message = Message::ChangeForward { request_id: 1, change: body.clone() };
     let sent_frame = sent_envelope.frame().expect("a frame");
     assert!(sent_frame.len() < body.0.len() / 20, "{} bytes", sent_frame.len());
     assert_eq!(decode_frame(&sent_frame), Ok(sent_envelope.clone()));
@@ -80,11 +84,11 @@
         assert!(decode_frame(&damaged_frame).is_err(), "byte {damaged_place}");
     }
     // What does not pack is sent as it is.
-    let mut dice = fastrand::Rng::with_seed(1);
-    let noise = Bytes((0..5_000).map(|_| dice.u8(..)).collect());
-    sent_envelope.message = Message::ChangeCarry { ask: 1, change: noise };
+    let mut rng = fastrand::Rng::with_seed(1);
+    let noise = Bytes((0..5_000).map(|_| rng.u8(..)).collect());
+    sent_envelope.message = Message::ChangeForward { request_id: 1, change: noise };
     let plain_frame = sent_envelope.frame().expect("a frame");
-    assert_eq!(plain_frame[0..4], FRAME_MARK.to_le_bytes());
+    assert_eq!(plain_frame[0..4], FRAME_MAGIC.to_le_bytes());
     assert_eq!(decode_frame(&plain_frame), Ok(sent_envelope));
 }
 
@@ -94,7 +98,7 @@
         arbtest::arbtest(|source| {
             let payload_bytes: Vec<u8> = source.arbitrary()?;
             let mut head_bytes = [0u8; FRAME_HEAD];
-            head_bytes[0..4].copy_from_slice(&PACKED_MARK.to_le_bytes());
+            head_bytes[0..4].copy_from_slice(&PACKED_MAGIC.to_le_bytes());
             head_bytes[4..8].copy_from_slice(&(payload_bytes.len() as u32).to_le_bytes());
             head_bytes[8..12].copy_from_slice(&crc32fast::hash(&payload_bytes).to_le_bytes());
             let _ = decode_payload(&head_bytes, &payload_bytes);
--- a/packages/platform_client/src/lib.rs
+++ b/packages/platform_client/src/lib.rs
@@ -3,7 +3,7 @@
 
 use awc::Client;
 use awc::http::StatusCode;
-use function_scheduler::{ListedCell, ListedWorker};
+use function_scheduler::{ListedInstance, ListedWorker};
 use futures_util::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 const LIST_LIMIT: usize = 8 * 1024 * 1024;
-const ANSWER_LIMIT: usize = 64 * 1024;
+const RESPONSE_LIMIT: usize = 64 * 1024;
 
 macro_rules! platform_documents {
     ($($(#[$note:meta])* $name:ident { $($(#[$field_note:meta])* $field:ident: $type:ty,)* })*) => {
-        $($(#[$note])*
-        #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+        $(#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+        $(#[$note])*
         pub struct $name { $($(#[$field_note])* pub $field: $type,)* })*
     };
 }
@@ -26,24 +26,25 @@
     /// A worker in the list; `state` is `ready` or `draining`, `zone` may be left out.
     WorkerDocument { id: String, memory_mb: u64, state: String, #[serde(default)] zone: String, }
     /// A cell in the list; `state` is `running` or `leaving`. Booting cells count as running.
-    CellDocument {
+    #[serde(rename = "CellDocument")]
+    InstanceDocument {
         id: String, function: String, worker: String, address: SocketAddr, memory_mb: u64, state: String,
     }
     /// The answer to `GET /cells`.
-    ListDocument { workers: Vec<WorkerDocument>, cells: Vec<CellDocument>, }
+    ListDocument { workers: Vec<WorkerDocument>, #[serde(rename = "cells")] instances: Vec<InstanceDocument>, }
     /// The body of `POST /cells`; a repeated start id starts nothing twice.
     StartDocument { start_id: String, function: String, worker: String, memory_mb: u64, }
     /// The answer to `POST /cells`.
-    StartedDocument { cell: String, address: SocketAddr, }
+    StartedDocument { #[serde(rename = "cell")] instance: String, address: SocketAddr, }
     /// What is reported of a window of usage: how many calls of each tenant began in it.
     UsageDocument { window: u64, counts: BTreeMap<String, u64>, }
     /// The body of `POST /usage`; for a window the first report counts, the fences of holders only rise.
     UsageReportDocument { holder: String, fence: u64, #[serde(flatten)] usage: UsageDocument, }
 }
 
-/// The platform's answer to a start. Example: `StartAnswer::NoRoom` for 409.
+/// The platform's answer to a start. Example: `StartResponse::NoRoom` for 409.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StartAnswer {
+pub enum StartResponse {
     /// 201.
     Started(StartedDocument),
     /// 409: no room, or the worker is draining or unknown.
@@ -54,9 +55,9 @@
     Unknown,
 }
 
-/// The platform's answer to a stop. Example: `StopAnswer::Stopped` for 200, 202, 204 and 404.
+/// The platform's answer to a stop. Example: `StopResponse::Stopped` for 200, 202, 204 and 404.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopAnswer {
+pub enum StopResponse {
     /// It is stopping or gone.
     Stopped,
     /// 429.
@@ -65,9 +66,9 @@
     Unknown,
 }
 
-/// The platform's answer to a report of usage. Example: `UsageAnswer::Fenced` for 409.
+/// The platform's answer to a report of usage. Example: `UsageResponse::Fenced` for 409.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UsageAnswer {
+pub enum UsageResponse {
     /// 200: accepted, now or before.
     Accepted,
     /// 409: a higher fence was seen.
@@ -78,20 +79,20 @@
     Unknown,
 }
 
-impl From<StatusCode> for UsageAnswer {
-    fn from(status: StatusCode) -> UsageAnswer {
+impl From<StatusCode> for UsageResponse {
+    fn from(status: StatusCode) -> UsageResponse {
         match status {
-            StatusCode::CONFLICT => UsageAnswer::Fenced,
-            StatusCode::TOO_MANY_REQUESTS => UsageAnswer::Throttled,
-            status if status.is_success() => UsageAnswer::Accepted,
-            _ => UsageAnswer::Unknown,
+            StatusCode::CONFLICT => UsageResponse::Fenced,
+            StatusCode::TOO_MANY_REQUESTS => UsageResponse::Throttled,
+            status if status.is_success() => UsageResponse::Accepted,
+            _ => UsageResponse::Unknown,
         }
     }
 }
 
-/// Who acts at the platform, and under which steward epoch. Example: `ActStamp { fence: 12, .. }`.
+/// Who acts at the platform, and under which steward epoch. Example: `OperationStamp { fence: 12, .. }`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ActStamp {
+pub struct OperationStamp {
     /// The node.
     pub holder: String,
     /// The steward epoch; it rises with each steward of a function.
@@ -99,18 +100,22 @@
 }
 
 /// Workers and cells as the platform shows them, perhaps late.
-pub type PlatformList = (Vec<ListedWorker>, Vec<ListedCell>);
+pub type PlatformList = (Vec<ListedWorker>, Vec<ListedInstance>);
 
 /// What any platform is asked. Example: `platform.list().await`.
 pub trait PlatformApi {
     /// Workers and cells; `None` without a sound answer. Example: `platform.list().await.is_some()`.
     fn list(&self) -> LocalBoxFuture<'static, Option<PlatformList>>;
     /// Starts a cell; a repeated start id starts nothing twice. Example: `platform.start(stamp, start)`.
-    fn start(&self, stamp: ActStamp, start: StartDocument) -> LocalBoxFuture<'static, StartAnswer>;
+    fn start(&self, stamp: OperationStamp, start: StartDocument) -> LocalBoxFuture<'static, StartResponse>;
     /// Stops a cell; stopping one that is gone is no failure. Example: `platform.stop(stamp, "c1".into())`.
-    fn stop(&self, stamp: ActStamp, cell: String) -> LocalBoxFuture<'static, StopAnswer>;
+    fn stop(&self, stamp: OperationStamp, instance: String) -> LocalBoxFuture<'static, StopResponse>;
     /// Reports a window's usage; an exact repeat changes nothing. Example: `platform.report_usage(stamp, usage)`.
-    fn report_usage(&self, stamp: ActStamp, usage: UsageDocument) -> LocalBoxFuture<'static, UsageAnswer>;
+    fn report_usage(
+        &self,
+        stamp: OperationStamp,
+        usage: UsageDocument,
+    ) -> LocalBoxFuture<'static, UsageResponse>;
     /// The same platform at another address. Example: after a reload of the settings.
     fn moved(&self, address: SocketAddr) -> Rc<dyn PlatformApi>;
 }
@@ -121,17 +126,21 @@
         Box::pin(async move { PlatformClient::list(&client).await })
     }
 
-    fn start(&self, _: ActStamp, start: StartDocument) -> LocalBoxFuture<'static, StartAnswer> {
+    fn start(&self, _: OperationStamp, start: StartDocument) -> LocalBoxFuture<'static, StartResponse> {
         let client = self.clone();
         Box::pin(async move { PlatformClient::start(&client, &start).await })
     }
 
-    fn stop(&self, _: ActStamp, cell: String) -> LocalBoxFuture<'static, StopAnswer> {
+    fn stop(&self, _: OperationStamp, instance: String) -> LocalBoxFuture<'static, StopResponse> {
         let client = self.clone();
-        Box::pin(async move { PlatformClient::stop(&client, &cell).await })
+        Box::pin(async move { PlatformClient::stop(&client, &instance).await })
     }
 
-    fn report_usage(&self, stamp: ActStamp, usage: UsageDocument) -> LocalBoxFuture<'static, UsageAnswer> {
+    fn report_usage(
+        &self,
+        stamp: OperationStamp,
+        usage: UsageDocument,
+    ) -> LocalBoxFuture<'static, UsageResponse> {
         let client = self.clone();
         let report = UsageReportDocument { holder: stamp.holder, fence: stamp.fence, usage };
         Box::pin(async move { PlatformClient::report_usage(&client, &report).await })
@@ -158,13 +167,13 @@
     }
 
     /// Workers and cells as the platform shows them, perhaps late; `None` without a sound answer.
-    /// Example: `let Some((workers, cells)) = client.list().await else { return };`.
-    pub async fn list(&self) -> Option<(Vec<ListedWorker>, Vec<ListedCell>)> {
-        let mut answer = self.client.get(format!("{}/cells", self.base)).send().await.ok()?;
-        if answer.status() != StatusCode::OK {
+    /// Example: `let Some((workers, instances)) = client.list().await else { return };`.
+    pub async fn list(&self) -> Option<(Vec<ListedWorker>, Vec<ListedInstance>)> {
+        let mut response = self.client.get(format!("{}/cells", self.base)).send().await.ok()?;
+        if response.status() != StatusCode::OK {
             return None;
         }
-        let body = answer.body().limit(LIST_LIMIT).await.ok()?;
+        let body = response.body().limit(LIST_LIMIT).await.ok()?;
         let list: ListDocument = serde_json::from_slice(&body).ok()?;
         let workers = list
             .workers
@@ -177,54 +186,56 @@
                 zone: worker.zone,
             })
             .collect();
-        let cells = list
-            .cells
+        let instances = list
+            .instances
             .into_iter()
-            .map(|cell| ListedCell {
-                leaving: cell.state != "running",
+            .map(|instance| ListedInstance {
+                draining: instance.state != "running",
                 started: false,
-                id: cell.id,
-                function: cell.function,
-                worker: cell.worker,
-                address: cell.address,
-                memory_mb: cell.memory_mb,
+                id: instance.id,
+                function: instance.function,
+                worker: instance.worker,
+                address: instance.address,
+                memory_mb: instance.memory_mb,
             })
             .collect();
-        Some((workers, cells))
+        Some((workers, instances))
     }
 
-    /// Starts a cell. Example: `client.start(&StartDocument { .. }).await == StartAnswer::Throttled`.
-    pub async fn start(&self, start: &StartDocument) -> StartAnswer {
+    /// Starts a cell. Example: `client.start(&StartDocument { .. }).await == StartResponse::Throttled`.
+    pub async fn start(&self, start: &StartDocument) -> StartResponse {
         let sending = self.client.post(format!("{}/cells", self.base)).send_json(start);
-        let Ok(mut answer) = sending.await else { return StartAnswer::Unknown };
-        match answer.status() {
+        let Ok(mut response) = sending.await else { return StartResponse::Unknown };
+        match response.status() {
             StatusCode::CREATED | StatusCode::OK => {
-                let Ok(body) = answer.body().limit(ANSWER_LIMIT).await else { return StartAnswer::Unknown };
-                serde_json::from_slice(&body).map_or(StartAnswer::Unknown, StartAnswer::Started)
+                let Ok(body) = response.body().limit(RESPONSE_LIMIT).await else {
+                    return StartResponse::Unknown;
+                };
+                serde_json::from_slice(&body).map_or(StartResponse::Unknown, StartResponse::Started)
             }
-            StatusCode::CONFLICT => StartAnswer::NoRoom,
-            StatusCode::TOO_MANY_REQUESTS => StartAnswer::Throttled,
-            _ => StartAnswer::Unknown,
+            StatusCode::CONFLICT => StartResponse::NoRoom,
+            StatusCode::TOO_MANY_REQUESTS => StartResponse::Throttled,
+            _ => StartResponse::Unknown,
         }
     }
 
     /// Stops a cell; stopping one that is gone is no failure.
-    /// Example: `client.stop("c12").await == StopAnswer::Stopped`.
-    pub async fn stop(&self, cell: &str) -> StopAnswer {
-        let sending = self.client.delete(format!("{}/cells/{cell}", self.base)).send();
-        let Ok(answer) = sending.await else { return StopAnswer::Unknown };
-        match answer.status() {
+    /// Example: `client.stop("c12").await == StopResponse::Stopped`.
+    pub async fn stop(&self, instance: &str) -> StopResponse {
+        let sending = self.client.delete(format!("{}/cells/{instance}", self.base)).send();
+        let Ok(response) = sending.await else { return StopResponse::Unknown };
+        match response.status() {
             StatusCode::OK | StatusCode::ACCEPTED | StatusCode::NO_CONTENT | StatusCode::NOT_FOUND => {
-                StopAnswer::Stopped
+                StopResponse::Stopped
             }
-            StatusCode::TOO_MANY_REQUESTS => StopAnswer::Throttled,
-            _ => StopAnswer::Unknown,
+            StatusCode::TOO_MANY_REQUESTS => StopResponse::Throttled,
+            _ => StopResponse::Unknown,
         }
     }
 
-    /// Reports a window's usage. Example: `client.report_usage(&report).await == UsageAnswer::Accepted`.
-    pub async fn report_usage(&self, report: &UsageReportDocument) -> UsageAnswer {
+    /// Reports a window's usage. Example: `client.report_usage(&report).await == UsageResponse::Accepted`.
+    pub async fn report_usage(&self, report: &UsageReportDocument) -> UsageResponse {
         let sending = self.client.post(format!("{}/usage", self.base)).send_json(report);
-        sending.await.map_or(UsageAnswer::Unknown, |answer| answer.status().into())
+        sending.await.map_or(UsageResponse::Unknown, |response| response.status().into())
     }
 }
--- a/packages/record_file/src/framing.rs
+++ b/packages/record_file/src/framing.rs
@@ -2,7 +2,7 @@
 //!
 //! The file is a head and groups of records, one for each append. Integers are little-endian.
 //!
-//! - Head: the head common to all formats (`mark`, `format u32`, `fleet u64`, `disk u64`, `checksum u32`),
+//! - Head: the head common to all formats (`magic`, `format u32`, `fleet u64`, `disk u64`, `checksum u32`),
 //!   then `salt u64`, `base_length u64`, `checksum u32`. The salt is drawn for each file. All bytes up to
 //!   `base_length` were synced before the file got its name.
 //! - Group: `offset u64` (its own place), `synced_length u64`, `body_length u64`,
@@ -21,7 +21,7 @@
 use crate::{RECORD_LIMIT, RecordError, format_one};
 use error_stack::Report;
 
-const FILE_MARK: &[u8; 8] = b"VANELANE";
+const FILE_MAGIC: &[u8; 8] = b"VANELANE";
 const FORMAT: u32 = 2;
 /// The head that all formats begin with.
 pub(crate) const COMMON_HEAD_LENGTH: usize = 32;
@@ -119,7 +119,7 @@
 }
 
 pub(crate) fn common_head(format: u32, fleet: u64, disk: u64) -> Vec<u8> {
-    let mut head_bytes = FILE_MARK.to_vec();
+    let mut head_bytes = FILE_MAGIC.to_vec();
     head_bytes.extend_from_slice(&format.to_le_bytes());
     head_bytes.extend_from_slice(&fleet.to_le_bytes());
     head_bytes.extend_from_slice(&disk.to_le_bytes());
@@ -162,7 +162,7 @@
 
 /// The format and the disk's id. The head was synced before the file got its name.
 fn read_common_head(file_bytes: &[u8], fleet: u64) -> Result<(u32, u64), Report<RecordError>> {
-    let is_sound = file_bytes.get(..8) == Some(FILE_MARK)
+    let is_sound = file_bytes.get(..8) == Some(FILE_MAGIC)
         && file_bytes.get(..28).map(crc32fast::hash) == read_u32(file_bytes, 28);
     let (true, Some(format), Some(file_fleet), Some(disk)) =
         (is_sound, read_u32(file_bytes, 8), read_u64(file_bytes, FLEET_OFFSET), read_u64(file_bytes, 20))
--- a/packages/record_file/src/lib.rs
+++ b/packages/record_file/src/lib.rs
@@ -9,19 +9,19 @@
 //! - `format_one`: files of the format before;
 //! - `folder`: the file operations, in a trait that tests can fail at each step;
 //! - `record_file`: the file itself;
-//! - `set_aside`: a damaged file moved out of the way on an operator's word.
+//! - `quarantine`: a damaged file moved out of the way on an operator's word.
 
 mod folder;
 mod format_one;
 mod framing;
+mod quarantine;
 mod record_error;
 mod record_file;
-mod set_aside;
 
 pub use folder::{DiskFolder, Folder};
+pub use quarantine::{has_quarantined, quarantine_damaged};
 pub use record_error::RecordError;
 pub use record_file::{DAMAGED_NAME, FILE_NAME, Opened, REWRITE_NAME, RecordFile};
-pub use set_aside::{has_set_aside, set_aside_damaged};
 
 /// The longest record body.
 pub const RECORD_LIMIT: usize = 16 * 1024 * 1024;
--- a/packages/record_file/src/set_aside.rs
+++ b/packages/record_file/src/quarantine.rs
@@ -7,20 +7,20 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-const SET_ASIDE_LIMIT: usize = 1_000;
+const QUARANTINE_LIMIT: usize = 1_000;
 
 /// Gives the folder's record file, if it is damaged, a name that it is not opened by, and returns the new
 /// path; the next open formats a new disk with a new id. `None` if the file is sound or there is none.
 ///
 /// Errors: `InUse` while a node runs on the folder, `Storage` if there is no free name or the system refuses.
-/// Example: `set_aside_damaged(Path::new("data"))? == Some(PathBuf::from("data/records.damaged-0"))`.
-pub fn set_aside_damaged(folder: &Path) -> Result<Option<PathBuf>, Report<RecordError>> {
+/// Example: `quarantine_damaged(Path::new("data"))? == Some(PathBuf::from("data/records.damaged-0"))`.
+pub fn quarantine_damaged(folder: &Path) -> Result<Option<PathBuf>, Report<RecordError>> {
     let locked_folder = DiskFolder::lock(folder)?;
     let found_bytes = locked_folder.read(FILE_NAME).change_context(RecordError::Storage)?;
     if !found_bytes.is_some_and(|file_bytes| is_damaged(&file_bytes)) {
         return Ok(None);
     }
-    let free_name = (0..SET_ASIDE_LIMIT)
+    let free_name = (0..QUARANTINE_LIMIT)
         .map(|number| format!("{DAMAGED_NAME}{number}"))
         .find(|name| !folder.join(name).exists())
         .ok_or_else(|| Report::new(RecordError::Storage))?;
@@ -32,8 +32,8 @@
 /// Whether a file of the folder was set aside: its state may be the fleet's last copy, so a node on this
 /// folder must not found a new state.
 ///
-/// Errors: the folder cannot be listed. Example: `has_set_aside(Path::new("data"))?`.
-pub fn has_set_aside(folder: &Path) -> io::Result<bool> {
+/// Errors: the folder cannot be listed. Example: `has_quarantined(Path::new("data"))?`.
+pub fn has_quarantined(folder: &Path) -> io::Result<bool> {
     for entry in std::fs::read_dir(folder)? {
         if entry?.file_name().to_string_lossy().starts_with(DAMAGED_NAME) {
             return Ok(true);
--- a/packages/record_file/src/record_file.rs
+++ b/packages/record_file/src/record_file.rs
@@ -13,7 +13,7 @@
 /// What a damaged file is called once it was set aside, with a number behind it.
 pub const DAMAGED_NAME: &str = "records.damaged-";
 
-/// An open record file. Example: `let (file, records) = RecordFile::open(folder, fleet_mark)?;`.
+/// An open record file. Example: `let (file, records) = RecordFile::open(folder, fleet_id)?;`.
 #[derive(Debug)]
 pub struct RecordFile<F: Folder = DiskFolder> {
     folder: F,
--- a/packages/record_file/src/tests.rs
+++ b/packages/record_file/src/tests.rs
@@ -134,9 +134,9 @@
     let (mut file, _) = open(&folder);
     let first_disk = file.disk();
     file.rewrite(&[b"one".to_vec()]).expect("rewrite");
-    assert_eq!(error_of(set_aside_damaged(&folder)), RecordError::InUse);
+    assert_eq!(error_of(quarantine_damaged(&folder)), RecordError::InUse);
     drop(file);
-    assert_eq!(set_aside_damaged(&folder).expect("a sound file stays"), None);
+    assert_eq!(quarantine_damaged(&folder).expect("a sound file stays"), None);
     let file_path = folder.join(FILE_NAME);
     let mut damaged_bytes = fs::read(&file_path).expect("read");
     let last = damaged_bytes.len() - 1;
@@ -146,10 +146,10 @@
         assert!(matches!(error_of(RecordFile::open(&folder, FLEET)), RecordError::Damaged(_)));
         assert_eq!(fs::read(&file_path).expect("read"), damaged_bytes);
     }
-    assert!(!has_set_aside(&folder).expect("listed"));
-    let kept_path = set_aside_damaged(&folder).expect("renamed").expect("damaged");
+    assert!(!has_quarantined(&folder).expect("listed"));
+    let kept_path = quarantine_damaged(&folder).expect("renamed").expect("damaged");
     assert_eq!(fs::read(kept_path).expect("read"), damaged_bytes);
-    assert!(has_set_aside(&folder).expect("listed"));
+    assert!(has_quarantined(&folder).expect("listed"));
     let (file, records) = open(&folder);
     assert!(records.is_empty() && file.disk() != first_disk);
     let _ = fs::remove_dir_all(&folder);
--- a/packages/record_file/tests/power_loss/history.rs
+++ b/packages/record_file/tests/power_loss/history.rs
@@ -63,7 +63,7 @@
     }
 
     /// Does one operation; whether it succeeded.
-    pub fn act(&mut self, file: &mut RecordFile<MemoryFolder>, op: Op) -> bool {
+    pub fn action(&mut self, file: &mut RecordFile<MemoryFolder>, op: Op) -> bool {
         match op {
             Op::Append(count) => {
                 let records = self.fresh_records(count);
@@ -99,7 +99,7 @@
     if let Ok((mut file, _)) = RecordFile::open_in(folder.clone(), FLEET) {
         expected.disk = Some(file.disk());
         for op in history {
-            expected.act(&mut file, *op);
+            expected.action(&mut file, *op);
         }
     }
     expected
--- a/packages/record_file/tests/power_loss/main.rs
+++ b/packages/record_file/tests/power_loss/main.rs
@@ -5,7 +5,7 @@
 mod memory_folder;
 
 use history::{Expected, FLEET, Op, Records, run, shapes};
-use memory_folder::{Fate, Fault, Files, MemoryFolder};
+use memory_folder::{Fault, Files, MemoryFolder, WriteOutcome};
 use record_file::{FILE_NAME, RecordFile};
 
 /// Beyond so many combinations of fates one write is torn at a time, beside every plain fate of the others.
@@ -13,13 +13,13 @@
 
 /// Cases that were tried, and those that broke the rule.
 #[derive(Debug, Default)]
-struct Tally {
+struct RunCounts {
     cases: usize,
     failed: usize,
     first_failure: Option<String>,
 }
 
-impl Tally {
+impl RunCounts {
     fn note(&mut self, outcome: Result<Records, String>) -> Option<Records> {
         self.cases += 1;
         match outcome {
@@ -60,36 +60,38 @@
     recover(MemoryFolder::with(folder.files().after_full_loss()), &lasting)?;
     let (mut file, _) = RecordFile::open_in(folder.clone(), FLEET).map_err(|failure| failure.to_string())?;
     for op in [Op::Append(1), Op::Sync] {
-        lasting.act(&mut file, op);
+        lasting.action(&mut file, op);
     }
     recover(MemoryFolder::with(folder.files().after_full_loss()), &lasting)?;
     Ok(found)
 }
 
 /// Combinations of one fate for each write.
-fn combinations(choices: &[Vec<Fate>]) -> Vec<Vec<Fate>> {
+fn combinations(choices: &[Vec<WriteOutcome>]) -> Vec<Vec<WriteOutcome>> {
     let mut found = vec![Vec::new()];
     for choice in choices {
         found = found
             .iter()
-            .flat_map(|begun| choice.iter().map(move |fate| [&begun[..], &[*fate]].concat()))
+            .flat_map(|begun| {
+                choice.iter().map(move |write_outcome| [&begun[..], &[*write_outcome]].concat())
+            })
             .collect();
     }
     found
 }
 
-fn plain_fates(lengths: &[usize]) -> Vec<Vec<Fate>> {
-    combinations(&lengths.iter().map(|_| Fate::plain()).collect::<Vec<_>>())
+fn plain_write_outcomes(lengths: &[usize]) -> Vec<Vec<WriteOutcome>> {
+    combinations(&lengths.iter().map(|_| WriteOutcome::plain()).collect::<Vec<_>>())
 }
 
-fn all_fates(lengths: &[usize]) -> Vec<Vec<Fate>> {
-    let every: Vec<Vec<Fate>> = lengths.iter().map(|length| Fate::all(*length)).collect();
+fn all_write_outcomes(lengths: &[usize]) -> Vec<Vec<WriteOutcome>> {
+    let every: Vec<Vec<WriteOutcome>> = lengths.iter().map(|length| WriteOutcome::all(*length)).collect();
     if every.iter().map(Vec::len).product::<usize>() <= COMBINATIONS_LIMIT {
         return combinations(&every);
     }
     let one_torn = (0..lengths.len()).flat_map(|torn| {
-        let choices: Vec<Vec<Fate>> = (0..lengths.len())
-            .map(|place| if place == torn { every[place].clone() } else { Fate::plain() })
+        let choices: Vec<Vec<WriteOutcome>> = (0..lengths.len())
+            .map(|place| if place == torn { every[place].clone() } else { WriteOutcome::plain() })
             .collect();
         combinations(&choices)
     });
@@ -97,11 +99,11 @@
 }
 
 /// Every state that a loss of power may leave.
-fn losses(files: &Files, fates: fn(&[usize]) -> Vec<Vec<Fate>>) -> Vec<Files> {
+fn losses(files: &Files, write_outcomes: fn(&[usize]) -> Vec<Vec<WriteOutcome>>) -> Vec<Files> {
     let mut left = Vec::new();
     for kept in files.name_choices() {
-        for fates in fates(&files.unsynced(&kept, FILE_NAME)) {
-            left.push(files.after_power_loss(&kept, FILE_NAME, &fates));
+        for write_outcomes in write_outcomes(&files.unsynced(&kept, FILE_NAME)) {
+            left.push(files.after_power_loss(&kept, FILE_NAME, &write_outcomes));
         }
     }
     left
@@ -136,58 +138,58 @@
 #[test]
 fn every_loss_of_power_leaves_what_was_synced() {
     fastrand::seed(1);
-    let mut tally = Tally::default();
+    let mut run_counts = RunCounts::default();
     for history in shapes() {
         for (files, expected) in cut_points(&history) {
-            for left in losses(&files, all_fates) {
-                tally.note(recover_and_go_on(&left, &expected));
+            for left in losses(&files, all_write_outcomes) {
+                run_counts.note(recover_and_go_on(&left, &expected));
             }
         }
     }
-    tally.assert_sound("one loss of power");
+    run_counts.assert_sound("one loss of power");
 }
 
 #[test]
 fn a_second_loss_of_power_in_the_recovery_loses_nothing_either() {
     fastrand::seed(2);
-    let mut tally = Tally::default();
+    let mut run_counts = RunCounts::default();
     for history in shapes() {
         for (files, expected) in cut_points(&history) {
-            for left in losses(&files, plain_fates) {
+            for left in losses(&files, plain_write_outcomes) {
                 for recovering in recovery_cut_points(&left) {
-                    for left_again in losses(&recovering, plain_fates) {
-                        tally.note(recover_and_go_on(&left_again, &expected));
+                    for left_again in losses(&recovering, plain_write_outcomes) {
+                        run_counts.note(recover_and_go_on(&left_again, &expected));
                     }
                 }
             }
         }
     }
-    tally.assert_sound("two losses of power");
+    run_counts.assert_sound("two losses of power");
 }
 
 /// When the process ends files stand as they are; the next process's answers must last nevertheless.
 #[test]
 fn what_is_read_after_the_end_of_a_process_lasts() {
     fastrand::seed(3);
-    let mut tally = Tally::default();
+    let mut run_counts = RunCounts::default();
     for history in shapes() {
         for (files, expected) in cut_points(&history) {
-            tally.note(recover_and_go_on(&files, &expected));
+            run_counts.note(recover_and_go_on(&files, &expected));
             for recovering in recovery_cut_points(&files) {
-                for left in losses(&recovering, plain_fates) {
-                    tally.note(recover_and_go_on(&left, &expected));
+                for left in losses(&recovering, plain_write_outcomes) {
+                    run_counts.note(recover_and_go_on(&left, &expected));
                 }
             }
         }
     }
-    tally.assert_sound("the end of a process, then a loss of power");
+    run_counts.assert_sound("the end of a process, then a loss of power");
 }
 
 /// One operation fails, with its effect or without; what is acknowledged afterwards lasts.
 #[test]
 fn one_failed_operation_loses_nothing() {
     fastrand::seed(4);
-    let mut tally = Tally::default();
+    let mut run_counts = RunCounts::default();
     for history in shapes() {
         let whole = MemoryFolder::default();
         run(&whole, &history);
@@ -195,14 +197,14 @@
             for has_effect in [false, true] {
                 let folder = MemoryFolder::failing(Files::default(), Fault { step, has_effect });
                 let expected = run(&folder, &history);
-                for left in losses(&folder.files(), plain_fates) {
-                    tally.note(recover_and_go_on(&left, &expected));
+                for left in losses(&folder.files(), plain_write_outcomes) {
+                    run_counts.note(recover_and_go_on(&left, &expected));
                 }
-                tally.note(recover_and_go_on(&folder.files(), &expected));
+                run_counts.note(recover_and_go_on(&folder.files(), &expected));
             }
         }
     }
-    tally.assert_sound("one failed operation");
+    run_counts.assert_sound("one failed operation");
 }
 
 /// A disk that refuses at open: the records are told, and nothing is appended before a rewrite.
@@ -228,20 +230,20 @@
 }
 
 /// Draws what a loss of power leaves, every fate by itself.
-fn drawn_loss(
+fn random_loss(
     files: &Files,
     source: &mut arbtest::arbitrary::Unstructured,
 ) -> arbtest::arbitrary::Result<Files> {
     let kept: Vec<bool> =
         (0..files.name_change_count()).map(|_| source.arbitrary()).collect::<Result<_, _>>()?;
-    let mut fates = Vec::new();
+    let mut write_outcomes = Vec::new();
     for length in files.unsynced(&kept, FILE_NAME) {
-        fates.push(*source.choose(&Fate::all(length))?);
+        write_outcomes.push(*source.choose(&WriteOutcome::all(length))?);
     }
-    Ok(files.after_power_loss(&kept, FILE_NAME, &fates))
+    Ok(files.after_power_loss(&kept, FILE_NAME, &write_outcomes))
 }
 
-fn drawn_op(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Op> {
+fn random_op(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Op> {
     Ok(match source.int_in_range(0..=9)? {
         0..=4 => Op::Append(source.int_in_range(1..=3)?),
         5..=7 => Op::Sync,
@@ -264,7 +266,7 @@
                 expected.disk = Some(file.disk());
             }
             for _ in 0..source.int_in_range(0..=8)? {
-                expected.act(&mut file, drawn_op(source)?);
+                expected.action(&mut file, random_op(source)?);
             }
             // A disk that was never trusted has told nobody its id.
             if file.is_trusted() {
@@ -272,7 +274,7 @@
             }
         }
         files = match source.arbitrary()? {
-            true => drawn_loss(&folder.files(), source)?,
+            true => random_loss(&folder.files(), source)?,
             false => folder.files(),
         };
     }
--- a/packages/record_file/tests/power_loss/memory_folder.rs
+++ b/packages/record_file/tests/power_loss/memory_folder.rs
@@ -9,7 +9,7 @@
 
 /// What became of one write that was not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     /// Not there; a later write that is there leaves zeros in its place.
     Missing,
     /// The length is there, the bytes are zeros.
@@ -25,32 +25,38 @@
     ZerosThenLast(usize),
 }
 
-impl Fate {
+impl WriteOutcome {
     /// Every fate of a write: the plain ones, and each tear point.
-    pub fn all(length: usize) -> Vec<Fate> {
-        let torn = |place| [Fate::First(place), Fate::FirstThenZeros(place), Fate::ZerosThenLast(place)];
-        Fate::plain().into_iter().chain((1..length).flat_map(torn)).collect()
+    pub fn all(length: usize) -> Vec<WriteOutcome> {
+        let torn = |place| {
+            [
+                WriteOutcome::First(place),
+                WriteOutcome::FirstThenZeros(place),
+                WriteOutcome::ZerosThenLast(place),
+            ]
+        };
+        WriteOutcome::plain().into_iter().chain((1..length).flat_map(torn)).collect()
     }
 
-    pub fn plain() -> Vec<Fate> {
-        vec![Fate::Missing, Fate::Zeros, Fate::OldBytes, Fate::Whole]
+    pub fn plain() -> Vec<WriteOutcome> {
+        vec![WriteOutcome::Missing, WriteOutcome::Zeros, WriteOutcome::OldBytes, WriteOutcome::Whole]
     }
 
     fn leave(self, file_bytes: &mut Vec<u8>, place: usize, written: &[u8]) {
         let (kept, length) = match self {
-            Fate::Missing => return,
-            Fate::OldBytes => {
+            WriteOutcome::Missing => return,
+            WriteOutcome::OldBytes => {
                 let before = file_bytes.len().min(place);
                 let old_bytes = file_bytes[before.saturating_sub(written.len())..before].to_vec();
                 file_bytes.resize(file_bytes.len().max(place + written.len()), 0);
                 file_bytes[place..place + old_bytes.len()].copy_from_slice(&old_bytes);
                 return;
             }
-            Fate::Zeros => (0..0, written.len()),
-            Fate::Whole => (0..written.len(), written.len()),
-            Fate::First(count) => (0..count, count),
-            Fate::FirstThenZeros(count) => (0..count, written.len()),
-            Fate::ZerosThenLast(count) => (count..written.len(), written.len()),
+            WriteOutcome::Zeros => (0..0, written.len()),
+            WriteOutcome::Whole => (0..written.len(), written.len()),
+            WriteOutcome::First(count) => (0..count, count),
+            WriteOutcome::FirstThenZeros(count) => (0..count, written.len()),
+            WriteOutcome::ZerosThenLast(count) => (count..written.len(), written.len()),
         };
         if file_bytes.len() < place + length {
             file_bytes.resize(place + length, 0);
@@ -70,11 +76,11 @@
         [&self.synced[..], &self.unsynced.concat()].concat()
     }
 
-    fn after(&self, fates: &[Fate]) -> Inode {
+    fn after(&self, write_outcomes: &[WriteOutcome]) -> Inode {
         let mut synced = self.synced.clone();
         let mut place = synced.len();
-        for (written, fate) in self.unsynced.iter().zip(fates) {
-            fate.leave(&mut synced, place, written);
+        for (written, write_outcome) in self.unsynced.iter().zip(write_outcomes) {
+            write_outcome.leave(&mut synced, place, written);
             place += written.len();
         }
         Inode { synced, unsynced: Vec::new() }
@@ -147,12 +153,12 @@
 
     /// The files after a loss of power with these name changes kept, and these fates for the unsynced writes
     /// of a name's file; those of other files are whole.
-    pub fn after_power_loss(&self, kept: &[bool], name: &str, fates: &[Fate]) -> Files {
+    pub fn after_power_loss(&self, kept: &[bool], name: &str, write_outcomes: &[WriteOutcome]) -> Files {
         let names = self.names_after(kept);
         let chosen = names.get(name);
         let inodes = self.inodes.iter().enumerate().map(|(number, inode)| match chosen {
-            Some(chosen) if *chosen == number => inode.after(fates),
-            _ => inode.after(&vec![Fate::Whole; inode.unsynced.len()]),
+            Some(chosen) if *chosen == number => inode.after(write_outcomes),
+            _ => inode.after(&vec![WriteOutcome::Whole; inode.unsynced.len()]),
         });
         Files { inodes: inodes.collect(), lasting_names: names.clone(), names, name_changes: Vec::new() }
     }
@@ -219,7 +225,7 @@
         self.machine.borrow().steps
     }
 
-    fn step<T>(&self, act: impl FnOnce(&mut Files) -> io::Result<T>) -> io::Result<T> {
+    fn step<T>(&self, action: impl FnOnce(&mut Files) -> io::Result<T>) -> io::Result<T> {
         let mut machine = self.machine.borrow_mut();
         let step = machine.steps;
         machine.steps += 1;
@@ -229,11 +235,11 @@
         match machine.fault.filter(|fault| fault.step == step) {
             Some(fault) => {
                 if fault.has_effect {
-                    let _ = act(&mut machine.files);
+                    let _ = action(&mut machine.files);
                 }
                 Err(io::Error::other("the disk refused"))
             }
-            None => act(&mut machine.files),
+            None => action(&mut machine.files),
         }
     }
 }
--- a/packages/supervisor/src/lib.rs
+++ b/packages/supervisor/src/lib.rs
@@ -25,9 +25,9 @@
     make: Box<dyn Fn() -> ChildFuture>,
 }
 
-/// How often a child may be started anew. Example: `Patience::default().restarts == 5`.
+/// How often a child may be started anew. Example: `RestartPolicy::default().restarts == 5`.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RestartPolicy {
     /// So many restarts...
     pub restarts: usize,
     /// ...within this span; one more ends the supervisor.
@@ -36,24 +36,24 @@
     pub pause: Duration,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience { restarts: 5, within: Duration::from_secs(30), pause: Duration::from_millis(200) }
+impl Default for RestartPolicy {
+    fn default() -> RestartPolicy {
+        RestartPolicy { restarts: 5, within: Duration::from_secs(30), pause: Duration::from_millis(200) }
     }
 }
 
 /// A supervisor of children on one thread; it is itself a fit child of another.
-/// Example: `Supervisor::new("vanelane", Patience::default()).child("list", || async { Ok(()) })`.
+/// Example: `Supervisor::new("vanelane", RestartPolicy::default()).child("list", || async { Ok(()) })`.
 pub struct Supervisor {
     name: String,
-    patience: Patience,
+    restart_policy: RestartPolicy,
     children: Vec<Child>,
 }
 
 impl Supervisor {
-    /// A supervisor without children. Example: `Supervisor::new("root", Patience::default())`.
-    pub fn new(name: &str, patience: Patience) -> Supervisor {
-        Supervisor { name: name.to_owned(), patience, children: Vec::new() }
+    /// A supervisor without children. Example: `Supervisor::new("root", RestartPolicy::default())`.
+    pub fn new(name: &str, restart_policy: RestartPolicy) -> Supervisor {
+        Supervisor { name: name.to_owned(), restart_policy, children: Vec::new() }
     }
 
     /// Adds a child by what makes its work. Work that ends well is not started again.
@@ -70,10 +70,10 @@
     /// Runs all children until all ended well or one was given up; the others are then ended.
     /// Example: `supervisor.run().await?`.
     pub async fn run(self) -> Result<(), Report<ChildError>> {
-        let patience = self.patience;
+        let restart_policy = self.restart_policy;
         let mut keepers = tokio::task::JoinSet::new();
         for child in self.children {
-            keepers.spawn_local(keep(child, patience));
+            keepers.spawn_local(keep(child, restart_policy));
         }
         while let Some(kept) = keepers.join_next().await {
             match kept {
@@ -95,7 +95,7 @@
     }
 }
 
-async fn keep(child: Child, patience: Patience) -> Result<(), Report<ChildError>> {
+async fn keep(child: Child, restart_policy: RestartPolicy) -> Result<(), Report<ChildError>> {
     let mut failed_at: Vec<Instant> = Vec::new();
     loop {
         let working = tokio::task::spawn_local((child.make)());
@@ -106,12 +106,12 @@
             Err(broken) => broken.to_string(),
         };
         log::error!("{} failed: {reason}", child.name);
-        failed_at.retain(|failed| failed.elapsed() < patience.within);
+        failed_at.retain(|failed| failed.elapsed() < restart_policy.within);
         failed_at.push(Instant::now());
-        if failed_at.len() > patience.restarts {
+        if failed_at.len() > restart_policy.restarts {
             return Err(Report::new(ChildError(child.name)).attach(reason));
         }
-        tokio::time::sleep(patience.pause).await;
+        tokio::time::sleep(restart_policy.pause).await;
     }
 }
 
--- a/packages/supervisor/src/tests.rs
+++ b/packages/supervisor/src/tests.rs
@@ -4,10 +4,11 @@
 
 #[test]
 fn a_failing_child_is_started_anew_and_then_given_up() {
-    let patience = Patience { restarts: 3, within: Duration::from_secs(60), pause: Duration::ZERO };
+    let restart_policy =
+        RestartPolicy { restarts: 3, within: Duration::from_secs(60), pause: Duration::ZERO };
     let starts = Rc::new(Cell::new(0));
     let counted_starts = starts.clone();
-    let supervisor = Supervisor::new("root", patience)
+    let supervisor = Supervisor::new("root", restart_policy)
         .child("steady", || async {
             std::future::pending::<()>().await;
             Ok(())
--- a/packages/test_doubles/src/bin/stand_in_platform.rs
+++ b/packages/test_doubles/src/bin/stand_in_platform.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_doubles::{FunctionStandIn, PlatformSettings, PlatformStandIn};
+use test_doubles::{FakeFunction, FakePlatform, PlatformSettings};
 
 xflags::xflags! {
     /// A stand-in of the platform on loopback.
@@ -28,7 +28,7 @@
             return ExitCode::from(2);
         }
     };
-    let functions: BTreeMap<String, FunctionStandIn> = match serde_json::from_str(&text) {
+    let functions: BTreeMap<String, FakeFunction> = match serde_json::from_str(&text) {
         Ok(functions) => functions,
         Err(failure) => {
             eprintln!("{}: {failure}", command_line.functions.display());
@@ -38,13 +38,13 @@
     let settings = PlatformSettings {
         workers: 12,
         worker_memory_mb: 6_500,
-        acts_per_second: 80.0,
+        operations_per_second: 80.0,
         list_late: Duration::from_secs(1),
         functions,
-        leave_within: Duration::from_secs(5),
+        drain_within: Duration::from_secs(5),
     };
     let listen = command_line.listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9_000)));
-    match PlatformStandIn::start(listen, settings, Arc::new(History::default()), Instant::now()) {
+    match FakePlatform::start(listen, settings, Arc::new(History::default()), Instant::now()) {
         Ok(platform) => {
             println!("the platform stand-in listens at {}", platform.address());
             loop {
--- a/packages/test_doubles/src/cell_stand_in.rs
+++ b/packages/test_doubles/src/fake_instance.rs
@@ -3,7 +3,7 @@
 use actix_http::h1::{Codec, Message, MessageType};
 use actix_http::{HttpMessage, Request};
 use futures_util::StreamExt;
-use gateway::{CELL_HEADER, FUNCTION_HEADER};
+use gateway::{FUNCTION_HEADER, INSTANCE_HEADER};
 use history_checker::{History, Line};
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -14,9 +14,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// How a function's cells behave, known to the stand-in apart from any configuration.
-/// Example: `FunctionStandIn { boot_millis: 1500, calls_at_once: 4, work_millis: 60, .. }`.
+/// Example: `FakeFunction { boot_millis: 1500, calls_at_once: 4, work_millis: 60, .. }`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FunctionStandIn {
+#[serde(rename = "FunctionStandIn")]
+pub struct FakeFunction {
     /// From the start to the first accepted connection.
     pub boot_millis: u64,
     /// More at once are turned away.
@@ -39,17 +40,17 @@
     pub cut: f64,
 }
 
-pub(crate) struct CellStandIn {
+pub(crate) struct FakeInstance {
     pub id: String,
     pub function: String,
-    pub behaviour: FunctionStandIn,
+    pub behaviour: FakeFunction,
     pub history: Arc<History>,
     pub began: Instant,
     pub in_flight: Cell<u32>,
 }
 
 /// Counts a call as in flight until dropped.
-struct InFlight(Rc<CellStandIn>);
+struct InFlight(Rc<FakeInstance>);
 
 impl Drop for InFlight {
     fn drop(&mut self) {
@@ -57,8 +58,8 @@
     }
 }
 
-impl CellStandIn {
-    pub(crate) async fn accept(self: Rc<CellStandIn>, listener: TcpListener) {
+impl FakeInstance {
+    pub(crate) async fn accept(self: Rc<FakeInstance>, listener: TcpListener) {
         let mut connections = tokio::task::JoinSet::new();
         loop {
             tokio::select! {
@@ -72,7 +73,7 @@
         }
     }
 
-    async fn converse(self: Rc<CellStandIn>, stream: TcpStream) {
+    async fn converse(self: Rc<FakeInstance>, stream: TcpStream) {
         let mut framed = Framed::new(stream, Codec::default());
         let Some(Ok(Message::Item(request))) = framed.next().await else { return };
         let has_body = framed.codec_ref().message_type() != MessageType::None;
@@ -87,33 +88,34 @@
             }
         }
         let mut stream = framed.into_parts().io;
-        self.answer(&request, body_length, &mut stream).await;
+        self.respond(&request, body_length, &mut stream).await;
         let _ = stream.shutdown().await;
     }
 
-    async fn answer(self: &Rc<CellStandIn>, request: &Request, body_length: usize, stream: &mut TcpStream) {
+    async fn respond(self: &Rc<FakeInstance>, request: &Request, body_length: usize, stream: &mut TcpStream) {
         let named = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
-        let is_meant = named(FUNCTION_HEADER) == Some(&self.function) && named(CELL_HEADER) == Some(&self.id);
+        let is_meant =
+            named(FUNCTION_HEADER) == Some(&self.function) && named(INSTANCE_HEADER) == Some(&self.id);
         if !is_meant {
-            let _ = stream.write_all(&answer_bytes("421 Misdirected Request", "", "not this cell")).await;
+            let _ = stream.write_all(&response_bytes("421 Misdirected Request", "", "not this cell")).await;
             return;
         }
         let call = named(CALL_HEADER).unwrap_or_default().to_owned();
         let in_flight = self.in_flight.get() + 1;
         let limit = self.behaviour.calls_at_once;
         let is_running = in_flight <= limit;
-        self.history.append(Line::CellTook {
+        self.history.append(Line::InstanceReceivedCall {
             at: micros_since(self.began),
             call: call.clone(),
             function: self.function.clone(),
-            cell: self.id.clone(),
+            instance: self.id.clone(),
             ran: is_running,
             in_flight,
             limit,
         });
         if !is_running {
             let extra_header = "x-vanelane-outcome: not_run\r\n";
-            let _ = stream.write_all(&answer_bytes("503 Service Unavailable", extra_header, "full")).await;
+            let _ = stream.write_all(&response_bytes("503 Service Unavailable", extra_header, "full")).await;
             return;
         }
         self.in_flight.set(in_flight);
@@ -136,33 +138,33 @@
             let _ = stream.write_all(b"0\r\n\r\n").await;
             return;
         }
-        let whole_answer = answer_bytes("200 OK", "content-type: application/json\r\n", &whole_body);
-        let asked = named(BEHAVE_HEADER);
+        let whole_response = response_bytes("200 OK", "content-type: application/json\r\n", &whole_body);
+        let requested = named(BEHAVE_HEADER);
         let bad = self.behaviour.misbehaviour;
-        let draw = fastrand::f64();
-        if asked == Some("lose") || draw < bad.lose {
+        let random = fastrand::f64();
+        if requested == Some("lose") || random < bad.lose {
             return;
         }
-        if asked == Some("garble") || draw < bad.lose + bad.garble {
+        if requested == Some("garble") || random < bad.lose + bad.garble {
             let _ = stream.write_all(b"\x00\x17 no http \xff\xfe\r\n\r\n").await;
             return;
         }
-        if asked == Some("cut") || draw < bad.lose + bad.garble + bad.cut {
-            let _ = stream.write_all(&whole_answer[..whole_answer.len() - 5]).await;
+        if requested == Some("cut") || random < bad.lose + bad.garble + bad.cut {
+            let _ = stream.write_all(&whole_response[..whole_response.len() - 5]).await;
             return;
         }
-        if asked == Some("cut_chunks") {
+        if requested == Some("cut_chunks") {
             let begun = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
             let _ = stream.write_all(begun).await;
             return;
         }
-        if asked == Some("cut_long") {
+        if requested == Some("cut_long") {
             let head = b"HTTP/1.1 200 OK\r\ncontent-length: 2000000\r\n\r\n";
             let _ = stream.write_all(head).await;
             let _ = stream.write_all(&vec![b'x'; 1_000_000]).await;
             return;
         }
-        if asked == Some("cut_long_chunks") {
+        if requested == Some("cut_long_chunks") {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await;
             for _ in 0..20 {
                 let _ = stream.write_all(b"10000\r\n").await;
@@ -171,19 +173,19 @@
             }
             return;
         }
-        if asked == Some("until_close") {
+        if requested == Some("until_close") {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nwho knows where this ends").await;
             return;
         }
-        if asked == Some("stall") {
-            let _ = stream.write_all(&whole_answer[..20]).await;
+        if requested == Some("stall") {
+            let _ = stream.write_all(&whole_response[..20]).await;
             std::future::pending::<()>().await;
         }
-        let _ = stream.write_all(&whole_answer).await;
+        let _ = stream.write_all(&whole_response).await;
     }
 }
 
-fn answer_bytes(status: &str, extra_headers: &str, body: &str) -> Vec<u8> {
+fn response_bytes(status: &str, extra_headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{extra_headers}content-length: {}\r\nconnection: close\r\n\r\n{body}",
         body.len()
--- a/packages/test_doubles/src/platform_stand_in.rs
+++ b/packages/test_doubles/src/fake_platform.rs
@@ -1,4 +1,4 @@
-use crate::cell_stand_in::{CellStandIn, FunctionStandIn};
+use crate::fake_instance::{FakeFunction, FakeInstance};
 use crate::micros_since;
 use actix_http::body::BoxBody;
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use history_checker::{History, Line};
 use platform_client::{
-    CellDocument, ListDocument, StartDocument, StartedDocument, UsageReportDocument, WorkerDocument,
+    InstanceDocument, ListDocument, StartDocument, StartedDocument, UsageReportDocument, WorkerDocument,
 };
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -27,17 +27,17 @@
     /// Each worker's memory.
     pub worker_memory_mb: u64,
     /// Starts and stops taken each second.
-    pub acts_per_second: f64,
+    pub operations_per_second: f64,
     /// How late the list is.
     pub list_late: Duration,
     /// How the functions' cells behave; a function not named here cannot be started.
-    pub functions: BTreeMap<String, FunctionStandIn>,
+    pub functions: BTreeMap<String, FakeFunction>,
     /// How long a stopped cell still finishes its calls.
-    pub leave_within: Duration,
+    pub drain_within: Duration,
 }
 
-struct RunningCell {
-    document: CellDocument,
+struct RunningInstance {
+    document: InstanceDocument,
     start_id: String,
     port: u16,
     task: AbortHandle,
@@ -48,13 +48,13 @@
     history: Arc<History>,
     began: Instant,
     workers: Vec<WorkerDocument>,
-    cells: BTreeMap<String, RunningCell>,
+    instances: BTreeMap<String, RunningInstance>,
     /// Lists of the past, newest last: the late one is served.
     lists: VecDeque<(Instant, ListDocument)>,
-    shown_leaving: BTreeSet<String>,
+    shown_draining: BTreeSet<String>,
     started: BTreeMap<String, StartedDocument>,
     free_ports: VecDeque<u16>,
-    next_cell: u64,
+    next_instance: u64,
     tokens: f64,
     filled_at: Instant,
     throttled: u64,
@@ -64,8 +64,8 @@
     highest_fence: u64,
 }
 
-/// A platform on a thread of its own. Example: `PlatformStandIn::start(settings, history, began)`.
-pub struct PlatformStandIn {
+/// A platform on a thread of its own. Example: `FakePlatform::start(settings, history, began)`.
+pub struct FakePlatform {
     address: SocketAddr,
     commands: mpsc::UnboundedSender<Command>,
 }
@@ -78,14 +78,14 @@
     End,
 }
 
-impl PlatformStandIn {
+impl FakePlatform {
     /// Starts the platform on a free port. Example: `platform.address()`.
     pub fn start(
         listen: SocketAddr,
         settings: PlatformSettings,
         history: Arc<History>,
         began: Instant,
-    ) -> std::io::Result<PlatformStandIn> {
+    ) -> std::io::Result<FakePlatform> {
         let listener = TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -101,7 +101,7 @@
                 received,
             ));
         })?;
-        Ok(PlatformStandIn { address, commands })
+        Ok(FakePlatform { address, commands })
     }
 
     /// Where it listens. Example: `platform.address().port() != 0`.
@@ -127,7 +127,7 @@
     }
 }
 
-impl Drop for PlatformStandIn {
+impl Drop for FakePlatform {
     fn drop(&mut self) {
         let _ = self.commands.send(Command::End);
     }
@@ -150,17 +150,17 @@
         })
         .collect();
     let state = Rc::new(RefCell::new(PlatformState {
-        tokens: settings.acts_per_second,
+        tokens: settings.operations_per_second,
         settings,
         history,
         began,
         workers,
-        cells: BTreeMap::new(),
+        instances: BTreeMap::new(),
         lists: VecDeque::new(),
-        shown_leaving: BTreeSet::new(),
+        shown_draining: BTreeSet::new(),
         started: BTreeMap::new(),
         free_ports: VecDeque::new(),
-        next_cell: 1,
+        next_instance: 1,
         filled_at: Instant::now(),
         throttled: 0,
         starts: 0,
@@ -178,11 +178,11 @@
                     while let Some(Ok(chunk)) = payload.next().await {
                         body.extend_from_slice(&chunk);
                     }
-                    let (reply, answer) = oneshot::channel();
+                    let (reply, response) = oneshot::channel();
                     let (method, path) = (request.method().clone(), request.path().to_owned());
                     let _ = sender.send(Command::Http { method, path, body, reply });
                     let silence = (StatusCode::INTERNAL_SERVER_ERROR, String::new());
-                    let (status, text) = answer.await.unwrap_or(silence);
+                    let (status, text) = response.await.unwrap_or(silence);
                     Ok::<_, std::convert::Infallible>(Response::with_body(status, BoxBody::new(text)))
                 }
             })
@@ -195,7 +195,7 @@
     let mut digests = tokio::time::interval(Duration::from_millis(50));
     loop {
         tokio::select! {
-            _ = digests.tick() => state.borrow_mut().take_digest(),
+            _ = digests.tick() => state.borrow_mut().record_digest(),
             command = received.recv() => match command {
                 Some(Command::Drain(worker)) => state.borrow_mut().drain(worker),
                 Some(Command::Crash(worker)) => state.borrow_mut().crash(worker),
@@ -203,7 +203,7 @@
                     let _ = reply.send(state.borrow().counts());
                 }
                 Some(Command::Http { method, path, body, reply }) => {
-                    let _ = reply.send(answer(&state, &method, &path, &body));
+                    let _ = reply.send(respond(&state, &method, &path, &body));
                 }
                 Some(Command::End) | None => break,
             },
@@ -212,7 +212,7 @@
     handle.stop(false).await;
 }
 
-fn answer(
+fn respond(
     state: &Rc<RefCell<PlatformState>>,
     method: &Method,
     path: &str,
@@ -221,19 +221,19 @@
     match (method.as_str(), path, path.strip_prefix("/cells/")) {
         ("GET", "/cells", _) => (StatusCode::OK, state.borrow().late_list()),
         ("POST", "/cells", _) => match serde_json::from_slice::<StartDocument>(body) {
-            Ok(start) => start_cell(state, &start),
+            Ok(start) => start_instance(state, &start),
             Err(failure) => (StatusCode::BAD_REQUEST, failure.to_string()),
         },
         ("POST", "/usage", _) => match serde_json::from_slice::<UsageReportDocument>(body) {
             Ok(report) => state.borrow_mut().report_usage(report),
             Err(failure) => (StatusCode::BAD_REQUEST, failure.to_string()),
         },
-        ("DELETE", _, Some(cell)) => stop_cell(state, cell),
+        ("DELETE", _, Some(instance)) => stop_instance(state, instance),
         _ => (StatusCode::NOT_FOUND, String::new()),
     }
 }
 
-fn start_cell(state: &Rc<RefCell<PlatformState>>, start: &StartDocument) -> (StatusCode, String) {
+fn start_instance(state: &Rc<RefCell<PlatformState>>, start: &StartDocument) -> (StatusCode, String) {
     let mut platform = state.borrow_mut();
     if let Some(started) = platform.started.get(&start.start_id) {
         return (StatusCode::OK, json!(started).to_string());
@@ -249,10 +249,10 @@
         return (StatusCode::CONFLICT, json!({"reason": "no such worker"}).to_string());
     };
     let used_memory: u64 = platform
-        .cells
+        .instances
         .values()
-        .filter(|cell| cell.document.worker == start.worker)
-        .map(|cell| cell.document.memory_mb)
+        .filter(|instance| instance.document.worker == start.worker)
+        .map(|instance| instance.document.memory_mb)
         .sum();
     if used_memory + start.memory_mb > worker_memory {
         return (StatusCode::CONFLICT, json!({"reason": "no room"}).to_string());
@@ -263,11 +263,11 @@
         return (StatusCode::CONFLICT, json!({"reason": "no address"}).to_string());
     };
     // Another platform on this machine may hand out the same port: its cells bear other names.
-    let id = format!("cell-{}-{}", std::process::id(), platform.next_cell);
-    platform.next_cell += 1;
+    let id = format!("cell-{}-{}", std::process::id(), platform.next_instance);
+    platform.next_instance += 1;
     platform.starts += 1;
     let boot = Duration::from_millis(behaviour.boot_millis);
-    let cell = Rc::new(CellStandIn {
+    let instance = Rc::new(FakeInstance {
         id: id.clone(),
         function: start.function.clone(),
         behaviour,
@@ -279,10 +279,10 @@
     let task = actix_rt::spawn(async move {
         tokio::time::sleep(boot).await;
         if let Ok(listener) = socket.listen(1_024) {
-            cell.accept(listener).await;
+            instance.accept(listener).await;
         }
     });
-    let document = CellDocument {
+    let document = InstanceDocument {
         id: id.clone(),
         function: start.function.clone(),
         worker: start.worker.clone(),
@@ -290,23 +290,23 @@
         memory_mb: start.memory_mb,
         state: "running".to_owned(),
     };
-    let running = RunningCell {
+    let running = RunningInstance {
         document,
         start_id: start.start_id.clone(),
         port: address.port(),
         task: task.abort_handle(),
     };
-    platform.cells.insert(id.clone(), running);
+    platform.instances.insert(id.clone(), running);
     let at = micros_since(platform.began);
-    platform.history.append(Line::CellStarted {
+    platform.history.append(Line::InstanceStarted {
         at,
-        cell: id.clone(),
+        instance: id.clone(),
         function: start.function.clone(),
         worker: start.worker.clone(),
         memory_mb: start.memory_mb,
         runs_from: at + boot.as_micros() as u64,
     });
-    let started = StartedDocument { cell: id, address };
+    let started = StartedDocument { instance: id, address };
     platform.started.insert(start.start_id.clone(), started.clone());
     (StatusCode::CREATED, json!(started).to_string())
 }
@@ -319,22 +319,22 @@
     Some((socket, address))
 }
 
-fn stop_cell(state: &Rc<RefCell<PlatformState>>, cell: &str) -> (StatusCode, String) {
+fn stop_instance(state: &Rc<RefCell<PlatformState>>, instance: &str) -> (StatusCode, String) {
     let mut platform = state.borrow_mut();
-    if !platform.cells.contains_key(cell) {
+    if !platform.instances.contains_key(instance) {
         return (StatusCode::NOT_FOUND, String::new());
     }
     if !platform.spend() {
         return (StatusCode::TOO_MANY_REQUESTS, String::new());
     }
     platform.stops += 1;
-    platform.leave(cell);
-    let stopped = Line::CellStopped { at: micros_since(platform.began), cell: cell.to_owned() };
+    platform.drain_instance(instance);
+    let stopped = Line::InstanceStopped { at: micros_since(platform.began), instance: instance.to_owned() };
     platform.history.append(stopped);
-    let (state, cell, within) = (state.clone(), cell.to_owned(), platform.settings.leave_within);
+    let (state, instance, within) = (state.clone(), instance.to_owned(), platform.settings.drain_within);
     actix_rt::spawn(async move {
         tokio::time::sleep(within).await;
-        state.borrow_mut().end(&cell);
+        state.borrow_mut().end(&instance);
     });
     (StatusCode::ACCEPTED, String::new())
 }
@@ -343,11 +343,11 @@
     fn spend(&mut self) -> bool {
         let passed = self.filled_at.elapsed().as_secs_f64();
         self.filled_at = Instant::now();
-        let most = self.settings.acts_per_second;
+        let most = self.settings.operations_per_second;
         self.tokens = (self.tokens + passed * most).min(most);
         if self.tokens < 1.0 {
             self.throttled += 1;
-            self.history.append(Line::ActThrottled { at: micros_since(self.began) });
+            self.history.append(Line::OperationThrottled { at: micros_since(self.began) });
             return false;
         }
         self.tokens -= 1.0;
@@ -372,14 +372,14 @@
         (if accepted { StatusCode::OK } else { StatusCode::CONFLICT }, String::new())
     }
 
-    fn leave(&mut self, cell: &str) {
-        if let Some(running) = self.cells.get_mut(cell) {
+    fn drain_instance(&mut self, instance: &str) {
+        if let Some(running) = self.instances.get_mut(instance) {
             running.document.state = "leaving".to_owned();
         }
     }
 
-    fn end(&mut self, cell: &str) {
-        let Some(running) = self.cells.remove(cell) else { return };
+    fn end(&mut self, instance: &str) {
+        let Some(running) = self.instances.remove(instance) else { return };
         running.task.abort();
         self.started.remove(&running.start_id);
         self.free_ports.push_back(running.port);
@@ -389,8 +389,8 @@
         let Some(drained) = self.workers.get_mut(worker) else { return };
         drained.state = "draining".to_owned();
         let worker_id = drained.id.clone();
-        for cell in self.cells.values_mut().filter(|cell| cell.document.worker == worker_id) {
-            cell.document.state = "leaving".to_owned();
+        for instance in self.instances.values_mut().filter(|instance| instance.document.worker == worker_id) {
+            instance.document.state = "leaving".to_owned();
         }
     }
 
@@ -398,13 +398,13 @@
         let Some(crashed) = self.workers.get(worker) else { return };
         let worker_id = crashed.id.clone();
         let lost: Vec<String> = self
-            .cells
+            .instances
             .iter()
-            .filter(|(_, cell)| cell.document.worker == worker_id)
+            .filter(|(_, instance)| instance.document.worker == worker_id)
             .map(|(id, _)| id.clone())
             .collect();
-        for cell in lost {
-            self.end(&cell);
+        for instance in lost {
+            self.end(&instance);
         }
         self.workers.remove(worker);
     }
@@ -413,10 +413,10 @@
         (self.starts, self.stops, self.throttled)
     }
 
-    fn take_digest(&mut self) {
+    fn record_digest(&mut self) {
         let list = ListDocument {
             workers: self.workers.clone(),
-            cells: self.cells.values().map(|cell| cell.document.clone()).collect(),
+            instances: self.instances.values().map(|instance| instance.document.clone()).collect(),
         };
         self.lists.push_back((Instant::now(), list));
         while self.lists.len() > 1 && self.lists[1].0.elapsed() >= self.settings.list_late {
@@ -426,17 +426,17 @@
         if taken_at.elapsed() < self.settings.list_late {
             return;
         }
-        for cell in shown.cells.iter().filter(|cell| cell.state == "leaving") {
-            if self.shown_leaving.insert(cell.id.clone()) {
+        for instance in shown.instances.iter().filter(|instance| instance.state == "leaving") {
+            if self.shown_draining.insert(instance.id.clone()) {
                 let at = micros_since(self.began);
-                self.history.append(Line::CellShownLeaving { at, cell: cell.id.clone() });
+                self.history.append(Line::InstanceShownDraining { at, instance: instance.id.clone() });
             }
         }
     }
 
     fn late_list(&self) -> String {
         let late = self.lists.front().filter(|(taken_at, _)| taken_at.elapsed() >= self.settings.list_late);
-        let empty = ListDocument { workers: self.workers.clone(), cells: Vec::new() };
+        let empty = ListDocument { workers: self.workers.clone(), instances: Vec::new() };
         json!(late.map_or(&empty, |(_, list)| list)).to_string()
     }
 }
--- a/packages/test_doubles/src/lib.rs
+++ b/packages/test_doubles/src/lib.rs
@@ -1,13 +1,13 @@
 //! Stand-ins for what vanelane meets: the platform with its workers and cells, and the callers.
 //! They write what they saw into a history that `history_checker` judges.
 
-mod callers;
-mod cell_stand_in;
-mod platform_stand_in;
+mod fake_instance;
+mod fake_platform;
+mod load_generator;
 
-pub use callers::{CallerSettings, Callers, CallersReport, Target};
-pub use cell_stand_in::{FunctionStandIn, Misbehaviour};
-pub use platform_stand_in::{PlatformSettings, PlatformStandIn};
+pub use fake_instance::{FakeFunction, Misbehaviour};
+pub use fake_platform::{FakePlatform, PlatformSettings};
+pub use load_generator::{LoadGenerator, LoadReport, LoadSettings, Target};
 
 use std::time::Instant;
 
--- a/packages/test_doubles/src/callers.rs
+++ b/packages/test_doubles/src/load_generator.rs
@@ -33,9 +33,9 @@
     pub repeatable: bool,
 }
 
-/// How the callers call. Example: `CallerSettings { calls_per_second: 300.0, .. }`.
+/// How the callers call. Example: `LoadSettings { calls_per_second: 300.0, .. }`.
 #[derive(Clone, Debug)]
-pub struct CallerSettings {
+pub struct LoadSettings {
     /// Calls sent each second, whether or not earlier ones were answered.
     pub calls_per_second: f64,
     /// For how long.
@@ -43,11 +43,11 @@
     /// What is called.
     pub targets: Vec<Target>,
     /// The longest a caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Seeds the order of targets.
-    pub luck_seed: u64,
+    pub random_seed: u64,
     /// Retries sent at once after a refusal, as hasty callers do.
-    pub hasty_retries: u32,
+    pub immediate_retries: u32,
     /// The length of bodies.
     pub body_length: usize,
     /// The share of calls that ask their cell to behave in one of these ways.
@@ -58,7 +58,7 @@
 
 /// What the callers saw, in short.
 #[derive(Clone, Debug, Default)]
-pub struct CallersReport {
+pub struct LoadReport {
     /// Calls sent, retries included.
     pub sent: u64,
     /// Whole answers.
@@ -68,7 +68,7 @@
     /// Of unknown fate.
     pub unknown: u64,
     /// Never answered.
-    pub no_answer: u64,
+    pub no_response: u64,
     /// Requests that their node did not take, since it was gone or closed at that moment; sent again to another.
     pub not_taken: u64,
     /// Sorted latencies of whole answers, in microseconds.
@@ -77,7 +77,7 @@
     pub reasons: Vec<(String, u64)>,
 }
 
-impl CallersReport {
+impl LoadReport {
     /// A quantile of the latencies. Example: `report.quantile(0.99)`.
     pub fn quantile(&self, part: f64) -> u64 {
         let place = ((self.latencies.len() as f64 - 1.0) * part).max(0.0) as usize;
@@ -85,34 +85,34 @@
     }
 }
 
-/// Callers on a thread of their own. Example: `Callers::start(settings, nodes, history, began)`.
-pub struct Callers {
-    thread: std::thread::JoinHandle<CallersReport>,
+/// Callers on a thread of their own. Example: `LoadGenerator::start(settings, nodes, history, began)`.
+pub struct LoadGenerator {
+    thread: std::thread::JoinHandle<LoadReport>,
     nodes: Arc<Mutex<Vec<SocketAddr>>>,
     ending: Arc<AtomicBool>,
 }
 
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
-impl Callers {
+impl LoadGenerator {
     /// Starts calling the nodes in turn. Example: `callers.finish().ran`.
     pub fn start(
-        settings: CallerSettings,
+        settings: LoadSettings,
         nodes: Vec<SocketAddr>,
         history: Arc<History>,
         began: Instant,
-    ) -> std::io::Result<Callers> {
+    ) -> std::io::Result<LoadGenerator> {
         let nodes = Arc::new(Mutex::new(nodes));
         let ending = Arc::new(AtomicBool::new(false));
         let (shared_nodes, shared_ending) = (nodes.clone(), ending.clone());
         let thread = std::thread::Builder::new().name("callers".to_owned()).spawn(move || {
             actix_rt::System::new().block_on(call_all(settings, shared_nodes, shared_ending, history, began))
         })?;
-        Ok(Callers { thread, nodes, ending })
+        Ok(LoadGenerator { thread, nodes, ending })
     }
 
-    /// The platform hands callers to these nodes from now on. Example: `callers.hand_to(nodes)`.
-    pub fn hand_to(&self, nodes: Vec<SocketAddr>) {
+    /// The platform hands callers to these nodes from now on. Example: `callers.set_nodes(nodes)`.
+    pub fn set_nodes(&self, nodes: Vec<SocketAddr>) {
         match self.nodes.lock() {
             Ok(mut shared) => *shared = nodes,
             Err(poisoned) => *poisoned.into_inner() = nodes,
@@ -125,7 +125,7 @@
     }
 
     /// Waits for the end of the span and of all calls. Example: `let report = callers.finish();`.
-    pub fn finish(self) -> CallersReport {
+    pub fn finish(self) -> LoadReport {
         self.thread.join().unwrap_or_default()
     }
 }
@@ -133,31 +133,31 @@
 struct Shared {
     history: Arc<History>,
     began: Instant,
-    report: RefCell<CallersReport>,
-    settings: CallerSettings,
+    report: RefCell<LoadReport>,
+    settings: LoadSettings,
     nodes: Arc<Mutex<Vec<SocketAddr>>>,
     kept: KeptConnections,
 }
 
 impl Shared {
-    fn random_node(&self, dice: &mut Rng) -> Option<SocketAddr> {
+    fn random_node(&self, rng: &mut Rng) -> Option<SocketAddr> {
         let nodes = match self.nodes.lock() {
             Ok(nodes) => nodes.clone(),
             Err(poisoned) => poisoned.into_inner().clone(),
         };
-        dice.choice(nodes)
+        rng.choice(nodes)
     }
 }
 
 async fn call_all(
-    settings: CallerSettings,
+    settings: LoadSettings,
     nodes: Arc<Mutex<Vec<SocketAddr>>>,
     ending: Arc<AtomicBool>,
     history: Arc<History>,
     began: Instant,
-) -> CallersReport {
+) -> LoadReport {
     let weight_sum: f64 = settings.targets.iter().map(|target| target.weight).sum();
-    let mut dice = Rng::with_seed(settings.luck_seed);
+    let mut rng = Rng::with_seed(settings.random_seed);
     let shared = Rc::new(Shared {
         history,
         began,
@@ -175,13 +175,13 @@
         let due_count = (start.elapsed().as_secs_f64() * settings.calls_per_second) as u64;
         while sent_count < due_count {
             sent_count += 1;
-            let mut draw = dice.f64() * weight_sum;
+            let mut random = rng.f64() * weight_sum;
             let picked = settings.targets.iter().find(|target| {
-                draw -= target.weight;
-                draw <= 0.0
+                random -= target.weight;
+                random <= 0.0
             });
             let Some(target) = picked.or(settings.targets.last()).cloned() else { continue };
-            calls.spawn_local(call_patiently(shared.clone(), target, dice.u64(..)));
+            calls.spawn_local(call_with_retries(shared.clone(), target, rng.u64(..)));
         }
         while calls.try_join_next().is_some() {}
     }
@@ -191,18 +191,18 @@
     report
 }
 
-async fn call_patiently(shared: Rc<Shared>, target: Target, luck: u64) {
-    let mut dice = Rng::with_seed(luck);
-    for _ in 0..=shared.settings.hasty_retries {
-        let outcome = call_once(&shared, &target, &mut dice).await;
+async fn call_with_retries(shared: Rc<Shared>, target: Target, random: u64) {
+    let mut rng = Rng::with_seed(random);
+    for _ in 0..=shared.settings.immediate_retries {
+        let outcome = call_once(&shared, &target, &mut rng).await;
         if outcome != Outcome::NotRun {
             return;
         }
     }
 }
 
-async fn call_once(shared: &Rc<Shared>, target: &Target, dice: &mut Rng) -> Outcome {
-    let Some(node) = shared.random_node(dice) else { return Outcome::NoAnswer };
+async fn call_once(shared: &Rc<Shared>, target: &Target, rng: &mut Rng) -> Outcome {
+    let Some(node) = shared.random_node(rng) else { return Outcome::NoResponse };
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed).to_string();
     let sent_at = micros_since(shared.began);
     shared.history.append(Line::CallSent {
@@ -213,8 +213,8 @@
         repeatable: target.repeatable,
     });
     let (share, behaviours) = &shared.settings.behaviours;
-    let asked = if dice.f64() < *share { dice.choice(behaviours).copied() } else { None };
-    let (outcome, is_own, reason) = exchange(shared, target, node, &call, asked.unwrap_or(""), dice).await;
+    let requested = if rng.f64() < *share { rng.choice(behaviours).copied() } else { None };
+    let (outcome, is_own, reason) = exchange(shared, target, node, &call, requested.unwrap_or(""), rng).await;
     let at = micros_since(shared.began);
     let latency = at - sent_at;
     shared.history.append(Line::CallEnded { at, call, outcome, is_own, latency });
@@ -227,7 +227,7 @@
         }
         Outcome::NotRun => report.not_run += 1,
         Outcome::Unknown => report.unknown += 1,
-        Outcome::NoAnswer => report.no_answer += 1,
+        Outcome::NoResponse => report.no_response += 1,
     }
     if !reason.is_empty() {
         match report.reasons.iter_mut().find(|(known, _)| *known == reason) {
@@ -244,16 +244,16 @@
     node: SocketAddr,
     call: &str,
     behaviour: &str,
-    dice: &mut Rng,
+    rng: &mut Rng,
 ) -> (Outcome, bool, String) {
-    let answered = answer_from_some_node(shared, target, node, call, behaviour, dice);
-    let (status, told, body) = match tokio::time::timeout(shared.settings.patience, answered).await {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(reason)) => return (Outcome::NoAnswer, false, reason.to_owned()),
-        Err(_) => return (Outcome::NoAnswer, false, "no answer in time".to_owned()),
+    let answered = request_from_some_node(shared, target, node, call, behaviour, rng);
+    let (status, reported, body) = match tokio::time::timeout(shared.settings.timeout, answered).await {
+        Ok(Ok(response)) => response,
+        Ok(Err(reason)) => return (Outcome::NoResponse, false, reason.to_owned()),
+        Err(_) => return (Outcome::NoResponse, false, "no answer in time".to_owned()),
     };
     let text = String::from_utf8_lossy(&body);
-    match told.as_deref() {
+    match reported.as_deref() {
         Some("ran") => {
             let is_own =
                 text.starts_with(&format!("{{\"call\":\"{call}\",")) && text.ends_with("\"end\":true}");
@@ -261,7 +261,7 @@
         }
         Some("not_run") => (Outcome::NotRun, false, format!("{status} {}", strip_numbers(&text))),
         Some("unknown") => (Outcome::Unknown, false, format!("{status} {}", strip_numbers(&text))),
-        _ => (Outcome::NoAnswer, false, format!("{status} without an outcome")),
+        _ => (Outcome::NoResponse, false, format!("{status} without an outcome")),
     }
 }
 
@@ -274,7 +274,7 @@
 }
 
 /// A status, the outcome that the node tells, and the body.
-type Answer = (StatusCode, Option<String>, BytesMut);
+type Response = (StatusCode, Option<String>, BytesMut);
 
 /// A connection that ends without an answer so soon after its request may have been closed as that came.
 const CROSSING: Duration = Duration::from_millis(500);
@@ -282,41 +282,41 @@
 const OFFERS_MOST: u32 = 40;
 const OFFER_PAUSE: Duration = Duration::from_millis(20);
 
-async fn answer_from_some_node(
+async fn request_from_some_node(
     shared: &Rc<Shared>,
     target: &Target,
     first_node: SocketAddr,
     call: &str,
     behaviour: &str,
-    dice: &mut Rng,
-) -> Result<Answer, &'static str> {
+    rng: &mut Rng,
+) -> Result<Response, &'static str> {
     let mut node = first_node;
     for _ in 0..OFFERS_MOST {
-        match read_answer(shared, target, node, call, behaviour).await {
-            Ok(answer) => return Ok(answer),
+        match read_response(shared, target, node, call, behaviour).await {
+            Ok(response) => return Ok(response),
             Err(Unanswered::Failed(reason)) => return Err(reason),
             Err(Unanswered::NotTaken) if !shared.settings.keeps_connections => return Err("no connection"),
             Err(Unanswered::NotTaken) => {}
         }
         shared.report.borrow_mut().not_taken += 1;
         tokio::time::sleep(OFFER_PAUSE).await;
-        node = shared.random_node(dice).unwrap_or(node);
+        node = shared.random_node(rng).unwrap_or(node);
     }
     Err("no node takes it")
 }
 
 /// One call, read by the codec itself: a chunked body that ends without its last chunk is seen to be cut,
 /// which higher clients pass over in silence.
-async fn read_answer(
+async fn read_response(
     shared: &Shared,
     target: &Target,
     node: SocketAddr,
     call: &str,
     behaviour: &str,
-) -> Result<Answer, Unanswered> {
+) -> Result<Response, Unanswered> {
     let failed = Unanswered::Failed;
     let keeps = shared.settings.keeps_connections;
-    let mut framed = match shared.kept.take(node) {
+    let mut framed = match shared.kept.check_out(node) {
         Some(kept) => kept,
         None => connected(node).await?,
     };
@@ -333,14 +333,15 @@
         true => Unanswered::NotTaken,
         false => Unanswered::Failed(reason),
     };
-    let answer = match framed.next().await {
-        Some(Ok(answer)) => answer,
+    let response = match framed.next().await {
+        Some(Ok(response)) => response,
         Some(Err(_)) => return Err(ended("the connection broke, or the answer is no HTTP")),
         None => return Err(ended("no answer")),
     };
-    let status = answer.status;
-    let told = answer.headers.get(OUTCOME_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    let may_be_kept = keeps && answer.connection_type() == ConnectionType::KeepAlive;
+    let status = response.status;
+    let reported =
+        response.headers.get(OUTCOME_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let may_be_kept = keeps && response.connection_type() == ConnectionType::KeepAlive;
     let mut body = BytesMut::new();
     if framed.codec_ref().message_type() != MessageType::None {
         let mut payload = framed.into_map_codec(ClientCodec::into_payload_codec);
@@ -355,9 +356,9 @@
         framed = payload.into_map_codec(ClientPayloadCodec::into_message_codec);
     }
     if may_be_kept {
-        shared.kept.give_back(node, framed);
+        shared.kept.put_back(node, framed);
     }
-    Ok((status, told, body))
+    Ok((status, reported, body))
 }
 
 async fn connected(node: SocketAddr) -> Result<NodeConnection, Unanswered> {
--- a/packages/test_doubles/src/callers/kept_connections.rs
+++ b/packages/test_doubles/src/load_generator/kept_connections.rs
@@ -17,7 +17,7 @@
 
 impl KeptConnections {
     /// The connection to this node that was idle longest, of those that it has not closed.
-    pub(super) fn take(&self, node: SocketAddr) -> Option<NodeConnection> {
+    pub(super) fn check_out(&self, node: SocketAddr) -> Option<NodeConnection> {
         let mut idle = self.0.borrow_mut();
         let connections = idle.get_mut(&node)?;
         while !connections.is_empty() {
@@ -30,7 +30,7 @@
         None
     }
 
-    pub(super) fn give_back(&self, node: SocketAddr, connection: NodeConnection) {
+    pub(super) fn put_back(&self, node: SocketAddr, connection: NodeConnection) {
         self.0.borrow_mut().entry(node).or_default().push(connection);
     }
 }
--- a/packages/traffic_replay/src/main.rs
+++ b/packages/traffic_replay/src/main.rs
@@ -31,7 +31,7 @@
 
 const LINE_LIMIT: usize = 64 * 1024;
 const BODY_LIMIT: u64 = 64 * 1024 * 1024;
-const TOLD_BAD_LINES: usize = 100;
+const REPORTED_BAD_LINES_LIMIT: usize = 100;
 
 fn main() -> ExitCode {
     let command_line = VanelaneReplay::from_env_or_exit();
@@ -59,7 +59,7 @@
     replayed: u64,
     bad_lines: u64,
     /// The first bad lines: number and reason.
-    told_bad_lines: Vec<(u64, String)>,
+    reported_bad_lines: Vec<(u64, String)>,
     /// Lane, recorded outcome, outcome now: how often.
     outcomes: BTreeMap<(String, String, String), u64>,
     recorded_latency: Vec<u64>,
@@ -71,8 +71,8 @@
 impl ReplayReport {
     fn bad_line(&mut self, number: u64, reason: String) {
         self.bad_lines += 1;
-        if self.told_bad_lines.len() < TOLD_BAD_LINES {
-            self.told_bad_lines.push((number, reason));
+        if self.reported_bad_lines.len() < REPORTED_BAD_LINES_LIMIT {
+            self.reported_bad_lines.push((number, reason));
         }
     }
 
@@ -92,12 +92,12 @@
         let outcomes: Vec<Value> = self
             .outcomes
             .iter()
-            .map(|((lane, recorded, now), count)| {
-                json!({"lane": lane, "recorded": recorded, "now": now, "count": count})
+            .map(|((route, recorded, now), count)| {
+                json!({"lane": route, "recorded": recorded, "now": now, "count": count})
             })
             .collect();
         let bad_lines: Vec<Value> = self
-            .told_bad_lines
+            .reported_bad_lines
             .iter()
             .map(|(number, reason)| json!({"line": number, "reason": reason}))
             .collect();
@@ -208,11 +208,11 @@
     let request = client.request(method, format!("http://{node}{}", call.path)).force_close();
     let outcome = match request.send_body(vec![b'r'; call.size as usize]).await {
         Err(_) => "no_answer".to_owned(),
-        Ok(mut answer) => {
-            let told = answer.headers().get(OUTCOME_HEADER).and_then(|value| value.to_str().ok());
-            let told = told.unwrap_or("no_answer").to_owned();
-            match answer.body().limit(BODY_LIMIT as usize).await {
-                Ok(_) => told,
+        Ok(mut response) => {
+            let reported = response.headers().get(OUTCOME_HEADER).and_then(|value| value.to_str().ok());
+            let reported = reported.unwrap_or("no_answer").to_owned();
+            match response.body().limit(BODY_LIMIT as usize).await {
+                Ok(_) => reported,
                 Err(_) => "no_answer".to_owned(),
             }
         }
@@ -224,7 +224,7 @@
     if call.outcome == "ran" {
         shared.recorded_latency.push(call.latency_micros);
     }
-    *shared.outcomes.entry((call.lane, call.outcome, outcome)).or_default() += 1;
+    *shared.outcomes.entry((call.route, call.outcome, outcome)).or_default() += 1;
 }
 
 #[cfg(test)]
--- a/packages/traffic_replay/src/tests.rs
+++ b/packages/traffic_replay/src/tests.rs
@@ -11,7 +11,7 @@
     let reader = Box::new(std::io::Cursor::new(day));
     let nodes = vec![SocketAddr::from(([127, 0, 0, 1], 9))];
     let report = actix_rt::System::new().block_on(replay(reader, nodes, 1.0, 1));
-    let lines: Vec<u64> = report.told_bad_lines.iter().map(|(number, _)| *number).collect();
+    let lines: Vec<u64> = report.reported_bad_lines.iter().map(|(number, _)| *number).collect();
     assert_eq!((report.bad_lines, lines, report.replayed), (3, vec![1, 2, 4], 0));
     assert!(read_record(sound.as_bytes()).is_ok());
 }
--- a/packages/usage_reports/src/fleet_clock.rs
+++ b/packages/usage_reports/src/fleet_clock.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeMap;
 
 /// A wall clock that was told longer ago counts no more.
-const TOLD_SPAN: Micros = Micros::from_secs(4);
+const REPORTED_SPAN: Micros = Micros::from_secs(4);
 
 /// The time that the fleet agrees on, as what to add to this process's monotonic clock. The collector takes
 /// the middle of its colleagues' wall clocks, so that those of a minority may be anything; the others take
 /// the collector's word. Before either there is only the own wall clock.
-/// Example: `clock.take_own(unix, now); clock.unix(now) == Some(unix)`.
+/// Example: `clock.set_own(unix, now); clock.unix(now) == Some(unix)`.
 #[derive(Debug, Default)]
 pub struct FleetClock {
     own_offset: Option<Micros>,
     fleet_offset: Option<Micros>,
-    told_offsets: BTreeMap<NodeId, (Micros, Micros)>,
+    reported_offsets: BTreeMap<NodeId, (Micros, Micros)>,
     is_agreed: bool,
 }
 
 impl FleetClock {
-    /// This machine's wall clock, read now. Example: `clock.take_own(unix, now)`.
-    pub fn take_own(&mut self, unix: Micros, now: Micros) {
+    /// This machine's wall clock, read now. Example: `clock.set_own(unix, now)`.
+    pub fn set_own(&mut self, unix: Micros, now: Micros) {
         self.own_offset = Some(unix - now);
     }
 
@@ -28,22 +28,22 @@
         self.own_offset.map(|offset| now + offset)
     }
 
-    /// The collector's word on the fleet's clock. Example: `clock.take_fleet(told, now)`.
-    pub fn take_fleet(&mut self, unix: Micros, now: Micros) {
+    /// The collector's word on the fleet's clock. Example: `clock.set_fleet_time(reported, now)`.
+    pub fn set_fleet_time(&mut self, unix: Micros, now: Micros) {
         self.fleet_offset = Some(unix - now);
     }
 
-    /// A colleague's wall clock, as it told it just now. Example: `clock.take_told(9, unix, now)`.
-    pub fn take_told(&mut self, node: NodeId, unix: Micros, now: Micros) {
-        self.told_offsets.insert(node, (unix - now, now));
+    /// A colleague's wall clock, as it told it just now. Example: `clock.set_reported(9, unix, now)`.
+    pub fn set_reported(&mut self, node: NodeId, unix: Micros, now: Micros) {
+        self.reported_offsets.insert(node, (unix - now, now));
     }
 
     /// The collector's look: the middle of the clocks that were told lately becomes the fleet's, where more
     /// than half of the members told theirs. Example: `clock.agree(&members, now)`.
     pub fn agree(&mut self, members: &[NodeId], now: Micros) {
-        self.told_offsets.retain(|_, (_, told_at)| now <= *told_at + TOLD_SPAN);
-        let told = members.iter().filter_map(|node| self.told_offsets.get(node));
-        let mut offsets: Vec<Micros> = told.map(|(offset, _)| *offset).collect();
+        self.reported_offsets.retain(|_, (_, reported_at)| now <= *reported_at + REPORTED_SPAN);
+        let reported = members.iter().filter_map(|node| self.reported_offsets.get(node));
+        let mut offsets: Vec<Micros> = reported.map(|(offset, _)| *offset).collect();
         self.is_agreed = offsets.len() * 2 > members.len();
         if self.is_agreed {
             offsets.sort_unstable();
@@ -64,7 +64,7 @@
 
     /// What was told before a sleep says nothing. Example: `clock.woke_up()`.
     pub fn woke_up(&mut self) {
-        self.told_offsets.clear();
+        self.reported_offsets.clear();
         self.is_agreed = false;
     }
 
--- a/packages/usage_reports/src/lib.rs
+++ b/packages/usage_reports/src/lib.rs
@@ -1,17 +1,17 @@
 //! Reports of usage: how many calls of each tenant cells began, by windows of true time.
 //!
-//! All parts are pure. [`Tally`] counts at one node; [`Gathering`] folds what nodes tell together at the
+//! All parts are pure. [`UsageCounter`] counts at one node; [`UsageAggregator`] folds what nodes tell together at the
 //! collector; [`FleetClock`] is the time that windows are told apart by; [`UsageRegister`] is the replicated
 //! value that says which counts were chosen for a window, and who sends them under which fence.
 
 mod fleet_clock;
-mod gathering;
-mod tally;
+mod usage_aggregator;
+mod usage_counter;
 mod usage_register;
 
 pub use fleet_clock::FleetClock;
-pub use gathering::{Gathering, Told};
-pub use tally::Tally;
+pub use usage_aggregator::{UsageAggregator, UsageDelta};
+pub use usage_counter::UsageCounter;
 pub use usage_register::{REPORTS_KEPT, UsageRegister};
 
 use monotonic_clock::Micros;
--- a/packages/usage_reports/src/tests.rs
+++ b/packages/usage_reports/src/tests.rs
@@ -8,8 +8,8 @@
     UsageWindow { window, counts: List(vec![TenantCount { tenant: "acme".into(), count: calls }]) }
 }
 
-fn told(since: u64, sequence: u64, clock: Micros, windows: Vec<UsageWindow>) -> Told {
-    Told { since, sequence, clock, windows: List(windows) }
+fn reported(since: u64, sequence: u64, clock: Micros, windows: Vec<UsageWindow>) -> UsageDelta {
+    UsageDelta { since, sequence, clock, windows: List(windows) }
 }
 
 #[test]
@@ -22,61 +22,70 @@
 
 #[test]
 fn counts_go_up_and_are_taken_back() {
-    let (mut tally, tenant) = (Tally::default(), Arc::from("acme"));
-    assert!(tally.add(7, &tenant, NOW) && tally.add(7, &tenant, NOW) && tally.add(8, &tenant, NOW));
-    tally.take_back(7, "acme");
-    tally.take_back(7, "unknown");
-    assert_eq!(tally.changed_since(0), List(vec![report(7, 1), report(8, 1)]));
-    let sequence = tally.sequence();
-    assert_eq!(tally.changed_since(sequence), List(Vec::new()));
-    tally.add(8, &tenant, NOW);
-    assert_eq!(tally.changed_since(sequence), List(vec![report(8, 2)]));
+    let (mut usage_counter, tenant) = (UsageCounter::default(), Arc::from("acme"));
+    assert!(
+        usage_counter.add(7, &tenant, NOW)
+            && usage_counter.add(7, &tenant, NOW)
+            && usage_counter.add(8, &tenant, NOW)
+    );
+    usage_counter.remove(7, "acme");
+    usage_counter.remove(7, "unknown");
+    assert_eq!(usage_counter.changed_since(0), List(vec![report(7, 1), report(8, 1)]));
+    let sequence = usage_counter.sequence();
+    assert_eq!(usage_counter.changed_since(sequence), List(Vec::new()));
+    usage_counter.add(8, &tenant, NOW);
+    assert_eq!(usage_counter.changed_since(sequence), List(vec![report(8, 2)]));
 }
 
 #[test]
 fn nothing_is_counted_for_decided_windows() {
-    let (mut tally, tenant) = (Tally::default(), Arc::from("acme"));
-    tally.add(7, &tenant, NOW);
-    tally.decided_below(8);
-    assert!(!tally.add(7, &tenant, NOW));
-    tally.decided_below(2);
-    assert_eq!((tally.open_from(), tally.changed_since(0)), (8, List(Vec::new())));
+    let (mut usage_counter, tenant) = (UsageCounter::default(), Arc::from("acme"));
+    usage_counter.add(7, &tenant, NOW);
+    usage_counter.decided_below(8);
+    assert!(!usage_counter.add(7, &tenant, NOW));
+    usage_counter.decided_below(2);
+    assert_eq!((usage_counter.open_from(), usage_counter.changed_since(0)), (8, List(Vec::new())));
 }
 
 #[test]
 fn repeated_and_reordered_tells_change_nothing() {
-    let mut gathering = Gathering::default();
-    let first = told(0, 3, Micros(30), vec![report(7, 3)]);
-    let second = told(3, 4, Micros(40), vec![report(7, 2)]);
-    assert_eq!(gathering.take(1, first.clone(), NOW), 3);
-    assert_eq!(gathering.take(1, second.clone(), NOW), 4);
-    assert_eq!(gathering.take(1, first, NOW), 4);
-    assert_eq!(gathering.take(1, second, NOW), 4);
-    assert_eq!(gathering.counts(7), report(7, 2).counts);
+    let mut usage_aggregator = UsageAggregator::default();
+    let first = reported(0, 3, Micros(30), vec![report(7, 3)]);
+    let second = reported(3, 4, Micros(40), vec![report(7, 2)]);
+    assert_eq!(usage_aggregator.apply(1, first.clone(), NOW), 3);
+    assert_eq!(usage_aggregator.apply(1, second.clone(), NOW), 4);
+    assert_eq!(usage_aggregator.apply(1, first, NOW), 4);
+    assert_eq!(usage_aggregator.apply(1, second, NOW), 4);
+    assert_eq!(usage_aggregator.counts(7), report(7, 2).counts);
 }
 
 /// A collector that took over would count only what changed since its predecessor heard of it.
 #[test]
 fn a_collector_that_lacks_counts_asks_for_all() {
-    let mut gathering = Gathering::default();
-    assert_eq!(gathering.take(1, told(9, 12, Micros(40), vec![report(7, 2)]), NOW), 0);
-    assert_eq!(gathering.counts(7), List(Vec::new()));
-    assert!(!gathering.is_complete(&[1], Micros(40)));
-    assert_eq!(gathering.take(1, told(0, 12, Micros(40), vec![report(7, 5)]), NOW), 12);
-    assert!(gathering.is_complete(&[1], Micros(40)) && !gathering.is_complete(&[1, 2], Micros(40)));
-    assert_eq!(gathering.counts(7), report(7, 5).counts);
+    let mut usage_aggregator = UsageAggregator::default();
+    assert_eq!(usage_aggregator.apply(1, reported(9, 12, Micros(40), vec![report(7, 2)]), NOW), 0);
+    assert_eq!(usage_aggregator.counts(7), List(Vec::new()));
+    assert!(!usage_aggregator.is_complete(&[1], Micros(40)));
+    assert_eq!(usage_aggregator.apply(1, reported(0, 12, Micros(40), vec![report(7, 5)]), NOW), 12);
+    assert!(
+        usage_aggregator.is_complete(&[1], Micros(40)) && !usage_aggregator.is_complete(&[1, 2], Micros(40))
+    );
+    assert_eq!(usage_aggregator.counts(7), report(7, 5).counts);
 }
 
 #[test]
 fn counts_of_a_node_that_is_gone_are_kept() {
-    let mut gathering = Gathering::default();
-    gathering.take(1, told(0, 1, Micros(1), vec![report(7, 3)]), NOW);
-    gathering.take(2, told(0, 1, Micros(1), vec![report(7, 4), report(8, 1)]), NOW);
-    assert_eq!(gathering.counts(7), report(7, 7).counts);
-    gathering.forget(8, Micros(0));
-    assert_eq!((gathering.counts(7), gathering.counts(8)), (List(Vec::new()), report(8, 1).counts));
-    gathering.forget(8, NOW + Micros(1));
-    assert_eq!(gathering.counts(8), List(Vec::new()));
+    let mut usage_aggregator = UsageAggregator::default();
+    usage_aggregator.apply(1, reported(0, 1, Micros(1), vec![report(7, 3)]), NOW);
+    usage_aggregator.apply(2, reported(0, 1, Micros(1), vec![report(7, 4), report(8, 1)]), NOW);
+    assert_eq!(usage_aggregator.counts(7), report(7, 7).counts);
+    usage_aggregator.forget(8, Micros(0));
+    assert_eq!(
+        (usage_aggregator.counts(7), usage_aggregator.counts(8)),
+        (List(Vec::new()), report(8, 1).counts)
+    );
+    usage_aggregator.forget(8, NOW + Micros(1));
+    assert_eq!(usage_aggregator.counts(8), List(Vec::new()));
 }
 
 /// A clock that jumps by seconds on a minority of the machines must not move the fleet's windows.
@@ -84,18 +93,18 @@
 fn a_minority_of_wrong_clocks_changes_nothing() {
     let right = Micros::from_secs(1_700_000_000);
     let mut clock = FleetClock::default();
-    clock.take_own(right + Micros::from_secs(9), NOW);
+    clock.set_own(right + Micros::from_secs(9), NOW);
     assert_eq!(clock.unix(NOW), Some(right + Micros::from_secs(9)));
     clock.agree(&[1, 2, 3, 4, 5], NOW);
     assert!(!clock.is_agreed());
-    for (node, told) in [
+    for (node, reported) in [
         (1, right + Micros::from_secs(9)),
         (2, right),
         (3, right),
         (4, right - Micros::from_secs(7)),
         (5, right),
     ] {
-        clock.take_told(node, told, NOW);
+        clock.set_reported(node, reported, NOW);
     }
     clock.agree(&[1, 2, 3, 4, 5], NOW);
     assert!(clock.is_agreed());
@@ -108,14 +117,14 @@
 
 #[test]
 fn a_fence_goes_with_one_name_and_windows_only_rise() {
-    let founded = UsageRegister::founded("a", 1, 7, Micros::from_secs(100));
-    let first = founded.takes("a", 1, vec![report(7, 1)], 0);
-    let again = first.takes("a", 2, vec![report(7, 9), report(8, 2)], 8);
-    assert_eq!((founded.fence, again.fence, again.process), (100, 100, 2));
+    let bootstrapped = UsageRegister::bootstrapped("a", 1, 7, Micros::from_secs(100));
+    let first = bootstrapped.with_decided("a", 1, vec![report(7, 1)], 0);
+    let again = first.with_decided("a", 2, vec![report(7, 9), report(8, 2)], 8);
+    assert_eq!((bootstrapped.fence, again.fence, again.process), (100, 100, 2));
     assert_eq!(again.reports, List(vec![report(8, 2)]));
-    let taken = again.takes("b", 3, vec![], 0);
+    let taken = again.with_decided("b", 3, vec![], 0);
     assert_eq!((taken.fence, taken.next_window, taken.delivered_below), (101, 9, 8));
-    let back = taken.takes("a", 2, vec![report(12, 1), report(11, 1)], 0);
+    let back = taken.with_decided("a", 2, vec![report(12, 1), report(11, 1)], 0);
     assert_eq!((back.fence, back.next_window), (102, 13));
     assert_eq!(back.undelivered(0), Some(&report(8, 2)));
     assert_eq!(back.undelivered(9), Some(&report(12, 1)));
@@ -124,8 +133,8 @@
 
 #[test]
 fn the_register_keeps_the_newest_reports_and_comes_back_whole() {
-    let founded = UsageRegister::founded("a", 1, 0, Micros(0));
-    let full = founded.takes("a", 1, (0..20).map(|window| report(window, 1)).collect(), 0);
+    let bootstrapped = UsageRegister::bootstrapped("a", 1, 0, Micros(0));
+    let full = bootstrapped.with_decided("a", 1, (0..20).map(|window| report(window, 1)).collect(), 0);
     assert_eq!(full.reports.0.len(), REPORTS_KEPT);
     assert_eq!(full.undelivered(0).map(|report| report.window), Some(14));
     assert_eq!(UsageRegister::decode(&full.encode()), Some(full));
@@ -135,12 +144,12 @@
 /// Counts of a process that died were lost when the collector that held them gave way to another.
 #[test]
 fn counts_of_a_node_that_is_gone_are_told_on() {
-    let (mut before, mut after) = (Gathering::default(), Gathering::default());
-    before.take(1, told(0, 4, Micros(30), vec![report(7, 3)]), NOW);
-    assert_eq!(before.tellers().collect::<Vec<_>>(), [(1, NOW)]);
-    let told_on = before.told_by(1).expect("held");
-    assert_eq!(after.take(1, told_on.clone(), NOW), 4);
-    after.take(1, told_on, NOW);
+    let (mut before, mut after) = (UsageAggregator::default(), UsageAggregator::default());
+    before.apply(1, reported(0, 4, Micros(30), vec![report(7, 3)]), NOW);
+    assert_eq!(before.reporters().collect::<Vec<_>>(), [(1, NOW)]);
+    let forwarded = before.reported_by(1).expect("held");
+    assert_eq!(after.apply(1, forwarded.clone(), NOW), 4);
+    after.apply(1, forwarded, NOW);
     assert_eq!(after.counts(7), report(7, 3).counts);
-    assert!(before.told_by(2).is_none());
+    assert!(before.reported_by(2).is_none());
 }
--- a/packages/usage_reports/src/usage_register.rs
+++ b/packages/usage_reports/src/usage_register.rs
@@ -7,7 +7,7 @@
 
 /// The replicated value of the key of usage. Each conditional write adds windows above all before, so the
 /// counts of a window are chosen once; and a fence goes with one holder's name.
-/// Example: `UsageRegister::founded("a", 7, 100, unix).takes("a", 7, vec![window], 0)`.
+/// Example: `UsageRegister::bootstrapped("a", 7, 100, unix).with_decided("a", 7, vec![window], 0)`.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct UsageRegister {
     /// The name under which the reports are sent.
@@ -27,8 +27,8 @@
 impl UsageRegister {
     /// The first value: windows are decided from this one on. The fence starts at the second of its founding,
     /// so that a fleet that lost all of its disks takes no fence of before.
-    /// Example: `UsageRegister::founded("edge-1", 7, 100, unix)`.
-    pub fn founded(holder: &str, process: NodeId, next_window: u64, unix: Micros) -> UsageRegister {
+    /// Example: `UsageRegister::bootstrapped("edge-1", 7, 100, unix)`.
+    pub fn bootstrapped(holder: &str, process: NodeId, next_window: u64, unix: Micros) -> UsageRegister {
         UsageRegister {
             holder: holder.into(),
             process,
@@ -40,8 +40,8 @@
     }
 
     /// The value that adds decided windows on top of this one. Windows that are not above all before are
-    /// left out; the fence rises if the holder is another. Example: `register.takes("edge-2", 9, decided, 0)`.
-    pub fn takes(
+    /// left out; the fence rises if the holder is another. Example: `register.with_decided("edge-2", 9, decided, 0)`.
+    pub fn with_decided(
         &self,
         holder: &str,
         process: NodeId,
--- a/packages/vanelane/src/client_connection.rs
+++ b/packages/vanelane/src/client_connection.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{HttpService, KeepAlive, Request, Response, body::BoxBody};
 use actix_service::{Service, ServiceFactory};
-use closing_stream::{AnswerBody, ClientEnd, ClosingStream, PendingAnswer};
+use closing_stream::{ClientEnd, ClosingStream, PendingResponse, ResponseBody};
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -15,9 +15,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// How patient a server is with its clients. Example: `ClientPatience { idle: .., header_wait: .., linger: .. }`.
+/// How patient a server is with its clients. Example: `ClientTimeouts { idle: .., header_wait: .., linger: .. }`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClientPatience {
+pub struct ClientTimeouts {
     /// How long a connection may stay idle between two requests.
     pub idle: Duration,
     /// How long a request's head may take to come.
@@ -63,7 +63,7 @@
 #[derive(Clone)]
 pub struct ConnectionTerms {
     pub answering: Answering,
-    pub patience: ClientPatience,
+    pub timeouts: ClientTimeouts,
     /// Rises to true: idle connections are closed. A request that has come by then is answered.
     pub closing: watch::Receiver<bool>,
     pub open_connections: OpenConnections,
@@ -76,25 +76,27 @@
         let _place = place;
         let _ = stream.set_nodelay(true);
         let peer_address = stream.peer_addr().ok();
-        let pending_answer = PendingAnswer::default();
+        let pending_response = PendingResponse::default();
         let stream = Rc::new(RefCell::new(stream));
-        let client_end = ClientEnd::new(stream.clone(), pending_answer.clone());
-        let stream = ClosingStream::new(stream, terms.closing, pending_answer.clone());
+        let client_end = ClientEnd::new(stream.clone(), pending_response.clone());
+        let stream = ClosingStream::new(stream, terms.closing, pending_response.clone());
         let answering = terms.answering;
-        let patience = terms.patience;
+        let timeouts = terms.timeouts;
         let factory = HttpService::build()
-            .client_request_timeout(patience.header_wait + TIMER_GRAIN)
-            .client_disconnect_timeout(patience.linger)
-            .keep_alive(KeepAlive::Timeout(patience.idle + TIMER_GRAIN))
+            .client_request_timeout(timeouts.header_wait + TIMER_GRAIN)
+            .client_disconnect_timeout(timeouts.linger)
+            .keep_alive(KeepAlive::Timeout(timeouts.idle + TIMER_GRAIN))
             // A client that ends its stream has left, and its call ends with it. One that still reads cannot be
             // told from it, and calls for nobody take cells from others.
             .h1_allow_half_closed(false)
             .h1(move |request: Request| {
-                let answer = answering(request);
-                let pending_answer = pending_answer.clone();
+                let response = answering(request);
+                let pending_response = pending_response.clone();
                 async move {
-                    let answer = answer.await;
-                    Ok::<_, Infallible>(answer.map_body(|_, body| AnswerBody::new(body, pending_answer)))
+                    let response = response.await;
+                    Ok::<_, Infallible>(
+                        response.map_body(|_, body| ResponseBody::new(body, pending_response)),
+                    )
                 }
             });
         if let Ok(service) = factory.new_service(()).await {
--- a/packages/vanelane/src/client_connection/closing_stream.rs
+++ b/packages/vanelane/src/client_connection/closing_stream.rs
@@ -23,16 +23,16 @@
 
 /// Whether something was read on a connection that was not answered yet: it is not idle then.
 #[derive(Clone, Debug, Default)]
-pub(super) struct PendingAnswer(Rc<AnswerState>);
+pub(super) struct PendingResponse(Rc<ResponseState>);
 
 #[derive(Debug, Default)]
-struct AnswerState {
+struct ResponseState {
     is_pending: Cell<bool>,
     /// A connection that is to be closed once it is idle.
     waits_for_idle: RefCell<Option<Waker>>,
 }
 
-impl PendingAnswer {
+impl PendingResponse {
     fn set(&self) {
         self.0.is_pending.set(true);
     }
@@ -59,14 +59,14 @@
     stream: Rc<RefCell<TcpStream>>,
     /// Done when the server closes; none once that was seen.
     closing: Option<Pin<Box<dyn Future<Output = ()>>>>,
-    pending_answer: PendingAnswer,
+    pending_response: PendingResponse,
 }
 
 impl ClosingStream {
     pub(super) fn new(
         stream: Rc<RefCell<TcpStream>>,
         mut closing: watch::Receiver<bool>,
-        pending_answer: PendingAnswer,
+        pending_response: PendingResponse,
     ) -> ClosingStream {
         let closing = Box::pin(async move {
             // A sender that is gone closes too.
@@ -74,7 +74,7 @@
             // Comes back once the runtime has looked at its sockets: until then it does not know what has come.
             tokio::task::yield_now().await;
         });
-        ClosingStream { stream, closing: Some(closing), pending_answer }
+        ClosingStream { stream, closing: Some(closing), pending_response }
     }
 
     fn poll_closing(&mut self, context: &mut Context<'_>) -> bool {
@@ -96,10 +96,10 @@
         let filled_before = buffer.filled().len();
         let read = Pin::new(&mut *self.stream.borrow_mut()).poll_read(context, buffer);
         if buffer.filled().len() > filled_before {
-            self.pending_answer.set();
+            self.pending_response.set();
         }
         let is_closing = read.is_pending() && self.poll_closing(context);
-        if is_closing && self.pending_answer.poll_idle(context).is_ready() {
+        if is_closing && self.pending_response.poll_idle(context).is_ready() {
             // No byte: the end of the stream.
             return Poll::Ready(Ok(()));
         }
@@ -122,21 +122,21 @@
 }
 
 /// Between two looks at whether a client whose call is under way has left.
-const LOOK_EACH: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Sees the end of a client's stream while its call is under way, whatever is unread before it.
 pub(super) struct ClientEnd {
     stream: Rc<RefCell<TcpStream>>,
-    pending_answer: PendingAnswer,
-    next_look: Option<Pin<Box<Sleep>>>,
+    pending_response: PendingResponse,
+    next_check: Option<Pin<Box<Sleep>>>,
 }
 
 impl ClientEnd {
-    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, pending_answer: PendingAnswer) -> ClientEnd {
-        ClientEnd { stream, pending_answer, next_look: None }
+    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, pending_response: PendingResponse) -> ClientEnd {
+        ClientEnd { stream, pending_response, next_check: None }
     }
 
-    fn has_come(&self) -> bool {
+    fn has_arrived(&self) -> bool {
         let stream = self.stream.borrow();
         let ready = stream.ready(Interest::READABLE).now_or_never();
         matches!(ready, Some(Ok(ready)) if ready.is_read_closed())
@@ -148,36 +148,36 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if !self.pending_answer.0.is_pending.get() {
-            self.next_look = None;
+        if !self.pending_response.0.is_pending.get() {
+            self.next_check = None;
             return Poll::Pending;
         }
         loop {
-            let next_look = self.next_look.get_or_insert_with(|| Box::pin(sleep(LOOK_EACH)));
-            if next_look.as_mut().poll(context).is_pending() {
+            let next_check = self.next_check.get_or_insert_with(|| Box::pin(sleep(CHECK_INTERVAL)));
+            if next_check.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            if self.has_come() {
+            if self.has_arrived() {
                 return Poll::Ready(());
             }
-            self.next_look = None;
+            self.next_check = None;
         }
     }
 }
 
 /// An answer's body, which makes the connection idle again once it was handed over.
-pub(super) struct AnswerBody {
+pub(super) struct ResponseBody {
     body: BoxBody,
-    pending_answer: PendingAnswer,
+    pending_response: PendingResponse,
 }
 
-impl AnswerBody {
-    pub(super) fn new(body: BoxBody, pending_answer: PendingAnswer) -> AnswerBody {
-        AnswerBody { body, pending_answer }
+impl ResponseBody {
+    pub(super) fn new(body: BoxBody, pending_response: PendingResponse) -> ResponseBody {
+        ResponseBody { body, pending_response }
     }
 }
 
-impl MessageBody for AnswerBody {
+impl MessageBody for ResponseBody {
     type Error = <BoxBody as MessageBody>::Error;
 
     fn size(&self) -> BodySize {
@@ -192,8 +192,8 @@
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.pending_answer.clear();
+        self.pending_response.clear();
     }
 }
