--- a/packages/vanelane/src/client_connection/tests.rs
+++ b/packages/vanelane/src/client_connection/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::local_server::{LocalServer, serve};
-use gateway::{Front, FrontLink, FrontSettings, TicketAnswer};
-use peer_messages::{Address, Ticket};
+use gateway::{Gateway, GatewayMessage, GatewaySettings, PermitResponse};
+use peer_messages::{Address, Permit};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -25,15 +25,15 @@
     /// Half of its body has come.
     BodyHalfRead,
     /// No ticket has come yet.
-    AwaitsTicket,
+    AwaitsPermit,
     /// The cell of its first ticket refused the connection: it waits for the second.
-    AwaitsTicketAfterRefusedConnection,
+    AwaitsPermitAfterRefusedConnection,
     /// The cell of its first ticket turned it away.
-    AwaitsTicketAfterTurnAway,
+    AwaitsPermitAfterBusyRefusal,
     /// The cell of its first ticket broke off.
-    AwaitsTicketAfterBrokenCell,
+    AwaitsPermitAfterBrokenInstance,
     /// A newer generation sends it to another function.
-    AwaitsTicketMatchedAgain,
+    AwaitsPermitMatchedAgain,
     /// The connection to its cell does not come up.
     Connecting,
     /// It is the second on its connection.
@@ -42,11 +42,11 @@
 
 const STAGES: [Stage; 8] = [
     Stage::BodyHalfRead,
-    Stage::AwaitsTicket,
-    Stage::AwaitsTicketAfterRefusedConnection,
-    Stage::AwaitsTicketAfterTurnAway,
-    Stage::AwaitsTicketAfterBrokenCell,
-    Stage::AwaitsTicketMatchedAgain,
+    Stage::AwaitsPermit,
+    Stage::AwaitsPermitAfterRefusedConnection,
+    Stage::AwaitsPermitAfterBusyRefusal,
+    Stage::AwaitsPermitAfterBrokenInstance,
+    Stage::AwaitsPermitMatchedAgain,
     Stage::Connecting,
     Stage::SecondOnItsConnection,
 ];
@@ -92,7 +92,7 @@
 }
 
 /// A cell that answers with these bytes, and how many requests it got.
-async fn cell(answer: &'static [u8]) -> (SocketAddr, Rc<RefCell<usize>>) {
+async fn instance(response: &'static [u8]) -> (SocketAddr, Rc<RefCell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let requests = Rc::new(RefCell::new(0));
@@ -104,7 +104,7 @@
                 let mut buffer = vec![0; 4096];
                 while stream.read(&mut buffer).await.is_ok_and(|count| count > 0) {
                     *seen.borrow_mut() += 1;
-                    if answer.is_empty() || stream.write_all(answer).await.is_err() {
+                    if response.is_empty() || stream.write_all(response).await.is_err() {
                         return;
                     }
                 }
@@ -115,7 +115,7 @@
 }
 
 const SOUND: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const TURNED_AWAY: &[u8] =
+const REFUSED_BUSY: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nx-vanelane-outcome: not_run\r\ncontent-length: 0\r\n\r\n";
 const BROKEN_OFF: &[u8] = b"";
 
@@ -135,18 +135,18 @@
 }
 
 /// A server with its front, and the front's asks.
-async fn served() -> (SocketAddr, Arc<Front>, mpsc::Receiver<FrontLink>, watch::Sender<bool>) {
+async fn served() -> (SocketAddr, Arc<Gateway>, mpsc::Receiver<GatewayMessage>, watch::Sender<bool>) {
     let (link, links) = mpsc::channel(64);
-    let front = Arc::new(Front::new(FrontSettings::default(), link));
-    front.take_configuration(1, &configuration("f"));
+    let gateway = Arc::new(Gateway::new(GatewaySettings::default(), link));
+    gateway.set_configuration(1, &configuration("f"));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let (closing, is_closing) = watch::channel(false);
-    let called = front.clone();
+    let called = gateway.clone();
     actix_rt::spawn(serve(LocalServer {
         listener: Rc::new(listener),
         answering: Rc::new(move |request| Box::pin(called.clone().call(request))),
-        patience: Rc::new(|| ClientPatience {
+        timeouts: Rc::new(|| ClientTimeouts {
             idle: Duration::from_secs(15),
             header_wait: Duration::from_secs(3),
             linger: Duration::from_millis(200),
@@ -155,32 +155,34 @@
         open_connections: OpenConnections::default(),
         closing: is_closing,
     }));
-    (address, front, links, closing)
+    (address, gateway, links, closing)
 }
 
-fn ticket(number: u64, function: &str, cell: SocketAddr) -> TicketAnswer {
-    TicketAnswer::Granted(Ticket {
+fn permit(number: u64, function: &str, instance: SocketAddr) -> PermitResponse {
+    PermitResponse::Granted(Permit {
         id: number,
         granted_by: 1,
-        steward_epoch: 1,
+        leader_epoch: 1,
         function: function.into(),
-        cell: format!("cell at {cell}").as_str().into(),
-        address: Address::from(cell),
+        instance: format!("cell at {instance}").as_str().into(),
+        address: Address::from(instance),
     })
 }
 
 /// The next ask of a call, with where its ticket goes.
-async fn next_ask(
-    links: &mut mpsc::Receiver<FrontLink>,
-) -> (String, tokio::sync::oneshot::Sender<TicketAnswer>) {
+async fn next_request_id(
+    links: &mut mpsc::Receiver<GatewayMessage>,
+) -> (String, tokio::sync::oneshot::Sender<PermitResponse>) {
     loop {
-        if let FrontLink::Ask { wish, reply, .. } = links.recv().await.expect("the front lives") {
-            return (wish.function, reply);
+        if let GatewayMessage::RequestPermit { parameters, reply, .. } =
+            links.recv().await.expect("the front lives")
+        {
+            return (parameters.function, reply);
         }
     }
 }
 
-async fn leave(mut client: TcpStream, end: End) -> Option<TcpStream> {
+async fn disconnect(mut client: TcpStream, end: End) -> Option<TcpStream> {
     let mut long_request = b"POST /again/2 HTTP/1.1\r\nhost: h\r\ncontent-length: 900000\r\n\r\n".to_vec();
     long_request.resize(900_000, b'x');
     match end {
@@ -208,10 +210,10 @@
 
 /// Plays one client that leaves; what was wrong, if anything was.
 async fn play(stage: Stage, end: End) -> Result<(), String> {
-    let (address, front, mut links, _closing) = served().await;
-    let (sound, sound_requests) = cell(SOUND).await;
-    let (turning_away, _) = cell(TURNED_AWAY).await;
-    let (broken, _) = cell(BROKEN_OFF).await;
+    let (address, gateway, mut links, _closing) = served().await;
+    let (sound, sound_requests) = instance(SOUND).await;
+    let (refusing_busy, _) = instance(REFUSED_BUSY).await;
+    let (broken, _) = instance(BROKEN_OFF).await;
     let refusing = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
     let (unanswering, _waiting, _listener) = unanswering().await;
     let mut client = TcpStream::connect(address).await.expect("a connection");
@@ -219,46 +221,46 @@
     client.write_all(&REQUEST[..sent_bytes]).await.expect("sent");
     let mut reply = None;
     if stage != Stage::BodyHalfRead {
-        let (function, first_reply) = next_ask(&mut links).await;
-        let first_cell = match stage {
-            Stage::AwaitsTicketAfterRefusedConnection => Some(refusing),
-            Stage::AwaitsTicketAfterTurnAway => Some(turning_away),
-            Stage::AwaitsTicketAfterBrokenCell => Some(broken),
+        let (function, first_reply) = next_request_id(&mut links).await;
+        let first_instance = match stage {
+            Stage::AwaitsPermitAfterRefusedConnection => Some(refusing),
+            Stage::AwaitsPermitAfterBusyRefusal => Some(refusing_busy),
+            Stage::AwaitsPermitAfterBrokenInstance => Some(broken),
             Stage::Connecting => Some(unanswering),
-            Stage::AwaitsTicketMatchedAgain | Stage::SecondOnItsConnection => Some(sound),
-            Stage::BodyHalfRead | Stage::AwaitsTicket => None,
+            Stage::AwaitsPermitMatchedAgain | Stage::SecondOnItsConnection => Some(sound),
+            Stage::BodyHalfRead | Stage::AwaitsPermit => None,
         };
-        if stage == Stage::AwaitsTicketMatchedAgain {
-            front.take_configuration(2, &configuration("g"));
+        if stage == Stage::AwaitsPermitMatchedAgain {
+            gateway.set_configuration(2, &configuration("g"));
         }
-        match first_cell {
+        match first_instance {
             None => reply = Some((function, first_reply)),
-            Some(cell) => drop(first_reply.send(ticket(1, &function, cell))),
+            Some(instance) => drop(first_reply.send(permit(1, &function, instance))),
         }
         if stage == Stage::SecondOnItsConnection {
-            let mut answer = vec![0; 4096];
-            let count = client.read(&mut answer).await.expect("an answer");
-            assert!(answer[..count].starts_with(b"HTTP/1.1 200"));
+            let mut response = vec![0; 4096];
+            let count = client.read(&mut response).await.expect("an answer");
+            assert!(response[..count].starts_with(b"HTTP/1.1 200"));
             client.write_all(REQUEST).await.expect("sent");
         }
-        if first_cell.is_some() && stage != Stage::Connecting {
-            reply = Some(next_ask(&mut links).await);
+        if first_instance.is_some() && stage != Stage::Connecting {
+            reply = Some(next_request_id(&mut links).await);
         }
     }
     let before = *sound_requests.borrow();
     sleep(STAGE_REACHED).await;
-    if front.open_calls() != 1 {
-        return Err(format!("{} calls are open at the stage", front.open_calls()));
+    if gateway.open_calls() != 1 {
+        return Err(format!("{} calls are open at the stage", gateway.open_calls()));
     }
-    let half_closed = leave(client, end).await;
+    let half_closed = disconnect(client, end).await;
     let left_at = Instant::now();
-    while front.open_calls() > 0 && left_at.elapsed() < ENDS_WITHIN {
+    while gateway.open_calls() > 0 && left_at.elapsed() < ENDS_WITHIN {
         sleep(Duration::from_millis(5)).await;
     }
-    let open_calls = front.open_calls();
+    let open_calls = gateway.open_calls();
     // A ticket that comes now finds nobody.
     if let Some((function, reply)) = reply {
-        let _ = reply.send(ticket(2, &function, sound));
+        let _ = reply.send(permit(2, &function, sound));
     }
     sleep(STAGE_REACHED).await;
     drop(half_closed);
--- a/packages/vanelane/src/control_costs.rs
+++ b/packages/vanelane/src/control_costs.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Between two log lines.
-const TOLD_EACH: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -15,8 +15,8 @@
     pub sent: u64,
     pub sent_bytes: u64,
     /// Of these, bytes that went to another zone.
-    pub far_bytes: u64,
-    pub heard: u64,
+    pub remote_bytes: u64,
+    pub received: u64,
     /// How long those that were heard had waited to be handled, in all.
     pub waited: Duration,
     /// Dropped unread: they had waited for longer than they are of use.
@@ -40,17 +40,17 @@
 
     /// A frame of so many bytes was handed to a link, which leads to another zone if it is not near.
     /// Example: `costs.sent("Probe", 90, true)`.
-    pub fn sent(&mut self, kind: &'static str, bytes: usize, is_near: bool) {
+    pub fn sent(&mut self, kind: &'static str, bytes: usize, is_local: bool) {
         let cost = self.messages.entry(kind).or_default();
         cost.sent += 1;
         cost.sent_bytes += bytes as u64;
-        cost.far_bytes += if is_near { 0 } else { bytes as u64 };
+        cost.remote_bytes += if is_local { 0 } else { bytes as u64 };
     }
 
-    /// A message was handled after it had waited so long. Example: `costs.heard("Probe", waited)`.
-    pub fn heard(&mut self, kind: &'static str, waited: Duration) {
+    /// A message was handled after it had waited so long. Example: `costs.received("Probe", waited)`.
+    pub fn received(&mut self, kind: &'static str, waited: Duration) {
         let cost = self.messages.entry(kind).or_default();
-        cost.heard += 1;
+        cost.received += 1;
         cost.waited += waited;
     }
 
@@ -68,7 +68,7 @@
     /// Example: `if let Some(line) = costs.due_line(Instant::now(), node.counts()) { log::info!("{line}") }`.
     pub fn due_line(&mut self, now: Instant, counts: &NodeCounts) -> Option<String> {
         let span = now.saturating_duration_since(self.began_at);
-        if span < TOLD_EACH {
+        if span < REPORT_INTERVAL {
             return None;
         }
         let seconds = span.as_secs_f64();
@@ -77,10 +77,10 @@
             .messages
             .iter()
             .map(|(kind, cost)| {
-                let mean_wait = cost.waited.as_secs_f64() * 1e3 / cost.heard.max(1) as f64;
+                let mean_wait = cost.waited.as_secs_f64() * 1e3 / cost.received.max(1) as f64;
                 let line = json!({
-                    "sent": rate(cost.sent), "bytes": rate(cost.sent_bytes), "far": rate(cost.far_bytes),
-                    "heard": rate(cost.heard),
+                    "sent": rate(cost.sent), "bytes": rate(cost.sent_bytes), "far": rate(cost.remote_bytes),
+                    "heard": rate(cost.received),
                     "waited_ms": mean_wait.round(), "stale": rate(cost.stale),
                 });
                 (*kind, line)
@@ -92,11 +92,11 @@
             .map(|(duty, time)| (*duty, (time.as_secs_f64() * 1e4 / seconds).round() / 10.0))
             .collect();
         let bytes: u64 = self.messages.values().map(|cost| cost.sent_bytes).sum();
-        let far_bytes: u64 = self.messages.values().map(|cost| cost.far_bytes).sum();
+        let remote_bytes: u64 = self.messages.values().map(|cost| cost.remote_bytes).sum();
         let line = json!({
             "kind": "control_costs", "seconds": seconds, "bytes_a_second": rate(bytes),
-            "far_bytes_a_second": rate(far_bytes),
-            "tickets": {"granted": counts.tickets_granted, "for_another_zone": counts.far_tickets},
+            "far_bytes_a_second": rate(remote_bytes),
+            "tickets": {"granted": counts.permits_granted, "for_another_zone": counts.remote_permits},
             "millis_a_second": spent, "messages_a_second": messages,
         });
         *self = ControlCosts::new(now);
--- a/packages/vanelane/src/control_costs/tests.rs
+++ b/packages/vanelane/src/control_costs/tests.rs
@@ -4,25 +4,25 @@
 fn a_line_is_due_each_five_seconds_and_tells_rates_of_that_time_alone() {
     let begun = Instant::now();
     let mut costs = ControlCosts::new(begun);
-    let counts = NodeCounts { tickets_granted: 7, far_tickets: 2, ..NodeCounts::default() };
+    let counts = NodeCounts { permits_granted: 7, remote_permits: 2, ..NodeCounts::default() };
     for _ in 0..10 {
         costs.sent("Probe", 100, true);
-        costs.heard("Probe", Duration::from_millis(4));
+        costs.received("Probe", Duration::from_millis(4));
     }
     costs.sent("News", 500, false);
     costs.stale("RecordsPoll");
     costs.spent("tick", Duration::from_millis(50));
     assert_eq!(costs.due_line(begun + Duration::from_secs(4), &counts), None);
     let line = costs.due_line(begun + Duration::from_secs(5), &counts).expect("a line");
-    let told: serde_json::Value = line.parse().expect("JSON");
-    assert_eq!(told["bytes_a_second"], 300.0);
-    assert_eq!(told["tickets"]["for_another_zone"], 2);
-    assert_eq!(told["far_bytes_a_second"], 100.0);
-    assert_eq!(told["messages_a_second"]["News"]["far"], 100.0);
-    assert_eq!(told["messages_a_second"]["Probe"]["far"], 0.0);
-    assert_eq!(told["messages_a_second"]["Probe"]["heard"], 2.0);
-    assert_eq!(told["messages_a_second"]["Probe"]["waited_ms"], 4.0);
-    assert_eq!(told["messages_a_second"]["RecordsPoll"]["stale"], 0.2);
-    assert_eq!(told["millis_a_second"]["tick"], 10.0);
+    let reported: serde_json::Value = line.parse().expect("JSON");
+    assert_eq!(reported["bytes_a_second"], 300.0);
+    assert_eq!(reported["tickets"]["for_another_zone"], 2);
+    assert_eq!(reported["far_bytes_a_second"], 100.0);
+    assert_eq!(reported["messages_a_second"]["News"]["far"], 100.0);
+    assert_eq!(reported["messages_a_second"]["Probe"]["far"], 0.0);
+    assert_eq!(reported["messages_a_second"]["Probe"]["heard"], 2.0);
+    assert_eq!(reported["messages_a_second"]["Probe"]["waited_ms"], 4.0);
+    assert_eq!(reported["messages_a_second"]["RecordsPoll"]["stale"], 0.2);
+    assert_eq!(reported["millis_a_second"]["tick"], 10.0);
     assert!(costs.messages.is_empty(), "counting began anew");
 }
--- a/packages/vanelane/src/control_pages.rs
+++ b/packages/vanelane/src/control_pages.rs
@@ -1,7 +1,7 @@
 //! The operators' pages: changes in, decisions out, status, health, readiness, metrics.
 
 use crate::operator_port::{ConfirmedConfiguration, OperatorPages, OperatorPort, Page};
-use crate::protocol_shell::DecisionsReply;
+use crate::protocol_runtime::DecisionsReply;
 use actix_http::body::{BodyStream, BoxBody};
 use actix_http::header::{self, HeaderValue};
 use actix_http::{Method, Payload, Request, Response, StatusCode};
@@ -19,12 +19,12 @@
 const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
 const DECISIONS_AT_ONCE: u32 = 500;
 
-/// Vanelane's own pages. Example: `ControlPages.answer(port, request).await`.
+/// Vanelane's own pages. Example: `ControlPages.respond(port, request).await`.
 pub struct ControlPages;
 
 impl OperatorPages for ControlPages {
-    fn answer(&self, port: OperatorPort, request: Request) -> LocalBoxFuture<'static, Page> {
-        Box::pin(NativePages { port }.answer(request))
+    fn respond(&self, port: OperatorPort, request: Request) -> LocalBoxFuture<'static, Page> {
+        Box::pin(NativePages { port }.respond(request))
     }
 }
 
@@ -40,9 +40,9 @@
 }
 
 fn page(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Page {
-    let mut answer = Response::with_body(status, BoxBody::new(body.into()));
-    answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+    let mut response = Response::with_body(status, BoxBody::new(body.into()));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response
 }
 
 fn json_page(status: StatusCode, document: &Value) -> Page {
@@ -51,13 +51,13 @@
 
 /// A page whose JSON lines leave as they come.
 fn line_page(lines: impl Stream<Item = Result<Bytes, std::io::Error>> + 'static) -> Page {
-    let mut answer = Response::with_body(StatusCode::OK, BoxBody::new(BodyStream::new(Box::pin(lines))));
-    answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
-    answer
+    let mut response = Response::with_body(StatusCode::OK, BoxBody::new(BodyStream::new(Box::pin(lines))));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
+    response
 }
 
 impl NativePages {
-    async fn answer(self, mut request: Request) -> Page {
+    async fn respond(self, mut request: Request) -> Page {
         let path = request.path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/control/changes") => self.changes(request.take_payload()),
@@ -159,8 +159,8 @@
                 if !is_first {
                     tokio::time::sleep(FOLLOW_PAUSE).await;
                 }
-                let asked = after.clone();
-                let reply = pages.port.decisions(asked, most).await?;
+                let requested = after.clone();
+                let reply = pages.port.decisions(requested, most).await?;
                 let lines = if reply.lines.is_empty() { String::new() } else { decision_lines(&reply) };
                 Some((Ok::<Bytes, std::io::Error>(Bytes::from(lines)), (pages, reply.cursor, false)))
             });
@@ -178,20 +178,20 @@
         let members: Vec<Value> = status
             .members
             .iter()
-            .map(|news| {
+            .map(|member| {
                 json!({
-                    "node": hex(news.node),
-                    "address": news.address.socket().to_string(),
-                    "zone": news.zone.0,
-                    "state": (["alive", "suspected", "gone"].get(news.state as usize)),
-                    "disk": (["none", "blank", "voting", "spare", "failed"].get(news.disk_state as usize)),
-                    "disk_id": hex(news.disk),
-                    "draining": news.draining == 1,
+                    "node": hex(member.node),
+                    "address": member.address.socket().to_string(),
+                    "zone": member.zone.0,
+                    "state": (["alive", "suspected", "gone"].get(member.state as usize)),
+                    "disk": (["none", "blank", "voting", "spare", "failed"].get(member.disk_state as usize)),
+                    "disk_id": hex(member.disk),
+                    "draining": member.draining == 1,
                 })
             })
             .collect();
-        let tally: serde_json::Map<String, Value> =
-            status.tally.iter().map(|(node, count)| (hex(*node), json!(count))).collect();
+        let leader_counts: serde_json::Map<String, Value> =
+            status.leader_counts.iter().map(|(node, count)| (hex(*node), json!(count))).collect();
         json_page(
             StatusCode::OK,
             &json!({
@@ -200,17 +200,17 @@
                 "generation": status.generation,
                 "members": members,
                 "steward_of": status.held,
-                "tally": tally,
+                "tally": leader_counts,
                 "functions_without_steward": status.unheld,
                 "voters": status.voters.iter().map(|disk| hex(*disk)).collect::<Vec<String>>(),
-                "disk_trouble": status.disk_trouble,
+                "disk_trouble": status.disk_fault,
                 "owned_keys": status.owned_keys,
                 "majority_read_age_millis": status.majority_read_age.map(|age| age.millis()),
                 "newer_generation_awaited_millis": status.newer_awaited_for.map(|span| span.millis()),
                 "gate_refusals": status.election_counts.0,
                 "lost_races": status.election_counts.1,
                 "gates_passed_over": status.election_counts.2,
-                "open_calls": self.port.front.open_calls(),
+                "open_calls": self.port.gateway.open_calls(),
             }),
         )
     }
@@ -246,19 +246,19 @@
         let mut line = |name: &str, value: u64| {
             let _ = writeln!(text, "vanelane_{name} {value}");
         };
-        for (name, value) in self.port.front.counts.all() {
+        for (name, value) in self.port.gateway.counts.all() {
             line(&format!("calls_{name}"), value);
         }
-        let open_calls = self.port.front.open_calls_by_stage();
+        let open_calls = self.port.gateway.open_calls_by_stage();
         line("calls_open", open_calls.all as u64);
-        line("calls_awaiting_ticket", open_calls.awaiting_ticket as u64);
-        line("calls_at_cell", open_calls.at_cell as u64);
-        line("records_dropped", self.port.front.records_dropped());
+        line("calls_awaiting_ticket", open_calls.awaiting_permit as u64);
+        line("calls_at_cell", open_calls.at_instance as u64);
+        line("records_dropped", self.port.gateway.records_dropped());
         line("generation", status.generation);
         line("members", status.members.len() as u64);
         line("steward_of", status.held.len() as u64);
         line("functions_without_steward", status.unheld as u64);
-        line("disk_unusable", u64::from(status.disk_trouble.is_some()));
+        line("disk_unusable", u64::from(status.disk_fault.is_some()));
         line("owned_keys", status.owned_keys as u64);
         if let Some(age) = status.majority_read_age {
             line("majority_read_age_millis", age.millis());
@@ -270,14 +270,14 @@
         line("gate_refusals", status.election_counts.0);
         line("lost_races", status.election_counts.1);
         line("gates_passed_over", status.election_counts.2);
-        line("messages_heard", status.counts.messages_heard);
+        line("messages_heard", status.counts.messages_received);
         line("messages_misdirected", status.counts.messages_misdirected);
         line("messages_sent", status.counts.messages_sent);
         line("disk_groups", status.counts.disk_groups);
-        line("tickets_granted", status.counts.tickets_granted);
-        line("tickets_for_another_zone", status.counts.far_tickets);
-        line("deputy_tickets", status.counts.deputy_tickets);
-        line("asks_refused", status.counts.asks_refused);
+        line("tickets_granted", status.counts.permits_granted);
+        line("tickets_for_another_zone", status.counts.remote_permits);
+        line("deputy_tickets", status.counts.fallback_permits);
+        line("asks_refused", status.counts.requests_refused);
         line("usage_windows_decided", status.counts.usage_decided);
         line("usage_windows_reported", status.counts.usage_reported);
         if let Some(age) = status.usage_report_age {
@@ -288,7 +288,7 @@
             ("frames_too_long", &self.port.frames.too_long),
             ("frames_damaged", &self.port.frames.damaged),
             ("frames_other_fleet", &self.port.frames.other_fleet),
-            ("frames_waitlist_full", &self.port.frames.waitlist_full),
+            ("frames_waitlist_full", &self.port.frames.queue_full),
             ("frames_stale", &self.port.frames.stale),
         ];
         for (name, count) in frames {
--- a/packages/vanelane/src/disk_opening.rs
+++ b/packages/vanelane/src/disk_opening.rs
@@ -38,26 +38,26 @@
 /// Opens the folder, or tells why its disk cannot be used.
 ///
 /// Errors: the folder cannot be locked, or belongs to another fleet or a newer version.
-/// Example: `open(Path::new("data"), fleet_mark("vanelane"))?.disk.is_some()`.
+/// Example: `open(Path::new("data"), fleet_id("vanelane"))?.disk.is_some()`.
 pub fn open(folder: &Path, fleet: u64) -> Result<OpenedDisk, String> {
     let refused = |reason: String| format!("setting data_folder: {}: {reason}", folder.display());
-    let told = |failure: Report<RecordError>| refused(failure.current_context().to_string());
-    let locked_folder = DiskFolder::lock(folder).map_err(told)?;
+    let reported = |failure: Report<RecordError>| refused(failure.current_context().to_string());
+    let locked_folder = DiskFolder::lock(folder).map_err(reported)?;
     let (file, records) = match RecordFile::read_in(locked_folder.clone(), fleet) {
         Ok(opened) => opened,
         Err(failure) => match unusable_reason(failure.current_context(), folder) {
             Some(reason) => return Ok(unusable(locked_folder, reason)),
-            None => return Err(told(failure)),
+            None => return Err(reported(failure)),
         },
     };
     let registers = DiskRegisters::restore(&records)
         .ok_or_else(|| refused("a record is none of this version's".to_owned()))?;
     let mut first_events = Vec::new();
-    let is_set_aside = record_file::has_set_aside(folder)
+    let is_quarantined = record_file::has_quarantined(folder)
         .map_err(|failure| refused(format!("the folder cannot be listed: {failure}")))?;
-    if is_set_aside {
+    if is_quarantined {
         log::warn!("{}: a damaged file was set aside; this disk founds nothing", folder.display());
-        first_events.push(Event::DiskSetAside);
+        first_events.push(Event::DiskQuarantined);
     }
     if !file.is_trusted() {
         first_events.push(Event::DiskUnsynced);
--- a/packages/vanelane/src/disk_opening/tests.rs
+++ b/packages/vanelane/src/disk_opening/tests.rs
@@ -5,14 +5,14 @@
 const FLEET: u64 = 7;
 
 /// A folder with a disk that took the founding set, and the disk's id.
-fn founded_folder(name: &str) -> (PathBuf, u64) {
+fn bootstrapped_folder(name: &str) -> (PathBuf, u64) {
     let folder = std::env::temp_dir().join(format!("vanelane-opening-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let opened = open(&folder, FLEET).expect("formatted");
     assert!(opened.first_events.is_empty());
     let (mut file, mut registers) = opened.disk.expect("a disk");
-    let founding_set = control_registers::ChosenSet::founding(&[file.disk(), 2, 3]);
-    let records = registers.found(&founding_set).expect("taken");
+    let bootstrap_set = control_registers::ChosenSet::bootstrap(&[file.disk(), 2, 3]);
+    let records = registers.bootstrap(&bootstrap_set).expect("taken");
     file.append(&records).expect("append");
     file.sync().expect("sync");
     (folder, file.disk())
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_damaged_disk_is_left_as_it_is_and_the_node_starts_without_it() {
-    let (folder, disk) = founded_folder("damaged");
+    let (folder, disk) = bootstrapped_folder("damaged");
     let damaged_bytes = damage(&folder);
     for _ in 0..2 {
         let opened = open(&folder, FLEET).expect("the node starts");
@@ -53,22 +53,22 @@
         assert_eq!(fs::read(folder.join(FILE_NAME)).expect("read"), damaged_bytes);
     }
     // On the operator's word a new disk is formatted, which says what it replaces at each start.
-    let kept_path = record_file::set_aside_damaged(&folder).expect("renamed").expect("damaged");
+    let kept_path = record_file::quarantine_damaged(&folder).expect("renamed").expect("damaged");
     assert_eq!(fs::read(kept_path).expect("read"), damaged_bytes);
     let opened = open(&folder, FLEET).expect("formatted");
-    assert!(matches!(opened.first_events[..], [Event::DiskSetAside]));
+    assert!(matches!(opened.first_events[..], [Event::DiskQuarantined]));
     let (file, registers) = opened.disk.expect("a disk");
     assert!(file.is_trusted() && file.disk() != disk && registers.chosen().generation == 0);
     drop((file, opened.folder));
     let opened = open(&folder, FLEET).expect("sound");
-    assert!(matches!(opened.first_events[..], [Event::DiskSetAside, Event::DiskUnsynced]));
+    assert!(matches!(opened.first_events[..], [Event::DiskQuarantined, Event::DiskUnsynced]));
     let _ = fs::remove_dir_all(&folder);
 }
 
 /// Append, sync, append, append; the first unsynced append is lost and the second whole.
 #[test]
 fn a_hole_in_the_unsynced_tail_costs_neither_the_disk_nor_its_vote() {
-    let (folder, disk) = founded_folder("hole");
+    let (folder, disk) = bootstrapped_folder("hole");
     let (mut file, registers) = open_again(&folder);
     let before = file.length() as usize;
     file.append(&registers.live_records()).expect("append");
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_foreign_folder_is_refused() {
-    let (folder, _) = founded_folder("foreign");
+    let (folder, _) = bootstrapped_folder("foreign");
     let reason = open(&folder, FLEET + 1).err().expect("refused");
     assert!(reason.contains("belongs to another fleet"), "{reason}");
     let _ = fs::remove_dir_all(&folder);
--- a/packages/vanelane/src/disk_thread.rs
+++ b/packages/vanelane/src/disk_thread.rs
@@ -4,7 +4,7 @@
 use record_file::{RecordError, RecordFile};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-const WAITLIST_LIMIT: usize = 4_096;
+const WAITING_LIMIT: usize = 4_096;
 const GROUP_LIMIT: usize = 256;
 
 /// Records to append and sync, or to rewrite the file with.
@@ -22,13 +22,13 @@
 impl DiskThread {
     /// Starts the thread; `done` hears the newest synced token, or the failure.
     pub fn start(file: RecordFile, done: impl Fn(u64, bool) + Send + 'static) -> std::io::Result<DiskThread> {
-        let (sender, receiver) = sync_channel(WAITLIST_LIMIT);
+        let (sender, receiver) = sync_channel(WAITING_LIMIT);
         std::thread::Builder::new().name("disk".to_owned()).spawn(move || work(file, &receiver, &done))?;
         Ok(DiskThread { sender })
     }
 
     /// Hands work over; false when the disk is so far behind that it cannot be trusted to catch up.
-    pub fn hand_over(&self, work: DiskWork) -> bool {
+    pub fn submit(&self, work: DiskWork) -> bool {
         !matches!(self.sender.try_send(work), Err(TrySendError::Full(_) | TrySendError::Disconnected(_)))
     }
 }
--- a/packages/vanelane/src/lib.rs
+++ b/packages/vanelane/src/lib.rs
@@ -1,5 +1,5 @@
 //! The node as a library: settings, sockets, disk thread, operators' pages. The program `vanelane` is a
-//! thin `main` over it; a program for another platform brings its own [`Seams`] and nothing else.
+//! thin `main` over it; a program for another platform brings its own [`PlatformIntegration`] and nothing else.
 
 pub mod command_line;
 pub mod operator_commands;
@@ -8,17 +8,17 @@
 pub mod settings;
 
 mod client_connection;
-mod colleague_links;
 mod control_costs;
 mod control_pages;
 mod disk_opening;
 mod disk_thread;
 mod local_server;
 mod node_lag;
-mod protocol_shell;
+mod peer_links;
+mod protocol_runtime;
 mod settings_watch;
 
 pub use control_pages::{ControlPages, metrics_page};
 pub use operator_port::{ConfirmedConfiguration, OperatorPages, OperatorPort, Page};
-pub use run_node::{Seams, start};
+pub use run_node::{PlatformIntegration, start};
 pub use settings::{Settings, SettingsReason};
--- a/packages/vanelane/src/local_server.rs
+++ b/packages/vanelane/src/local_server.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1.1 server on the thread it is started on: no other thread is woken for a call.
 
 use crate::client_connection::{
-    Answering, ClientPatience, ConnectionTerms, OpenConnections, serve_connection,
+    Answering, ClientTimeouts, ConnectionTerms, OpenConnections, serve_connection,
 };
 use error_stack::{Report, ResultExt};
 use futures_util::FutureExt;
@@ -16,7 +16,7 @@
     pub listener: Rc<TcpListener>,
     pub answering: Answering,
     /// Asked for each connection, so that a changed configuration counts for the next ones.
-    pub patience: Rc<dyn Fn() -> ClientPatience>,
+    pub timeouts: Rc<dyn Fn() -> ClientTimeouts>,
     pub connections_limit: usize,
     /// Connections that are open, told to whoever ends the process.
     pub open_connections: OpenConnections,
@@ -31,7 +31,7 @@
         }
         let terms = ConnectionTerms {
             answering: self.answering.clone(),
-            patience: (self.patience)(),
+            timeouts: (self.timeouts)(),
             closing: self.closing.clone(),
             open_connections: self.open_connections.clone(),
         };
@@ -62,7 +62,7 @@
         };
         match accepted {
             Ok((stream, _)) => server.serve_accepted(stream),
-            Err(failure) if crate::colleague_links::is_passing(&failure) => {
+            Err(failure) if crate::peer_links::is_passing(&failure) => {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             Err(failure) => return Err(failure).change_context(broken()),
--- a/packages/vanelane/src/local_server/tests.rs
+++ b/packages/vanelane/src/local_server/tests.rs
@@ -3,15 +3,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const ANSWER_BYTES: usize = 4 * 1024 * 1024;
+const RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A server whose answers are larger than what a connection holds, and its open connections.
 async fn started() -> (std::net::SocketAddr, OpenConnections, watch::Sender<bool>) {
-    started_with_answers(ANSWER_BYTES).await
+    started_with_responses(RESPONSE_BYTES).await
 }
 
-async fn started_with_answers(
-    answer_bytes: usize,
+async fn started_with_responses(
+    response_bytes: usize,
 ) -> (std::net::SocketAddr, OpenConnections, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -21,10 +21,10 @@
         listener: Rc::new(listener),
         answering: Rc::new(move |_| {
             Box::pin(
-                async move { Response::with_body(StatusCode::OK, BoxBody::new(vec![b'x'; answer_bytes])) },
+                async move { Response::with_body(StatusCode::OK, BoxBody::new(vec![b'x'; response_bytes])) },
             )
         }),
-        patience: Rc::new(|| ClientPatience {
+        timeouts: Rc::new(|| ClientTimeouts {
             idle: Duration::from_secs(15),
             header_wait: Duration::from_secs(3),
             linger: Duration::from_millis(200),
@@ -38,7 +38,7 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_counts_as_open_until_its_answer_has_left() {
+async fn a_connection_counts_as_open_until_its_response_has_left() {
     let (address, open_connections, closing) = started().await;
     let mut slow = TcpStream::connect(address).await.expect("a connection");
     let _idle = TcpStream::connect(address).await.expect("a connection");
@@ -50,7 +50,7 @@
     assert_eq!(open_connections.get(), 1, "the idle one closes, the unread answer keeps its connection");
     let mut read_bytes = 0;
     let mut buffer = vec![0; 64 * 1024];
-    while read_bytes < ANSWER_BYTES {
+    while read_bytes < RESPONSE_BYTES {
         let count = slow.read(&mut buffer).await.expect("no reset");
         assert!(count > 0, "cut after {read_bytes} bytes");
         read_bytes += count;
@@ -61,29 +61,29 @@
 }
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
-const ONE_BYTE_ANSWER_ENDS_WITH: &[u8] = b"\r\n\r\nx";
+const ONE_BYTE_RESPONSE_ENDS_WITH: &[u8] = b"\r\n\r\nx";
 
 /// Reads one answer with a body of one byte; what came before the connection's end otherwise.
-async fn one_answer(client: &mut TcpStream) -> Vec<u8> {
-    let mut answer = Vec::new();
+async fn one_response(client: &mut TcpStream) -> Vec<u8> {
+    let mut response = Vec::new();
     let mut byte = [0];
-    while !answer.ends_with(ONE_BYTE_ANSWER_ENDS_WITH) {
+    while !response.ends_with(ONE_BYTE_RESPONSE_ENDS_WITH) {
         match client.read(&mut byte).await {
-            Ok(count) if count > 0 => answer.push(byte[0]),
+            Ok(count) if count > 0 => response.push(byte[0]),
             _ => break,
         }
     }
-    answer
+    response
 }
 
 /// On a busy machine a request may have come whole and wait in its socket at the moment at which idle
 /// connections are closed.
 #[actix_rt::test]
 async fn a_request_that_has_come_as_idle_connections_close_is_answered() {
-    let (address, open_connections, closing) = started_with_answers(1).await;
+    let (address, open_connections, closing) = started_with_responses(1).await;
     let mut kept = TcpStream::connect(address).await.expect("a connection");
     kept.write_all(REQUEST).await.expect("a request");
-    assert!(one_answer(&mut kept).await.starts_with(b"HTTP/1.1 200"));
+    assert!(one_response(&mut kept).await.starts_with(b"HTTP/1.1 200"));
     let mut unused = TcpStream::connect(address).await.expect("a connection");
     let mut idle = TcpStream::connect(address).await.expect("a connection");
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -94,8 +94,8 @@
     let closed_at = std::time::Instant::now();
     let _ = closing.send(true);
     for client in [&mut kept, &mut unused] {
-        let answer = one_answer(client).await;
-        assert!(answer.starts_with(b"HTTP/1.1 200"), "{:?}", String::from_utf8_lossy(&answer));
+        let response = one_response(client).await;
+        assert!(response.starts_with(b"HTTP/1.1 200"), "{:?}", String::from_utf8_lossy(&response));
         assert_eq!(client.read(&mut [0]).await.expect("an end in order"), 0);
     }
     assert_eq!(idle.read(&mut [0]).await.expect("an end in order"), 0);
@@ -106,7 +106,7 @@
 
 #[actix_rt::test]
 async fn a_connection_that_waits_to_be_accepted_as_the_listener_closes_is_answered() {
-    let (address, _, closing) = started_with_answers(1).await;
+    let (address, _, closing) = started_with_responses(1).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     // A blocking connection: the server, on this thread, cannot accept it meanwhile.
     let waiting = std::net::TcpStream::connect(address).expect("a connection");
@@ -114,6 +114,6 @@
     let mut waiting = TcpStream::from_std(waiting).expect("a connection");
     waiting.write_all(REQUEST).await.expect("a request");
     let _ = closing.send(true);
-    let answer = one_answer(&mut waiting).await;
-    assert!(answer.starts_with(b"HTTP/1.1 200"), "{:?}", String::from_utf8_lossy(&answer));
+    let response = one_response(&mut waiting).await;
+    assert!(response.starts_with(b"HTTP/1.1 200"), "{:?}", String::from_utf8_lossy(&response));
 }
--- a/packages/vanelane/src/main.rs
+++ b/packages/vanelane/src/main.rs
@@ -7,8 +7,8 @@
     let command_line = command_line::Vanelane::from_env_or_exit();
     match command_line.subcommand {
         command_line::VanelaneCmd::Run(run) => run_node::run(run),
-        command_line::VanelaneCmd::SetAsideRecords(set_aside) => {
-            operator_commands::set_aside_records(&set_aside.data_folder)
+        command_line::VanelaneCmd::SetAsideRecords(quarantine) => {
+            operator_commands::quarantine_records(&quarantine.data_folder)
         }
         command_line::VanelaneCmd::Schema(_) => operator_commands::schema(),
         command_line::VanelaneCmd::CheckConfiguration(check) => {
--- a/packages/vanelane/src/node_lag.rs
+++ b/packages/vanelane/src/node_lag.rs
@@ -7,9 +7,9 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// The longest of spans noted lately. One thread notes, any may read.
-/// Example: `longest.note(Duration::from_millis(3)); longest.lately() == Duration::from_millis(3)`.
+/// Example: `longest.note(Duration::from_millis(3)); longest.value() == Duration::from_millis(3)`.
 #[derive(Debug)]
-pub struct LongestLately {
+pub struct RecentMaximum {
     began_at: Instant,
     /// The number of the window that `in_window` is of.
     window: AtomicU64,
@@ -17,9 +17,9 @@
     in_window_before: AtomicU64,
 }
 
-impl LongestLately {
-    fn starting(began_at: Instant) -> LongestLately {
-        LongestLately {
+impl RecentMaximum {
+    fn starting(began_at: Instant) -> RecentMaximum {
+        RecentMaximum {
             began_at,
             window: AtomicU64::new(0),
             in_window: AtomicU64::new(0),
@@ -47,12 +47,12 @@
         self.in_window.fetch_max(span.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// The longest span of the last five to ten seconds. Example: `longest.lately() < Duration::from_secs(1)`.
-    pub fn lately(&self) -> Duration {
-        self.lately_at(Instant::now())
+    /// The longest span of the last five to ten seconds. Example: `longest.value() < Duration::from_secs(1)`.
+    pub fn value(&self) -> Duration {
+        self.value_at(Instant::now())
     }
 
-    fn lately_at(&self, now: Instant) -> Duration {
+    fn value_at(&self, now: Instant) -> Duration {
         let window = self.window_at(now);
         let noted_window = self.window.load(Ordering::Relaxed);
         let (current, before) =
@@ -70,21 +70,21 @@
 pub struct NodeLag {
     /// How late clock events ran: everything that is ready on the node's thread, the bytes and ends of clients'
     /// connections among it, waits about as long.
-    pub ticker: LongestLately,
+    pub ticker: RecentMaximum,
     /// From the reading of a message that somebody waits for to its handling.
-    pub urgent_inbox: LongestLately,
+    pub urgent_inbox: RecentMaximum,
     /// The same of news, lists and polls.
-    pub bulk_inbox: LongestLately,
+    pub bulk_inbox: RecentMaximum,
     /// From the making of a message that somebody waits for to its writing.
-    pub urgent_links: LongestLately,
+    pub urgent_links: RecentMaximum,
     /// The same of news, lists and polls.
-    pub bulk_links: LongestLately,
+    pub bulk_links: RecentMaximum,
 }
 
 impl NodeLag {
     /// Nothing noted yet. Example: `NodeLag::starting(Instant::now()).all().len() == 5`.
     pub fn starting(now: Instant) -> NodeLag {
-        let starting = || LongestLately::starting(now);
+        let starting = || RecentMaximum::starting(now);
         NodeLag {
             ticker: starting(),
             urgent_inbox: starting(),
@@ -97,11 +97,11 @@
     /// All of them by name. Example: `lag.all()[0].0 == "monotonic_clock"`.
     pub fn all(&self) -> Vec<(&'static str, Duration)> {
         vec![
-            ("clock_events", self.ticker.lately()),
-            ("urgent_inbox", self.urgent_inbox.lately()),
-            ("bulk_inbox", self.bulk_inbox.lately()),
-            ("urgent_links", self.urgent_links.lately()),
-            ("bulk_links", self.bulk_links.lately()),
+            ("clock_events", self.ticker.value()),
+            ("urgent_inbox", self.urgent_inbox.value()),
+            ("bulk_inbox", self.bulk_inbox.value()),
+            ("urgent_links", self.urgent_links.value()),
+            ("bulk_links", self.bulk_links.value()),
         ]
     }
 }
--- a/packages/vanelane/src/operator_commands.rs
+++ b/packages/vanelane/src/operator_commands.rs
@@ -14,56 +14,56 @@
 const BAD_USE: u8 = 2;
 const UNREACHED: u8 = 3;
 
-fn complain(reason: impl std::fmt::Display, code: u8) -> ExitCode {
+fn print_error(reason: impl std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("vanelane: {reason}");
     ExitCode::from(code)
 }
 
 /// Prints to standard output; a reader that went away ends the command.
-fn say(text: &[u8]) -> bool {
+fn print_text(text: &[u8]) -> bool {
     let mut output = std::io::stdout().lock();
     output.write_all(text).and_then(|()| output.flush()).is_ok()
 }
 
 pub fn schema() -> ExitCode {
-    say(configuration_schema::SCHEMA.as_bytes());
+    print_text(configuration_schema::SCHEMA.as_bytes());
     ExitCode::SUCCESS
 }
 
 /// Sets a damaged record file aside, and no other: a sound one is a vote.
-pub fn set_aside_records(folder: &Path) -> ExitCode {
-    match record_file::set_aside_damaged(folder) {
+pub fn quarantine_records(folder: &Path) -> ExitCode {
+    match record_file::quarantine_damaged(folder) {
         Ok(Some(path)) => {
-            say(format!("{}\n", json!({"outcome": "set aside", "file": path})).as_bytes());
+            print_text(format!("{}\n", json!({"outcome": "set aside", "file": path})).as_bytes());
             ExitCode::SUCCESS
         }
-        Ok(None) => complain(format!("{}: the records are sound or missing", folder.display()), REFUSED),
-        Err(failure) => complain(format!("{}: {}", folder.display(), failure.current_context()), REFUSED),
+        Ok(None) => print_error(format!("{}: the records are sound or missing", folder.display()), REFUSED),
+        Err(failure) => print_error(format!("{}: {}", folder.display(), failure.current_context()), REFUSED),
     }
 }
 
 pub fn check_configuration(path: &Path) -> ExitCode {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
-        Err(failure) => return complain(format!("{}: {failure}", path.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", path.display()), BAD_USE),
     };
     let document: Value = match serde_json::from_slice(&bytes) {
         Ok(document) => document,
-        Err(failure) => return complain(format!("{}: {failure}", path.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", path.display()), BAD_USE),
     };
     match configuration_schema::check(&document) {
         Ok(configuration) => {
             let line = json!({
                 "outcome": "sound",
-                "allowances": configuration.allowances.len(),
+                "allowances": configuration.quotas.len(),
                 "functions": configuration.functions.len(),
-                "lanes": configuration.lanes.len(),
+                "lanes": configuration.routes.len(),
             });
-            say(format!("{line}\n").as_bytes());
+            print_text(format!("{line}\n").as_bytes());
             ExitCode::SUCCESS
         }
         Err(reasons) => {
-            say(format!("{}\n", json!({"outcome": "refused", "reasons": reasons})).as_bytes());
+            print_text(format!("{}\n", json!({"outcome": "refused", "reasons": reasons})).as_bytes());
             ExitCode::from(REFUSED)
         }
     }
@@ -80,14 +80,14 @@
 pub fn change(change: Change) -> ExitCode {
     let bytes = match std::fs::read(&change.file) {
         Ok(bytes) => bytes,
-        Err(failure) => return complain(format!("{}: {failure}", change.file.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", change.file.display()), BAD_USE),
     };
     let body = match change.whole_as {
         None => bytes,
         Some(change_id) => {
             let whole: Value = match serde_json::from_slice(&bytes) {
                 Ok(whole) => whole,
-                Err(failure) => return complain(format!("{}: {failure}", change.file.display()), BAD_USE),
+                Err(failure) => return print_error(format!("{}: {failure}", change.file.display()), BAD_USE),
             };
             let mut line = json!({"change_id": change_id, "whole": whole});
             if let Some(generation) = change.expected_generation {
@@ -99,15 +99,15 @@
     get_ready(async move {
         let url = format!("http://{}/control/changes", change.control);
         let sending = client().post(url).timeout(Duration::from_secs(600)).send_body(body);
-        let mut answer = match sending.await {
-            Ok(answer) => answer,
-            Err(failure) => return complain(failure, UNREACHED),
+        let mut response = match sending.await {
+            Ok(response) => response,
+            Err(failure) => return print_error(failure, UNREACHED),
         };
         let mut text = Vec::new();
-        while let Some(chunk) = answer.next().await {
-            let Ok(chunk) = chunk else { return complain("the answer was cut", UNREACHED) };
+        while let Some(chunk) = response.next().await {
+            let Ok(chunk) = chunk else { return print_error("the answer was cut", UNREACHED) };
             text.extend_from_slice(&chunk);
-            say(&chunk);
+            print_text(&chunk);
         }
         let is_accepted = |line: &[u8]| {
             serde_json::from_slice::<Value>(line).is_ok_and(|outcome| outcome["outcome"] == "accepted")
@@ -134,14 +134,14 @@
 
 fn show(url: String) -> ExitCode {
     get_ready(async move {
-        let mut answer = match client().get(url).send().await {
-            Ok(answer) => answer,
-            Err(failure) => return complain(failure, UNREACHED),
+        let mut response = match client().get(url).send().await {
+            Ok(response) => response,
+            Err(failure) => return print_error(failure, UNREACHED),
         };
-        let is_sound = answer.status().is_success();
-        while let Some(chunk) = answer.next().await {
-            let Ok(chunk) = chunk else { return complain("the answer was cut", UNREACHED) };
-            if !say(&chunk) {
+        let is_sound = response.status().is_success();
+        while let Some(chunk) = response.next().await {
+            let Ok(chunk) = chunk else { return print_error("the answer was cut", UNREACHED) };
+            if !print_text(&chunk) {
                 break;
             }
         }
--- a/packages/vanelane/src/operator_port.rs
+++ b/packages/vanelane/src/operator_port.rs
@@ -1,14 +1,14 @@
 //! What an operators' page may ask of the node, whatever words it speaks.
 
-use crate::colleague_links::FrameCounts;
 use crate::node_lag::NodeLag;
-use crate::protocol_shell::{DecisionsReply, NodeFlags, ShellEvent};
+use crate::peer_links::FrameCounts;
+use crate::protocol_runtime::{DecisionsReply, NodeFlags, RuntimeEvent};
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response};
 use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
 use futures_util::future::LocalBoxFuture;
-use gateway::Front;
-use node_protocol::{ConfigurationAnswer, NodeStatus};
+use gateway::Gateway;
+use node_protocol::{ConfigurationResponse, NodeStatus};
 use peer_messages::NodeId;
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-const ANSWER_WITHIN: Duration = Duration::from_secs(10);
+const RESPONSE_WITHIN: Duration = Duration::from_secs(10);
 
 /// The configuration as a read found it. Example: `ConfirmedConfiguration::Unconfirmed`.
 pub enum ConfirmedConfiguration {
@@ -33,25 +33,25 @@
 
 /// The pages of one dialect. Example: [`crate::ControlPages`], vanelane's own.
 pub trait OperatorPages {
-    /// Answers one request. Example: `pages.answer(port, request).await`.
-    fn answer(&self, port: OperatorPort, request: Request) -> LocalBoxFuture<'static, Page>;
+    /// Answers one request. Example: `pages.respond(port, request).await`.
+    fn respond(&self, port: OperatorPort, request: Request) -> LocalBoxFuture<'static, Page>;
 }
 
 /// The way from an operators' page into the node. Example: `port.change(change).await`.
 #[derive(Clone)]
 pub struct OperatorPort {
-    pub(crate) inbox: mpsc::Sender<ShellEvent>,
-    pub(crate) front: Arc<Front>,
+    pub(crate) inbox: mpsc::Sender<RuntimeEvent>,
+    pub(crate) gateway: Arc<Gateway>,
     pub(crate) flags: Arc<NodeFlags>,
     pub(crate) frames: Arc<FrameCounts>,
     pub(crate) lag: Arc<NodeLag>,
 }
 
 impl OperatorPort {
-    async fn ask<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> ShellEvent) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+    async fn request<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> RuntimeEvent) -> Option<T> {
+        let (reply, response) = oneshot::channel();
         self.inbox.send(make(reply)).await.ok()?;
-        tokio::time::timeout(ANSWER_WITHIN, answer).await.ok()?.ok()
+        tokio::time::timeout(RESPONSE_WITHIN, response).await.ok()?.ok()
     }
 
     /// Whether the node takes calls: it knows the newest configuration and does not drain.
@@ -67,7 +67,7 @@
 
     /// Brings a change to its outcome. Example: `port.change(change).await == ChangeOutcome::Accepted {..}`.
     pub async fn change(&self, change: Change) -> ChangeOutcome {
-        let outcome = self.ask(|reply| ShellEvent::Change { change, reply }).await;
+        let outcome = self.request(|reply| RuntimeEvent::Change { change, reply }).await;
         let silence = ChangeOutcome::Unknown { reason: "the node did not answer in time".to_owned() };
         outcome.unwrap_or(silence)
     }
@@ -75,30 +75,30 @@
     /// The configuration as a majority of the disks confirms it.
     /// Example: `matches!(port.confirmed_configuration().await, ConfirmedConfiguration::Stored(_))`.
     pub async fn confirmed_configuration(&self) -> ConfirmedConfiguration {
-        match self.ask(|reply| ShellEvent::ConfirmedConfiguration { reply }).await {
-            Some(ConfigurationAnswer::Stored(stored)) => StoredConfiguration::decode(&stored)
+        match self.request(|reply| RuntimeEvent::ConfirmedConfiguration { reply }).await {
+            Some(ConfigurationResponse::Stored(stored)) => StoredConfiguration::decode(&stored)
                 .map_or(ConfirmedConfiguration::Unconfirmed, ConfirmedConfiguration::Stored),
-            Some(ConfigurationAnswer::Elsewhere(address)) => {
+            Some(ConfigurationResponse::Elsewhere(address)) => {
                 ConfirmedConfiguration::Elsewhere(address.socket().ip())
             }
-            Some(ConfigurationAnswer::Unconfirmed) | None => ConfirmedConfiguration::Unconfirmed,
+            Some(ConfigurationResponse::Unconfirmed) | None => ConfirmedConfiguration::Unconfirmed,
         }
     }
 
     /// The machine where a caller had better send a body of so many bytes to, or read the whole
     /// configuration from (`None`): the one that owns it, if this machine's link is too small for that.
-    /// Example: `port.better_place(None).await`.
-    pub async fn better_place(&self, bytes: Option<usize>) -> Option<IpAddr> {
-        let place = self.ask(|reply| ShellEvent::BetterPlace { bytes, reply }).await??;
+    /// Example: `port.redirect_target(None).await`.
+    pub async fn redirect_target(&self, bytes: Option<usize>) -> Option<IpAddr> {
+        let place = self.request(|reply| RuntimeEvent::RedirectTarget { bytes, reply }).await??;
         Some(place.socket().ip())
     }
 
     pub(crate) async fn decisions(&self, after: Vec<(NodeId, u64)>, most: u32) -> Option<DecisionsReply> {
-        self.ask(|reply| ShellEvent::Decisions { after, most, reply }).await
+        self.request(|reply| RuntimeEvent::Decisions { after, most, reply }).await
     }
 
     /// The node's page of state. Example: `port.status().await?.generation`.
     pub async fn status(&self) -> Option<NodeStatus> {
-        self.ask(|reply| ShellEvent::Status { reply }).await
+        self.request(|reply| RuntimeEvent::Status { reply }).await
     }
 }
--- a/packages/vanelane/src/colleague_links.rs
+++ b/packages/vanelane/src/peer_links.rs
@@ -1,7 +1,7 @@
 //! Frames between colleagues over TCP: one outgoing connection to each, dropped frames are harmless.
 
 use crate::node_lag::NodeLag;
-use crate::protocol_shell::ShellEvent;
+use crate::protocol_runtime::RuntimeEvent;
 use error_stack::{Report, ResultExt};
 use monotonic_clock::MonotonicClock;
 use peer_messages::{Address, FRAME_HEAD, FrameError, Priority, decode_payload, frame_length};
@@ -16,7 +16,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 
-const LINK_WAITLIST: usize = 1_024;
+/// The target of this module's log lines: part of the log format, so it does not follow the module's name.
+const LOG_TARGET: &str = "vanelane::colleague_links";
+
+const LINK_QUEUE_LIMIT: usize = 1_024;
 const LINK_BYTES: usize = 24 * 1024 * 1024;
 const WRITE_WITHIN: Duration = Duration::from_secs(3);
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
@@ -36,7 +39,7 @@
     pub too_long: AtomicU64,
     pub damaged: AtomicU64,
     pub other_fleet: AtomicU64,
-    pub waitlist_full: AtomicU64,
+    pub queue_full: AtomicU64,
     /// Waited for longer than they are of use, unsent or unread.
     pub stale: AtomicU64,
 }
@@ -110,15 +113,15 @@
 }
 
 /// The outgoing connections.
-pub struct ColleagueLinks {
+pub struct PeerLinks {
     links: HashMap<Address, Link>,
     counts: Arc<FrameCounts>,
     lag: Arc<NodeLag>,
 }
 
-impl ColleagueLinks {
-    pub fn new(counts: Arc<FrameCounts>, lag: Arc<NodeLag>) -> ColleagueLinks {
-        ColleagueLinks { links: HashMap::new(), counts, lag }
+impl PeerLinks {
+    pub fn new(counts: Arc<FrameCounts>, lag: Arc<NodeLag>) -> PeerLinks {
+        PeerLinks { links: HashMap::new(), counts, lag }
     }
 
     /// A message was read so late that it was dropped.
@@ -135,12 +138,12 @@
             self.links.retain(|_, link| !link.urgent.is_closed());
         }
         if !self.links.contains_key(&address) && self.links.len() >= LINK_LIMIT {
-            self.counts.waitlist_full.fetch_add(1, Ordering::Relaxed);
+            self.counts.queue_full.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let link = self.links.entry(address).or_insert_with(|| {
-            let (urgent, urgent_frames) = mpsc::channel(LINK_WAITLIST);
-            let (bulk, bulk_frames) = mpsc::channel(LINK_WAITLIST);
+            let (urgent, urgent_frames) = mpsc::channel(LINK_QUEUE_LIMIT);
+            let (bulk, bulk_frames) = mpsc::channel(LINK_QUEUE_LIMIT);
             let waiting_bytes = Arc::new(AtomicUsize::new(0));
             let queue = LinkQueue {
                 urgent: urgent_frames,
@@ -160,7 +163,7 @@
         if link.waiting_bytes.load(Ordering::Relaxed) + frame_length > LINK_BYTES
             || sender.try_send(frame).is_err()
         {
-            self.counts.waitlist_full.fetch_add(1, Ordering::Relaxed);
+            self.counts.queue_full.fetch_add(1, Ordering::Relaxed);
             return;
         }
         link.waiting_bytes.fetch_add(frame_length, Ordering::Relaxed);
@@ -213,8 +216,8 @@
 /// Where messages wait to be handled: bulk only comes to its turn when nothing urgent waits.
 #[derive(Clone)]
 pub struct PeerInbox {
-    pub urgent: mpsc::Sender<ShellEvent>,
-    pub bulk: mpsc::Sender<ShellEvent>,
+    pub urgent: mpsc::Sender<RuntimeEvent>,
+    pub bulk: mpsc::Sender<RuntimeEvent>,
 }
 
 /// Accepts colleagues' connections and hands their messages to the node.
@@ -277,14 +280,14 @@
                     Priority::Urgent => &inbox.urgent,
                     Priority::Bulk => &inbox.bulk,
                 };
-                let heard = ShellEvent::Heard { envelope, at: Instant::now() };
-                if sender.try_send(heard).is_err() {
-                    counts.waitlist_full.fetch_add(1, Ordering::Relaxed);
+                let received = RuntimeEvent::Received { envelope, at: Instant::now() };
+                if sender.try_send(received).is_err() {
+                    counts.queue_full.fetch_add(1, Ordering::Relaxed);
                 }
             }
             Ok(_) => {
                 counts.other_fleet.fetch_add(1, Ordering::Relaxed);
-                log::warn!("a node of another fleet speaks from {:?}", stream.get_ref().peer_addr().ok());
+                log::warn!(target: LOG_TARGET, "a node of another fleet speaks from {:?}", stream.get_ref().peer_addr().ok());
                 return;
             }
             Err(failure) => {
@@ -313,8 +316,7 @@
         FrameError::Checksum | FrameError::Malformed => &counts.damaged,
     };
     count.fetch_add(1, Ordering::Relaxed);
-    log::warn!(
-        "dropped a frame from {:?} after {} ms: {failure:?}",
+    log::warn!(target: LOG_TARGET, "dropped a frame from {:?} after {} ms: {failure:?}",
         stream.peer_addr().ok(),
         clock.now().millis()
     );
--- a/packages/vanelane/src/run_node.rs
+++ b/packages/vanelane/src/run_node.rs
@@ -1,7 +1,6 @@
 //! `vanelane run`: settings, logs, threads, signals.
 
-use crate::client_connection::{ClientPatience, ConnectionTerms, OpenConnections, serve_connection};
-use crate::colleague_links::{self, ColleagueLinks, FrameCounts, PeerInbox};
+use crate::client_connection::{ClientTimeouts, ConnectionTerms, OpenConnections, serve_connection};
 use crate::command_line::Run;
 use crate::control_costs::ControlCosts;
 use crate::control_pages::ControlPages;
@@ -10,22 +9,23 @@
 use crate::local_server::{self, LocalServer};
 use crate::node_lag::NodeLag;
 use crate::operator_port::{OperatorPages, OperatorPort};
-use crate::protocol_shell::{NodeFlags, ProtocolShell, ShellEvent, WALL_CLOCK_EVERY};
+use crate::peer_links::{self, FrameCounts, PeerInbox, PeerLinks};
+use crate::protocol_runtime::{NodeFlags, ProtocolRuntime, RuntimeEvent, WALL_CLOCK_EVERY};
 use crate::settings::{self, Settings, SettingsReason};
 use crate::settings_watch;
 use actix_server::{Server, ServerHandle};
 use actix_service::fn_service;
 use call_traces::TraceWriter;
-use configuration_schema::{DOCUMENT_LIMIT, VisitorLimits};
-use function_scheduler::{CostModel, ExtraBound};
-use gateway::{CallDialect, DispatchSettings, Front, FrontSettings, OpenCalls, Recorder};
+use configuration_schema::{ClientLimits, DOCUMENT_LIMIT};
+use function_scheduler::{CostModel, RetryLimits};
+use gateway::{DispatchSettings, Gateway, GatewaySettings, HeaderConventions, OpenCalls, Recorder};
 use leader_election::ElectionSettings;
 use log4rs::append::console::{ConsoleAppender, Target};
 use log4rs::config::{Appender, Root};
 use log4rs::encode::json::JsonEncoder;
-use monotonic_clock::{ClockEvent, Micros, MonotonicClock};
+use monotonic_clock::{Micros, MonotonicClock, Ticker};
 use node_protocol::{Event, Node, NodeSettings, UsageSettings};
-use peer_messages::{Address, fleet_mark, node_id};
+use peer_messages::{Address, fleet_id, node_id};
 use platform_client::{PlatformApi, PlatformClient};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use supervisor::{Patience, Supervisor};
+use supervisor::{RestartPolicy, Supervisor};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -44,15 +44,15 @@
 const BAD_SETTINGS: u8 = 2;
 const BAD_START: u8 = 1;
 const INBOX_LIMIT: usize = 8_192;
-const VISITOR_CONNECTIONS: usize = 4_096;
+const CLIENT_CONNECTIONS: usize = 4_096;
 const CONTROL_CONNECTIONS: usize = 256;
 /// How long what a visitor still sends is read after the last answer on a connection.
-const VISITOR_LINGER: Duration = Duration::from_secs(1);
+const CLIENT_LINGER: Duration = Duration::from_secs(1);
 
 /// What a platform brings of its own; everything else is the product's.
-pub struct Seams {
+pub struct PlatformIntegration {
     /// The headers that visitors and cells speak by.
-    pub dialect: CallDialect,
+    pub header_conventions: HeaderConventions,
     /// List, start and stop.
     pub platform: Rc<dyn PlatformApi>,
     /// The operators' pages, and the readiness page.
@@ -75,8 +75,8 @@
     }
     let platform_address = settings.platform_address;
     let settings_path = run.settings.clone();
-    start(settings, move || Seams {
-        dialect: CallDialect::default(),
+    start(settings, move || PlatformIntegration {
+        header_conventions: HeaderConventions::default(),
         platform: Rc::new(PlatformClient::new(platform_address)),
         pages: Rc::new(ControlPages),
         reread: Rc::new(move || settings::read(&run)),
@@ -93,8 +93,8 @@
 }
 
 /// Runs a node to its end. The seams are made on the node's own thread, inside its runtime.
-/// Example: `start(settings, || Seams { .. })`.
-pub fn start(settings: Settings, make_seams: impl FnOnce() -> Seams) -> ExitCode {
+/// Example: `start(settings, || PlatformIntegration { .. })`.
+pub fn start(settings: Settings, make_integration: impl FnOnce() -> PlatformIntegration) -> ExitCode {
     let logging = logging_config(settings.log_level);
     let log_handle = match logging.map(log4rs::init_config) {
         Ok(Ok(handle)) => handle,
@@ -103,7 +103,7 @@
             return ExitCode::from(BAD_START);
         }
     };
-    match actix_rt::System::new().block_on(async { serve(settings, make_seams(), log_handle).await }) {
+    match actix_rt::System::new().block_on(async { serve(settings, make_integration(), log_handle).await }) {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             log::error!("{reason}");
@@ -128,40 +128,44 @@
     Ok(listener)
 }
 
-async fn serve(settings: Settings, seams: Seams, log_handle: log4rs::Handle) -> Result<(), String> {
+async fn serve(
+    settings: Settings,
+    integration: PlatformIntegration,
+    log_handle: log4rs::Handle,
+) -> Result<(), String> {
     let (inbox_sender, inbox) = mpsc::channel(INBOX_LIMIT);
-    let (link_sender, front_links) = mpsc::channel(INBOX_LIMIT);
-    let front_settings = FrontSettings {
+    let (link_sender, gateway_messages) = mpsc::channel(INBOX_LIMIT);
+    let gateway_settings = GatewaySettings {
         body_limit: settings.body_limit_bytes,
         memory_limit: settings.memory_limit_bytes,
         calls_limit: settings.calls_limit,
         dispatch: DispatchSettings {
             idle_limit: settings.kept_connections,
-            dialect: Arc::new(seams.dialect.clone()),
+            header_conventions: Arc::new(integration.header_conventions.clone()),
             ..DispatchSettings::default()
         },
-        ..FrontSettings::default()
+        ..GatewaySettings::default()
     };
-    let mut front = Front::new(front_settings, link_sender);
+    let mut gateway = Gateway::new(gateway_settings, link_sender);
     if let Some(path) = &settings.recording {
         let recorder = Recorder::start(path, settings.recording_limit_bytes)
             .map_err(|failure| format!("setting recording: {}: {failure}", path.display()))?;
-        front.record_with(recorder);
+        gateway.record_with(recorder);
     }
     if let Some(path) = &settings.traces {
         let traces =
             TraceWriter::start(path, settings.traces_limit_bytes, settings.traces_sample, &settings.zone)
                 .map_err(|failure| format!("setting traces: {}: {failure}", path.display()))?;
-        front.trace_with(traces);
+        gateway.trace_with(traces);
     }
-    let front = Arc::new(front);
+    let gateway = Arc::new(gateway);
     let flags = Arc::new(NodeFlags::default());
     let frames = Arc::new(FrameCounts::default());
     let lag = Arc::new(NodeLag::starting(Instant::now()));
-    let fleet = fleet_mark(&settings.fleet);
+    let fleet = fleet_id(&settings.fleet);
 
-    let colleague_listener = listen_on("colleague_address", settings.colleague_address)?;
-    let visitor_listener = listen_on("visitor_address", settings.visitor_address)?;
+    let peer_listener = listen_on("colleague_address", settings.peer_address)?;
+    let client_listener = listen_on("visitor_address", settings.client_address)?;
     let control_listener = listen_on("control_address", settings.control_address)?;
 
     let mut disk = None;
@@ -176,32 +180,32 @@
             disk = Some((file.disk(), registers));
             let disk_inbox = inbox_sender.clone();
             let started = DiskThread::start(file, move |token, is_synced| {
-                let _ = disk_inbox.blocking_send(ShellEvent::DiskDone { token, is_synced });
+                let _ = disk_inbox.blocking_send(RuntimeEvent::DiskDone { token, is_synced });
             });
             disk_thread = Some(started.map_err(|failure| format!("disk thread: {failure}"))?);
         }
     }
 
     let clock = MonotonicClock::start();
-    let own_address = Address::from(settings.colleague_address);
+    let own_address = Address::from(settings.peer_address);
     let node_settings = node_settings(&settings, own_address);
     let own_node = node_settings.node;
-    log::info!("node {own_node:016x} starts at {}", settings.colleague_address);
-    let mut shell = ProtocolShell {
+    log::info!("node {own_node:016x} starts at {}", settings.peer_address);
+    let mut runtime = ProtocolRuntime {
         node: Node::new(node_settings, disk, clock.now()),
         clock,
-        wall_clock_event: ClockEvent::each(WALL_CLOCK_EVERY),
+        wall_clock_event: Ticker::every(WALL_CLOCK_EVERY),
         own_node,
         own_address,
         fleet,
-        links: ColleagueLinks::new(frames.clone(), lag.clone()),
+        links: PeerLinks::new(frames.clone(), lag.clone()),
         disk: disk_thread,
-        platform: seams.platform.clone(),
+        platform: integration.platform.clone(),
         node_name: settings.node_name.clone(),
-        front: front.clone(),
+        gateway: gateway.clone(),
         flags: flags.clone(),
         inbox_sender: inbox_sender.clone(),
-        tickets: HashMap::new(),
+        permits: HashMap::new(),
         changes: HashMap::new(),
         decisions: HashMap::new(),
         confirmed: HashMap::new(),
@@ -210,11 +214,11 @@
         costs: ControlCosts::new(Instant::now()),
         lag: lag.clone(),
     };
-    first_events.into_iter().for_each(|event| shell.handle(event));
+    first_events.into_iter().for_each(|event| runtime.handle(event));
 
     let port = OperatorPort {
         inbox: inbox_sender.clone(),
-        front: front.clone(),
+        gateway: gateway.clone(),
         flags: flags.clone(),
         frames: frames.clone(),
         lag,
@@ -222,39 +226,39 @@
     let (closing, is_closing) = watch::channel(false);
     // The operators' pages answer to the end.
     let (pages_closing, are_pages_closing) = watch::channel(false);
-    let patience = ClientPatience {
+    let timeouts = ClientTimeouts {
         idle: Duration::from_millis(settings.idle_millis),
         header_wait: Duration::from_millis(settings.header_wait_millis),
-        linger: VISITOR_LINGER,
+        linger: CLIENT_LINGER,
     };
     // A redirected operator may still be sending a whole document.
     let document_time = settings.link_rate().map_or(0.0, |rate| DOCUMENT_LIMIT as f64 / rate);
-    let page_linger = VISITOR_LINGER.max(Duration::from_secs_f64(document_time));
-    let page_patience = ClientPatience { linger: page_linger, ..patience };
+    let page_linger = CLIENT_LINGER.max(Duration::from_secs_f64(document_time));
+    let page_timeouts = ClientTimeouts { linger: page_linger, ..timeouts };
     let mut local_servers = Vec::new();
     let client_connections = OpenConnections::default();
     let mut threaded = None;
     match settings.worker_threads {
         0 => {
-            let called_front = front.clone();
-            let limits_front = front.clone();
+            let called_gateway = gateway.clone();
+            let limits_gateway = gateway.clone();
             local_servers.push(LocalServer {
-                listener: local_listener("visitor_address", visitor_listener)?,
-                answering: Rc::new(move |request| Box::pin(called_front.clone().call(request))),
-                patience: Rc::new(move || limited(patience, limits_front.visitor_limits())),
-                connections_limit: VISITOR_CONNECTIONS,
+                listener: local_listener("visitor_address", client_listener)?,
+                answering: Rc::new(move |request| Box::pin(called_gateway.clone().call(request))),
+                timeouts: Rc::new(move || limited(timeouts, limits_gateway.client_limits())),
+                connections_limit: CLIENT_CONNECTIONS,
                 open_connections: client_connections.clone(),
                 closing: is_closing.clone(),
             });
         }
         threads => {
             let clients = ThreadedClients {
-                front: front.clone(),
-                patience,
+                gateway: gateway.clone(),
+                timeouts,
                 closing: is_closing.clone(),
                 open_connections: client_connections.clone(),
             };
-            threaded = Some(visitor_server(visitor_listener, clients, threads)?);
+            threaded = Some(client_server(client_listener, clients, threads)?);
         }
     }
     let mut page_listeners = vec![("control_address", control_listener)];
@@ -262,11 +266,11 @@
         page_listeners.push(("ready_address", listen_on("ready_address", address)?));
     }
     for (field, listener) in page_listeners {
-        let (pages, port) = (seams.pages.clone(), port.clone());
+        let (pages, port) = (integration.pages.clone(), port.clone());
         local_servers.push(LocalServer {
             listener: local_listener(field, listener)?,
-            answering: Rc::new(move |request| pages.answer(port.clone(), request)),
-            patience: Rc::new(move || page_patience),
+            answering: Rc::new(move |request| pages.respond(port.clone(), request)),
+            timeouts: Rc::new(move || page_timeouts),
             connections_limit: CONTROL_CONNECTIONS,
             open_connections: OpenConnections::default(),
             closing: are_pages_closing.clone(),
@@ -275,26 +279,26 @@
     let threaded_handle = threaded.as_ref().map(Server::handle);
     let servers = Rc::new(RefCell::new((threaded, local_servers)));
 
-    let colleague_listener = tokio::net::TcpListener::from_std(colleague_listener)
+    let peer_listener = tokio::net::TcpListener::from_std(peer_listener)
         .map_err(|failure| format!("setting colleague_address: {failure}"))?;
-    let colleague_listener = Rc::new(colleague_listener);
+    let peer_listener = Rc::new(peer_listener);
     let (bulk_sender, bulk_inbox) = mpsc::channel(INBOX_LIMIT);
     let listen_inbox = PeerInbox { urgent: inbox_sender.clone(), bulk: bulk_sender };
-    let protocol = Rc::new(RefCell::new(Some((shell, inbox, bulk_inbox, front_links))));
+    let protocol = Rc::new(RefCell::new(Some((runtime, inbox, bulk_inbox, gateway_messages))));
 
-    let tree = Supervisor::new("vanelane", Patience::default())
+    let tree = Supervisor::new("vanelane", RestartPolicy::default())
         .child("protocol", move || {
             // The node's state is not to be trusted after a broken invariant: it runs once.
             let taken = protocol.borrow_mut().take();
             async move {
-                let Some((mut shell, mut inbox, mut bulk_inbox, mut front_links)) = taken else {
+                let Some((mut runtime, mut inbox, mut bulk_inbox, mut gateway_messages)) = taken else {
                     return Err(error_stack::Report::new(supervisor::ChildError("protocol".to_owned())));
                 };
-                shell.run(&mut inbox, &mut bulk_inbox, &mut front_links).await
+                runtime.run(&mut inbox, &mut bulk_inbox, &mut gateway_messages).await
             }
         })
         .child("colleague listener", move || {
-            colleague_links::listen(colleague_listener.clone(), fleet, listen_inbox.clone(), frames.clone())
+            peer_links::listen(peer_listener.clone(), fleet, listen_inbox.clone(), frames.clone())
         })
         .child("servers", move || {
             let threaded = servers.borrow_mut().0.take();
@@ -316,7 +320,7 @@
         });
     let stop = PlannedStop {
         inbox: inbox_sender,
-        front,
+        gateway,
         flags,
         closing,
         client_connections,
@@ -325,7 +329,7 @@
         still_accepting: Duration::from_millis(settings.still_accepting_millis),
         within: Duration::from_millis(settings.stop_within_millis),
     };
-    let stopping = watch_signals(seams, stop, log_handle);
+    let stopping = watch_signals(integration, stop, log_handle);
     tokio::select! {
         ended = tree.run() => ended.map_err(|failure| format!("{failure:?}")),
         stopped = stopping => stopped,
@@ -338,19 +342,19 @@
         address: own_address,
         zone: settings.zone.clone(),
         seeds: settings.seeds.iter().map(|seed| Address::from(*seed)).collect(),
-        founding_disks: settings.founding_disks,
+        bootstrap_disks: settings.bootstrap_disks,
         costs: CostModel {
             start: settings.start_cost,
             late_call: settings.late_call_cost,
-            far_call: settings.far_call_cost,
+            remote_call: settings.remote_call_cost,
         },
-        may_found: settings.may_found,
+        may_bootstrap: settings.may_bootstrap,
         lists_per_second: settings.lists_per_second,
         list_every: Micros::from_millis(settings.list_every_millis),
         replace_disk_after: Micros::from_secs(settings.replace_disk_after_seconds),
-        acts_per_second: settings.acts_per_second,
+        operations_per_second: settings.operations_per_second,
         link_rate: settings.link_rate(),
-        extra_bound: ExtraBound {
+        retry_limits: RetryLimits {
             ratio: settings.extra_ratio,
             fixed: settings.extra_fixed,
             window: Micros::from_secs(settings.extra_window_seconds),
@@ -360,7 +364,7 @@
             holder: settings.node_name.clone(),
             window: usage.window,
             delay: usage.delay,
-            lease: usage.act_lease,
+            lease: usage.action_lease,
         }),
         election: ElectionSettings {
             lease: Micros::from_millis(settings.lease_millis),
@@ -371,7 +375,7 @@
         },
         probes: membership::ProbeSettings::default(),
         switched_off: settings.switched_off.clone(),
-        luck_seed: fastrand::u64(..),
+        random_seed: fastrand::u64(..),
     }
 }
 
@@ -381,31 +385,31 @@
 }
 
 /// What the configuration names of a visitor's limits goes ahead of the settings.
-fn limited(patience: ClientPatience, limits: Option<VisitorLimits>) -> ClientPatience {
-    let told = |named: Option<u64>, fallback: Duration| named.map_or(fallback, Duration::from_millis);
-    let Some(limits) = limits else { return patience };
-    ClientPatience {
-        idle: told(limits.idle_millis, patience.idle),
-        header_wait: told(limits.header_wait_millis, patience.header_wait),
-        ..patience
+fn limited(timeouts: ClientTimeouts, limits: Option<ClientLimits>) -> ClientTimeouts {
+    let reported = |named: Option<u64>, fallback: Duration| named.map_or(fallback, Duration::from_millis);
+    let Some(limits) = limits else { return timeouts };
+    ClientTimeouts {
+        idle: reported(limits.idle_millis, timeouts.idle),
+        header_wait: reported(limits.header_wait_millis, timeouts.header_wait),
+        ..timeouts
     }
 }
 
 /// What clients are served with on threads of their own.
 #[derive(Clone)]
 struct ThreadedClients {
-    front: Arc<Front>,
-    patience: ClientPatience,
+    gateway: Arc<Gateway>,
+    timeouts: ClientTimeouts,
     closing: watch::Receiver<bool>,
     open_connections: OpenConnections,
 }
 
 impl ThreadedClients {
     fn terms(&self) -> ConnectionTerms {
-        let front = self.front.clone();
+        let gateway = self.gateway.clone();
         ConnectionTerms {
-            answering: Rc::new(move |request| Box::pin(front.clone().call(request))),
-            patience: limited(self.patience, self.front.visitor_limits()),
+            answering: Rc::new(move |request| Box::pin(gateway.clone().call(request))),
+            timeouts: limited(self.timeouts, self.gateway.client_limits()),
             closing: self.closing.clone(),
             open_connections: self.open_connections.clone(),
         }
@@ -413,14 +417,14 @@
 }
 
 /// Visitors on threads of their own.
-fn visitor_server(
+fn client_server(
     listener: TcpListener,
     clients: ThreadedClients,
     worker_threads: usize,
 ) -> Result<Server, String> {
     let builder = Server::build()
         .workers(worker_threads)
-        .max_concurrent_connections(VISITOR_CONNECTIONS)
+        .max_concurrent_connections(CLIENT_CONNECTIONS)
         .shutdown_timeout(6)
         .disable_signals();
     let bound = builder.listen("visitors", listener, move || {
@@ -438,8 +442,8 @@
 
 /// What a planned stop needs.
 struct PlannedStop {
-    inbox: mpsc::Sender<ShellEvent>,
-    front: Arc<Front>,
+    inbox: mpsc::Sender<RuntimeEvent>,
+    gateway: Arc<Gateway>,
     flags: Arc<NodeFlags>,
     closing: watch::Sender<bool>,
     client_connections: OpenConnections,
@@ -453,16 +457,20 @@
 
 /// SIGHUP, and a settings file that changed without it, read the settings again; SIGTERM and SIGINT
 /// begin the planned stop.
-async fn watch_signals(seams: Seams, stop: PlannedStop, log_handle: log4rs::Handle) -> Result<(), String> {
+async fn watch_signals(
+    integration: PlatformIntegration,
+    stop: PlannedStop,
+    log_handle: log4rs::Handle,
+) -> Result<(), String> {
     let watch = |kind| signal(kind).map_err(|failure| format!("signals: {failure}"));
     let mut reloads = watch(SignalKind::hangup())?;
     let mut terms = watch(SignalKind::terminate())?;
     let mut interrupts = watch(SignalKind::interrupt())?;
     let mut known =
-        seams.settings_path.as_ref().and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
+        integration.settings_path.as_ref().and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
     loop {
         let file_changed = async {
-            match &seams.settings_path {
+            match &integration.settings_path {
                 Some(path) => settings_watch::changed(path, &mut known).await,
                 None => std::future::pending().await,
             }
@@ -473,14 +481,14 @@
             _ = terms.recv() => break,
             _ = interrupts.recv() => break,
         }
-        reload(&seams, &stop.inbox, &log_handle).await;
+        reload(&integration, &stop.inbox, &log_handle).await;
     }
     let began = Instant::now();
     log::info!("stopping: leases are released and calls finished");
     // Told at once: the inbox of a busy node may be long.
     stop.flags.draining.store(true, Ordering::Relaxed);
-    stop.front.begin_stop(stop.within);
-    let _ = stop.inbox.send(ShellEvent::Drain).await;
+    stop.gateway.begin_stop(stop.within);
+    let _ = stop.inbox.send(RuntimeEvent::Drain).await;
     tokio::time::sleep(stop.still_accepting).await;
     // Accepts no more; connections that are open go on to the end of their calls.
     let _ = stop.closing.send(true);
@@ -489,13 +497,13 @@
     }
     // A call is over when its answer was handed to its connection; the connection closes when it has left.
     let is_done = || {
-        let is_answered = stop.front.open_calls() == 0 && stop.client_connections.get() == 0;
+        let is_answered = stop.gateway.open_calls() == 0 && stop.client_connections.get() == 0;
         is_answered && stop.flags.drained.load(Ordering::Relaxed)
     };
     while !is_done() && began.elapsed() < stop.within {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    log_stopped(began.elapsed(), stop.front.open_calls_by_stage(), stop.client_connections.get());
+    log_stopped(began.elapsed(), stop.gateway.open_calls_by_stage(), stop.client_connections.get());
     Ok(())
 }
 
@@ -508,19 +516,23 @@
 }
 
 /// Seeds, the platform's address and the log level take effect at once; what cannot is named.
-async fn reload(seams: &Seams, inbox: &mpsc::Sender<ShellEvent>, log_handle: &log4rs::Handle) {
-    let settings = match (seams.reread)() {
+async fn reload(
+    integration: &PlatformIntegration,
+    inbox: &mpsc::Sender<RuntimeEvent>,
+    log_handle: &log4rs::Handle,
+) {
+    let settings = match (integration.reread)() {
         Ok(settings) => settings,
         Err(reasons) => {
-            let told: Vec<String> =
+            let reported: Vec<String> =
                 reasons.iter().map(|(field, reason): &SettingsReason| format!("{field}: {reason}")).collect();
-            log::error!("the settings were not reloaded, the old ones stand: {}", told.join("; "));
+            log::error!("the settings were not reloaded, the old ones stand: {}", reported.join("; "));
             return;
         }
     };
     let seeds = settings.seeds.iter().map(|seed| Address::from(*seed)).collect();
-    let _ = inbox.send(ShellEvent::Protocol(Event::SeedsChanged { seeds })).await;
-    let _ = inbox.send(ShellEvent::PlatformMoved { address: settings.platform_address }).await;
+    let _ = inbox.send(RuntimeEvent::Protocol(Event::SeedsChanged { seeds })).await;
+    let _ = inbox.send(RuntimeEvent::PlatformMoved { address: settings.platform_address }).await;
     let logging = logging_config(settings.log_level);
     if let Ok(logging) = logging {
         log_handle.set_config(logging);
--- a/packages/vanelane/src/settings.rs
+++ b/packages/vanelane/src/settings.rs
@@ -10,10 +10,10 @@
 
 /// Declares the settings file's fields, all optional as read.
 macro_rules! settings_file {
-    ($($field:ident: $type:ty,)*) => {
+    ($($(#[$note:meta])* $field:ident: $type:ty,)*) => {
         #[derive(Clone, Debug, Default, Deserialize)]
         #[serde(deny_unknown_fields)]
-        pub struct SettingsFile { $(pub $field: Option<$type>,)* }
+        pub struct SettingsFile { $($(#[$note])* pub $field: Option<$type>,)* }
     };
 }
 
@@ -21,16 +21,21 @@
     fleet: String,
     node_name: String,
     zone: String,
-    visitor_address: String,
+    #[serde(rename = "visitor_address")]
+    client_address: String,
     control_address: String,
     ready_address: String,
-    colleague_address: String,
+    #[serde(rename = "colleague_address")]
+    peer_address: String,
     seeds: Vec<String>,
     data_folder: PathBuf,
     platform_address: String,
-    founding_disks: u64,
-    may_found: bool,
-    acts_per_second: f64,
+    #[serde(rename = "founding_disks")]
+    bootstrap_disks: u64,
+    #[serde(rename = "may_found")]
+    may_bootstrap: bool,
+    #[serde(rename = "acts_per_second")]
+    operations_per_second: f64,
     lease_millis: u64,
     poll_millis: u64,
     renewal_millis: u64,
@@ -41,7 +46,8 @@
     kept_connections: u64,
     start_cost: f64,
     late_call_cost: f64,
-    far_call_cost: f64,
+    #[serde(rename = "far_call_cost")]
+    remote_call_cost: f64,
     extra_ratio: f64,
     extra_fixed: u64,
     extra_window_seconds: u64,
@@ -49,7 +55,8 @@
     lists_per_second: f64,
     usage_window_seconds: f64,
     usage_delay_seconds: f64,
-    act_lease_millis: u64,
+    #[serde(rename = "act_lease_millis")]
+    action_lease_millis: u64,
     header_wait_millis: u64,
     idle_millis: u64,
     still_accepting_millis: u64,
@@ -73,16 +80,16 @@
     pub fleet: String,
     pub node_name: String,
     pub zone: String,
-    pub visitor_address: SocketAddr,
+    pub client_address: SocketAddr,
     pub control_address: SocketAddr,
     pub ready_address: Option<SocketAddr>,
-    pub colleague_address: SocketAddr,
+    pub peer_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub data_folder: Option<PathBuf>,
     pub platform_address: SocketAddr,
-    pub founding_disks: usize,
-    pub may_found: bool,
-    pub acts_per_second: f64,
+    pub bootstrap_disks: usize,
+    pub may_bootstrap: bool,
+    pub operations_per_second: f64,
     pub lease_millis: u64,
     pub poll_millis: u64,
     pub renewal_millis: u64,
@@ -93,7 +100,7 @@
     pub kept_connections: usize,
     pub start_cost: f64,
     pub late_call_cost: f64,
-    pub far_call_cost: f64,
+    pub remote_call_cost: f64,
     pub extra_ratio: f64,
     pub extra_fixed: u64,
     pub extra_window_seconds: u64,
@@ -128,7 +135,7 @@
     /// Until so long after a window's end its report counts.
     pub delay: Micros,
     /// Within this span the nodes that report may not take turns.
-    pub act_lease: Micros,
+    pub action_lease: Micros,
 }
 
 impl Settings {
@@ -160,9 +167,9 @@
     };
     flag(&mut file.fleet, &run.fleet);
     flag(&mut file.zone, &run.zone);
-    flag(&mut file.visitor_address, &run.visitor_address);
+    flag(&mut file.client_address, &run.visitor_address);
     flag(&mut file.control_address, &run.control_address);
-    flag(&mut file.colleague_address, &run.colleague_address);
+    flag(&mut file.peer_address, &run.colleague_address);
     flag(&mut file.platform_address, &run.platform_address);
     flag(&mut file.log_level, &run.log_level);
     if run.data_folder.is_some() {
@@ -173,13 +180,13 @@
     }
     if let Some(text) = &run.founding_disks {
         match text.parse() {
-            Ok(number) => file.founding_disks = Some(number),
+            Ok(number) => file.bootstrap_disks = Some(number),
             Err(_) => reasons.push(("founding_disks", format!("{text} is no whole number"))),
         }
     }
     if let Some(text) = &run.acts_per_second {
         match text.parse() {
-            Ok(number) => file.acts_per_second = Some(number),
+            Ok(number) => file.operations_per_second = Some(number),
             Err(_) => reasons.push(("acts_per_second", format!("{text} is no number"))),
         }
     }
@@ -250,7 +257,7 @@
         Some(UsageBounds {
             window,
             delay: self.seconds("usage_delay_seconds", delay_seconds, 0.5, 172_800.0),
-            act_lease: Micros::from_millis(self.number("act_lease_millis", lease, 3_000, 0, 600_000)),
+            action_lease: Micros::from_millis(self.number("act_lease_millis", lease, 3_000, 0, 600_000)),
         })
     }
 
@@ -271,14 +278,12 @@
     let mut checker = Checker { reasons: Vec::new() };
     let zone = checker.text("zone", file.zone, None);
     let fleet = checker.text("fleet", file.fleet, Some("vanelane"));
-    let colleague_address = checker.address("colleague_address", file.colleague_address);
-    if colleague_address.ip().is_unspecified()
-        && !checker.reasons.iter().any(|(f, _)| *f == "colleague_address")
-    {
+    let peer_address = checker.address("colleague_address", file.peer_address);
+    if peer_address.ip().is_unspecified() && !checker.reasons.iter().any(|(f, _)| *f == "colleague_address") {
         let reason = "must be an address that colleagues can reach, not a wildcard".to_owned();
         checker.reasons.push(("colleague_address", reason));
     }
-    if colleague_address.port() == 0 && !checker.reasons.iter().any(|(f, _)| *f == "colleague_address") {
+    if peer_address.port() == 0 && !checker.reasons.iter().any(|(f, _)| *f == "colleague_address") {
         let reason = "must name its port: it is told to colleagues as it stands".to_owned();
         checker.reasons.push(("colleague_address", reason));
     }
@@ -294,11 +299,11 @@
             log::LevelFilter::Info
         }
     };
-    let acts_per_second = file.acts_per_second.unwrap_or(80.0);
-    if !(acts_per_second > 0.0 && acts_per_second <= 1_000_000.0) {
+    let operations_per_second = file.operations_per_second.unwrap_or(80.0);
+    if !(operations_per_second > 0.0 && operations_per_second <= 1_000_000.0) {
         checker
             .reasons
-            .push(("acts_per_second", format!("{acts_per_second} is not above 0 and up to 1000000")));
+            .push(("acts_per_second", format!("{operations_per_second} is not above 0 and up to 1000000")));
     }
     let traces_sample = file.traces_sample.unwrap_or(0.01);
     if !(0.0..=1.0).contains(&traces_sample) {
@@ -329,29 +334,29 @@
     let costs = [
         ("start_cost", file.start_cost.unwrap_or(110.0)),
         ("late_call_cost", file.late_call_cost.unwrap_or(600.0)),
-        ("far_call_cost", file.far_call_cost.unwrap_or(20.0)),
+        ("far_call_cost", file.remote_call_cost.unwrap_or(20.0)),
     ];
     for (field, cost) in costs {
         if !(0.0..=1e9).contains(&cost) {
             checker.reasons.push((field, format!("{cost} is not within 0 to 1000000000")));
         }
     }
-    let [(_, start_cost), (_, late_call_cost), (_, far_call_cost)] = costs;
-    let own_name = file.node_name.unwrap_or_else(|| colleague_address.to_string());
+    let [(_, start_cost), (_, late_call_cost), (_, remote_call_cost)] = costs;
+    let own_name = file.node_name.unwrap_or_else(|| peer_address.to_string());
     let settings = Settings {
         fleet,
         node_name: checker.text("node_name", Some(own_name), None),
         zone,
-        visitor_address: checker.address("visitor_address", file.visitor_address),
+        client_address: checker.address("visitor_address", file.client_address),
         control_address: checker.address("control_address", file.control_address),
         ready_address: file.ready_address.map(|text| checker.address("ready_address", Some(text))),
-        colleague_address,
+        peer_address,
         seeds,
         data_folder: file.data_folder,
         platform_address: checker.address("platform_address", file.platform_address),
-        founding_disks: checker.number("founding_disks", file.founding_disks, 3, 1, 9) as usize,
-        may_found: file.may_found.unwrap_or(true),
-        acts_per_second,
+        bootstrap_disks: checker.number("founding_disks", file.bootstrap_disks, 3, 1, 9) as usize,
+        may_bootstrap: file.may_bootstrap.unwrap_or(true),
+        operations_per_second,
         lease_millis,
         poll_millis: checker.number("poll_millis", file.poll_millis, 500, 50, 600_000),
         renewal_millis,
@@ -367,10 +372,10 @@
         worker_threads: checker.number("worker_threads", file.worker_threads, 2, 0, 64) as usize,
         kept_connections: checker.number("kept_connections", file.kept_connections, 8, 0, 1_000) as usize,
         lists_per_second,
-        usage: checker.usage(file.usage_window_seconds, file.usage_delay_seconds, file.act_lease_millis),
+        usage: checker.usage(file.usage_window_seconds, file.usage_delay_seconds, file.action_lease_millis),
         start_cost,
         late_call_cost,
-        far_call_cost,
+        remote_call_cost,
         extra_ratio,
         extra_fixed: checker.number("extra_fixed", file.extra_fixed, 60, 0, 1_000_000),
         extra_window_seconds: checker.number("extra_window_seconds", file.extra_window_seconds, 10, 1, 3_600),
--- a/packages/vanelane/src/settings/tests.rs
+++ b/packages/vanelane/src/settings/tests.rs
@@ -36,7 +36,7 @@
     assert_eq!(parse("").expect("sound").usage, None);
     let usage = parse("usage_window_seconds = 5.0").expect("sound").usage.expect("named");
     assert_eq!((usage.window, usage.delay), (Micros::from_secs(5), Micros::from_secs(10)));
-    assert_eq!(usage.act_lease, Micros::from_millis(3_000));
+    assert_eq!(usage.action_lease, Micros::from_millis(3_000));
     let fields = |more: &str| -> Vec<&str> {
         parse(more).expect_err("refused").into_iter().map(|(field, _)| field).collect()
     };
--- a/packages/vanelane/src/settings_watch.rs
+++ b/packages/vanelane/src/settings_watch.rs
@@ -3,13 +3,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Returns once the file's bytes differ from `known`, which then holds the new ones. A file that
 /// cannot be read has not changed.
 pub async fn changed(path: &Path, known: &mut Vec<u8>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if let Ok(bytes) = std::fs::read(path)
             && bytes != *known
         {
--- a/packages/vanelane/tests/clients_that_leave.rs
+++ b/packages/vanelane/tests/client_disconnects.rs
@@ -12,7 +12,7 @@
 const BOOT_MILLIS: u64 = 1_500;
 
 #[test]
-fn a_call_whose_client_has_left_is_not_sent_to_a_cell() {
+fn a_call_whose_client_has_left_is_not_sent_to_an_instance() {
     let history = Arc::new(History::default());
     let platform = platform_that_boots(&history, BOOT_MILLIS);
     let node = start_node("client-left", platform.address());
@@ -25,10 +25,10 @@
             format!("POST {path} HTTP/1.1\r\nhost: h\r\nx-call-id: {id}\r\ncontent-length: 1\r\n\r\nx")
         };
         // Its call waits for a cell to boot; the client closes in order meanwhile.
-        let mut leaving = TcpStream::connect(node.visitors).expect("a connection");
-        leaving.write_all(request(&format!("left{path}")).as_bytes()).expect("sent");
+        let mut draining = TcpStream::connect(node.clients).expect("a connection");
+        draining.write_all(request(&format!("left{path}")).as_bytes()).expect("sent");
         std::thread::sleep(Duration::from_millis(200));
-        drop(leaving);
+        drop(draining);
         let headers = format!("x-call-id: stayed{path}\r\n");
         let (status, text) = call(&node, path, &headers, "x");
         assert_eq!(status, 200, "{path}: {text}");
@@ -37,7 +37,7 @@
         .lines()
         .into_iter()
         .filter_map(|line| match line {
-            Line::CellTook { call, .. } => Some(call),
+            Line::InstanceReceivedCall { call, .. } => Some(call),
             _ => None,
         })
         .collect();
--- a/packages/vanelane/tests/one_node.rs
+++ b/packages/vanelane/tests/one_node.rs
@@ -69,9 +69,9 @@
     assert_eq!(status, 502, "{text}");
 
     // Bad HTTP and calls that no lane takes.
-    assert_eq!(split(&exchange(node.visitors, b"GARBAGE\r\n\r\n")).0, 400);
+    assert_eq!(split(&exchange(node.clients, b"GARBAGE\r\n\r\n")).0, 400);
     let long_head = format!("GET /proof HTTP/1.1\r\nhost: h\r\nx-long: {}\r\n\r\n", "a".repeat(200_000));
-    assert_eq!(split(&exchange(node.visitors, long_head.as_bytes())).0, 431);
+    assert_eq!(split(&exchange(node.clients, long_head.as_bytes())).0, 431);
     assert_eq!(call(&node, "/proof", "", &"x".repeat(5_000_000)).0, 413);
     let (status, text) = call(&node, "/nowhere", "", "");
     assert_eq!((status, text.contains("\"outcome\":\"not_run\"")), (404, true), "{text}");
@@ -79,15 +79,17 @@
 
     let lines = history.lines();
     let runs = |call: &str| {
-        let took = |line: &&history_checker::Line| matches!(line, history_checker::Line::CellTook { call: taken, ran: true, .. } if taken == call);
+        let took = |line: &&history_checker::Line| matches!(line, history_checker::Line::InstanceReceivedCall { call: taken, ran: true, .. } if taken == call);
         lines.iter().filter(took).count()
     };
     assert_eq!((runs("c1"), runs("once-lose"), runs("once-garble"), runs("stalled")), (1, 1, 1, 1));
     assert!((2..=4).contains(&runs("again")), "{}", runs("again"));
     let loose = CheckSettings { count_refusals: false, ..CheckSettings::default() };
-    let breaches: Vec<_> =
-        check_all(&lines, &loose).into_iter().filter(|breach| !breach.seen.starts_with("again")).collect();
-    assert_eq!(breaches, []);
+    let violations: Vec<_> = check_all(&lines, &loose)
+        .into_iter()
+        .filter(|violation| !violation.seen.starts_with("again"))
+        .collect();
+    assert_eq!(violations, []);
 
     // How far the node is behind is told, by where things wait.
     let metrics = read_page(&node, "/metrics");
@@ -98,7 +100,7 @@
     assert!(metrics.contains("vanelane_newer_generation_awaited_millis 0\n"), "{metrics}");
 
     // The planned stop drops no call that is under way.
-    let visitors = node.visitors;
+    let clients = node.clients;
     let all_sent = Arc::new(Barrier::new(5));
     let callers: Vec<_> = (0..4)
         .map(|number| {
@@ -107,13 +109,13 @@
                 let request = format!(
                     "POST /proof/1 HTTP/1.1\r\nhost: h\r\nconnection: close\r\nx-call-id: last-{number}\r\ncontent-length: 1\r\n\r\nx"
                 );
-                let mut stream = TcpStream::connect(visitors).expect("a connection");
+                let mut stream = TcpStream::connect(clients).expect("a connection");
                 stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
                 stream.write_all(request.as_bytes()).expect("sent");
                 all_sent.wait();
-                let mut answer = Vec::new();
-                let _ = stream.read_to_end(&mut answer);
-                split(&answer).0
+                let mut response = Vec::new();
+                let _ = stream.read_to_end(&mut response);
+                split(&response).0
             })
         })
         .collect();
@@ -140,13 +142,13 @@
     assert_eq!(call(&node, "/proof/1", "", "x").0, 200);
     // More than the file may hold: it is not acknowledged, and calls go on.
     let prefix = format!("/{}", "x".repeat(900));
-    let lanes: Vec<String> = (0..200)
+    let routes: Vec<String> = (0..200)
         .map(|number| {
             format!("\"long-{number}\": {{\"function\": \"proof\", \"path_prefix\": \"{prefix}{number}\"}}")
         })
         .collect();
     let large =
-        format!("{{\"change_id\": \"large\", \"partial\": {{\"lanes\": {{{}}}}}}}\n", lanes.join(", "));
+        format!("{{\"change_id\": \"large\", \"partial\": {{\"lanes\": {{{}}}}}}}\n", routes.join(", "));
     let outcome = change(&node, &large);
     assert!(outcome.contains("\"outcome\":\"unknown\""), "{outcome}");
     assert_eq!(call(&node, "/proof/1", "", "x").0, 200);
@@ -199,7 +201,7 @@
     split(&exchange(node.control, request.as_bytes())).1
 }
 
-fn set_aside(folder: &std::path::Path) -> (Option<i32>, String) {
+fn quarantine(folder: &std::path::Path) -> (Option<i32>, String) {
     let output =
         vanelane().arg("set-aside-records").arg("--data-folder").arg(folder).output().expect("the program");
     let text = [output.stdout, output.stderr].concat();
@@ -222,7 +224,7 @@
     let folder = node.folder.clone();
     // Its drop would remove the folder.
     std::mem::forget(node);
-    assert_eq!(set_aside(&folder).0, Some(1), "a sound file stays");
+    assert_eq!(quarantine(&folder).0, Some(1), "a sound file stays");
     let records = folder.join("records");
     let mut damaged_bytes = std::fs::read(&records).expect("records");
     // A byte of the salt in the head, which was synced before the file got its name.
@@ -240,13 +242,13 @@
     assert!(unconfirmed.contains("no majority") && !unconfirmed.contains("generation"), "{unconfirmed}");
     assert!(read_page(&node, "/control/decisions").contains("\"disk_unusable\""));
     assert_eq!(std::fs::read(&records).expect("records"), damaged_bytes);
-    let (code, text) = set_aside(&folder);
+    let (code, text) = quarantine(&folder);
     assert!(code == Some(1) && text.contains("another process holds the data folder"), "{text}");
     node.child.kill().expect("ended");
     node.child.wait().expect("ended");
     std::mem::forget(node);
 
-    let (code, text) = set_aside(&folder);
+    let (code, text) = quarantine(&folder);
     assert!(code == Some(0) && text.contains("records.damaged-0"), "{text}");
     assert_eq!(std::fs::read(folder.join("records.damaged-0")).expect("kept"), damaged_bytes);
     let node = start_node_in(vanelane(), folder, platform.address(), "founds nothing");
@@ -256,13 +258,13 @@
 }
 
 /// Answers on one connection that is kept, until it ends.
-fn statuses(answers: &[u8]) -> Vec<u16> {
-    let text = String::from_utf8_lossy(answers).into_owned();
+fn statuses(responses: &[u8]) -> Vec<u16> {
+    let text = String::from_utf8_lossy(responses).into_owned();
     text.split("HTTP/1.1 ").skip(1).filter_map(|part| part.get(..3)?.parse().ok()).collect()
 }
 
 #[test]
-fn what_a_visitor_sends_in_one_piece_or_breaks_off_is_told_apart() {
+fn what_a_client_sends_in_one_piece_or_breaks_off_is_told_apart() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let node = start_node("pieces", platform.address());
@@ -282,49 +284,49 @@
     // Pipelined: each gets its own answer, in order.
     let pipelined =
         ["p1", "p2", "p3"].map(|id| post("/proof/1", id, if id == "p3" { last } else { "" }, "x")).concat();
-    let answers = exchange(node.visitors, pipelined.as_bytes());
-    let text = String::from_utf8_lossy(&answers).into_owned();
-    assert_eq!(statuses(&answers), [200, 200, 200], "{text}");
+    let responses = exchange(node.clients, pipelined.as_bytes());
+    let text = String::from_utf8_lossy(&responses).into_owned();
+    assert_eq!(statuses(&responses), [200, 200, 200], "{text}");
     let places = ["p1", "p2", "p3"].map(|id| text.find(&format!("{{\"call\":\"{id}\"")).expect("answered"));
     assert!(places.is_sorted(), "{text}");
     // A request inside a body is a body, whether the outer one is answered, unknown, or too long.
     let smuggled = post("/proof/1", "smuggled", "", "x");
     let outer = post("/proof/1", "outer", last, &smuggled);
-    assert_eq!(statuses(&exchange(node.visitors, outer.as_bytes())), [200]);
+    assert_eq!(statuses(&exchange(node.clients, outer.as_bytes())), [200]);
     let unknown = post("/nowhere", "unknown", "", &smuggled) + &post("/proof/1", "after", last, "x");
-    let seen = statuses(&exchange(node.visitors, unknown.as_bytes()));
+    let seen = statuses(&exchange(node.clients, unknown.as_bytes()));
     assert!(seen == [404] || seen == [404, 200], "{seen:?}");
     let long_body = format!("{}{smuggled}", "x".repeat(400));
     let long = post("/proof/1", "long", "", &long_body);
-    assert_eq!(statuses(&exchange(node.visitors, long.as_bytes())), [413]);
+    assert_eq!(statuses(&exchange(node.clients, long.as_bytes())), [413]);
     // Two tellings of a length are none.
     let both = "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: both\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(statuses(&exchange(node.visitors, format!("{both}{smuggled}").as_bytes())), [400]);
+    assert_eq!(statuses(&exchange(node.clients, format!("{both}{smuggled}").as_bytes())), [400]);
     let twice = "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: twice\r\ncontent-length: 4\r\ncontent-length: 5\r\n\r\nxxxxx";
-    assert_eq!(statuses(&exchange(node.visitors, format!("{twice}{smuggled}").as_bytes())), [400]);
+    assert_eq!(statuses(&exchange(node.clients, format!("{twice}{smuggled}").as_bytes())), [400]);
     // A body that is broken off reaches no cell.
     for broken in [
         "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: broken\r\ncontent-length: 9\r\n\r\nhalf",
         "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: broken\r\ntransfer-encoding: chunked\r\n\r\n9\r\nhalf",
     ] {
-        let mut stream = TcpStream::connect(node.visitors).expect("a connection");
+        let mut stream = TcpStream::connect(node.clients).expect("a connection");
         stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
         stream.write_all(broken.as_bytes()).expect("sent");
         stream.shutdown(std::net::Shutdown::Write).expect("closed");
-        let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer);
-        assert!(!statuses(&answer).contains(&200), "{}", String::from_utf8_lossy(&answer));
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
+        assert!(!statuses(&response).contains(&200), "{}", String::from_utf8_lossy(&response));
     }
     // Heads over the configured limit.
     let long_head =
         post("/proof/1", "head", &format!("x-long: {}\r\nconnection: close\r\n", "x".repeat(600)), "");
-    assert_eq!(statuses(&exchange(node.visitors, long_head.as_bytes())), [431]);
+    assert_eq!(statuses(&exchange(node.clients, long_head.as_bytes())), [431]);
 
     let taken: Vec<String> = history
         .lines()
         .iter()
         .filter_map(|line| match line {
-            history_checker::Line::CellTook { call, .. } => Some(call.clone()),
+            history_checker::Line::InstanceReceivedCall { call, .. } => Some(call.clone()),
             _ => None,
         })
         .collect();
@@ -351,12 +353,12 @@
         addresses
     });
     assert_eq!(attempts, 2);
-    assert_ne!(node.visitors, taken.local_addr().expect("bound"));
+    assert_ne!(node.clients, taken.local_addr().expect("bound"));
 }
 
 /// Clients take up connections that have rested for up to four fifths of the time that they are told.
 #[test]
-fn an_idle_connection_is_kept_for_the_time_that_visitors_are_told() {
+fn an_idle_connection_is_kept_for_the_time_that_clients_are_told() {
     const IDLE_MILLIS: u64 = 500;
     let history = Arc::new(History::default());
     let platform = platform(&history);
@@ -374,19 +376,19 @@
     assert!(outcome.contains("\"outcome\":\"accepted\""), "{outcome}");
     // The first call starts the cell, so that the others are quick.
     assert_eq!(call(&node, "/proof/1", "", "x").0, 200);
-    let mut stream = TcpStream::connect(node.visitors).expect("a connection");
+    let mut stream = TcpStream::connect(node.clients).expect("a connection");
     for _ in 0..5 {
         let request = "POST /proof/1 HTTP/1.1\r\nhost: h\r\ncontent-length: 1\r\n\r\nx";
         stream.write_all(request.as_bytes()).expect("sent");
         stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
-        let mut answer = Vec::new();
-        while !answer.ends_with(b"\"end\":true}") {
+        let mut response = Vec::new();
+        while !response.ends_with(b"\"end\":true}") {
             let mut piece = [0; 4096];
             let length = stream.read(&mut piece).expect("an answer");
-            assert!(length > 0, "closed amid an answer: {}", String::from_utf8_lossy(&answer));
-            answer.extend_from_slice(&piece[..length]);
+            assert!(length > 0, "closed amid an answer: {}", String::from_utf8_lossy(&response));
+            response.extend_from_slice(&piece[..length]);
         }
-        assert_eq!(statuses(&answer), [200]);
+        assert_eq!(statuses(&response), [200]);
         // Nothing comes in that time, not even the connection's end.
         let rest = Duration::from_millis(IDLE_MILLIS * 4 / 5);
         stream.set_read_timeout(Some(rest)).expect("a limit");
--- a/packages/vanelane/tests/planned_stop.rs
+++ b/packages/vanelane/tests/planned_stop.rs
@@ -39,7 +39,7 @@
 }
 
 fn connected(node: &RunningNode) -> TcpStream {
-    let stream = TcpStream::connect(node.visitors).expect("a connection");
+    let stream = TcpStream::connect(node.clients).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
     stream
 }
@@ -51,13 +51,13 @@
 
 /// All that comes on a connection until it ends.
 fn rest_of(mut stream: TcpStream) -> (u16, String) {
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    split(&answer)
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    split(&response)
 }
 
 #[test]
-fn a_stop_answers_calls_that_wait_for_a_ticket() {
+fn a_stop_answers_calls_that_wait_for_a_permit() {
     for worker_threads in [0, 2] {
         let history = Arc::new(History::default());
         let platform = platform_that_boots(&history, BOOTS_FOREVER_MILLIS);
--- a/packages/vanelane/tests/running_node/mod.rs
+++ b/packages/vanelane/tests/running_node/mod.rs
@@ -8,11 +8,11 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_doubles::{FunctionStandIn, Misbehaviour, PlatformSettings, PlatformStandIn};
+use test_doubles::{FakeFunction, FakePlatform, Misbehaviour, PlatformSettings};
 
 pub struct RunningNode {
     pub child: Child,
-    pub visitors: SocketAddr,
+    pub clients: SocketAddr,
     pub control: SocketAddr,
     pub folder: std::path::PathBuf,
 }
@@ -29,28 +29,24 @@
     Command::new(env!("CARGO_BIN_EXE_vanelane"))
 }
 
-pub fn platform(history: &Arc<History>) -> PlatformStandIn {
+pub fn platform(history: &Arc<History>) -> FakePlatform {
     platform_that_boots(history, 100)
 }
 
 /// A platform whose cells take this long from their start to their first connection.
-pub fn platform_that_boots(history: &Arc<History>, boot_millis: u64) -> PlatformStandIn {
-    let behaviour = FunctionStandIn {
-        boot_millis,
-        calls_at_once: 4,
-        work_millis: 5,
-        misbehaviour: Misbehaviour::default(),
-    };
+pub fn platform_that_boots(history: &Arc<History>, boot_millis: u64) -> FakePlatform {
+    let behaviour =
+        FakeFunction { boot_millis, calls_at_once: 4, work_millis: 5, misbehaviour: Misbehaviour::default() };
     let settings = PlatformSettings {
         workers: 2,
         worker_memory_mb: 2_000,
-        acts_per_second: 80.0,
+        operations_per_second: 80.0,
         list_late: Duration::from_millis(50),
         functions: BTreeMap::from([("proof".to_owned(), behaviour.clone()), ("again".to_owned(), behaviour)]),
-        leave_within: Duration::from_millis(500),
+        drain_within: Duration::from_millis(500),
     };
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    PlatformStandIn::start(listen, settings, history.clone(), Instant::now()).expect("a platform")
+    FakePlatform::start(listen, settings, history.clone(), Instant::now()).expect("a platform")
 }
 
 /// Starts a lone node and waits for its own word that it is ready.
@@ -90,8 +86,8 @@
         let addresses = addresses_of(attempt);
         match started(&program, &folder, platform, awaited, addresses) {
             Ok(node) => return node,
-            Err(told) if told.contains(ADDRESS_TAKEN) => {}
-            Err(told) => panic!("the node ended before it told {awaited}; it told: {told}"),
+            Err(reported) if reported.contains(ADDRESS_TAKEN) => {}
+            Err(reported) => panic!("the node ended before it told {awaited}; it told: {reported}"),
         }
     }
     panic!("{START_ATTEMPTS} times in a row a port was taken before the node bound it");
@@ -131,21 +127,21 @@
         .expect("the program");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
     let mut line = String::new();
-    let mut told = String::new();
+    let mut reported = String::new();
     while !line.contains(awaited) {
         line.clear();
         if log.read_line(&mut line).expect("a log") == 0 {
             let _ = child.wait();
-            return Err(told);
+            return Err(reported);
         }
-        told.push_str(&line);
+        reported.push_str(&line);
     }
     // The rest of the log is read away, so that the node never waits on a full pipe.
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut log, &mut std::io::sink());
     });
     let folder = folder.to_path_buf();
-    Ok(RunningNode { child, visitors: addresses[0], control: addresses[1], folder })
+    Ok(RunningNode { child, clients: addresses[0], control: addresses[1], folder })
 }
 
 /// One raw exchange; everything up to the end of the connection.
@@ -153,9 +149,9 @@
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
     stream.write_all(request).expect("sent");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    answer
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    response
 }
 
 pub fn call(node: &RunningNode, path: &str, headers: &str, body: &str) -> (u16, String) {
@@ -163,11 +159,11 @@
         "POST {path} HTTP/1.1\r\nhost: here\r\nconnection: close\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    split(&exchange(node.visitors, request.as_bytes()))
+    split(&exchange(node.clients, request.as_bytes()))
 }
 
-pub fn split(answer: &[u8]) -> (u16, String) {
-    let text = String::from_utf8_lossy(answer).into_owned();
+pub fn split(response: &[u8]) -> (u16, String) {
+    let text = String::from_utf8_lossy(response).into_owned();
     let status = text.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
     (status, text)
 }
