--- a/packages/function_scheduler/src/scheduler/turns.rs
+++ b/packages/function_scheduler/src/scheduler/turns.rs
@@ -56,9 +56,9 @@
     }
 
     /// Whose turn it is among these, by place, if answers take until then.
-    pub(super) fn first<'asks>(
+    pub(super) fn first<'requests>(
         &self,
-        waiting: impl Iterator<Item = (usize, &'asks QueuedRequest)>,
+        waiting: impl Iterator<Item = (usize, &'requests QueuedRequest)>,
         answered_at: Micros,
     ) -> Option<usize> {
         let first = match self.is_first_come {
@@ -71,11 +71,11 @@
     }
 
     /// All of them in the order in which they will be served.
-    pub(super) fn in_order<'asks>(
+    pub(super) fn in_order<'requests>(
         &self,
-        queue: &'asks VecDeque<QueuedRequest>,
+        queue: &'requests VecDeque<QueuedRequest>,
         answered_at: Micros,
-    ) -> Vec<&'asks QueuedRequest> {
+    ) -> Vec<&'requests QueuedRequest> {
         // Whole keys are sorted, since machines are small and lists are long when it matters.
         let requests = queue.iter().enumerate();
         let mut by_coming: Vec<(u32, usize)> =
--- a/packages/gateway/src/gateway/admission.rs
+++ b/packages/gateway/src/gateway/admission.rs
@@ -50,11 +50,11 @@
 
 /// How a configuration lets a call in.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Admission<'lanes> {
+pub(super) struct Admission<'routes> {
     /// The lane that takes it.
-    pub(super) route: &'lanes RouteEntry,
+    pub(super) route: &'routes RouteEntry,
     /// Whose call it is; none where the lane needs no key.
-    pub(super) tenant: Option<&'lanes TenantEntry>,
+    pub(super) tenant: Option<&'routes TenantEntry>,
 }
 
 impl Admission<'_> {
@@ -78,7 +78,10 @@
         }
     }
 
-    pub(super) fn admission<'lanes>(&self, routes: &'lanes RouteTable) -> Result<Admission<'lanes>, Denial> {
+    pub(super) fn admission<'routes>(
+        &self,
+        routes: &'routes RouteTable,
+    ) -> Result<Admission<'routes>, Denial> {
         let route = self.place.find(routes).ok_or(Denial::NoRoute)?;
         if !routes.needs_key(route) {
             return Ok(Admission { route, tenant: None });
--- a/packages/gateway/src/gateway/request_facts.rs
+++ b/packages/gateway/src/gateway/request_facts.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(super) fn find<'lanes>(&self, routes: &'lanes RouteTable) -> Option<&'lanes RouteEntry> {
+    pub(super) fn find<'routes>(&self, routes: &'routes RouteTable) -> Option<&'routes RouteEntry> {
         routes.find(&self.method, self.host.as_deref(), &self.path)
     }
 }
--- a/packages/history_checker/src/checkers.rs
+++ b/packages/history_checker/src/checkers.rs
@@ -163,7 +163,7 @@
 }
 
 /// Where a path's calls go: the longest prefix of whole segments wins.
-fn route_of<'lanes>(routes: &'lanes BTreeMap<String, String>, path: &str) -> Option<&'lanes str> {
+fn route_of<'routes>(routes: &'routes BTreeMap<String, String>, path: &str) -> Option<&'routes str> {
     let mut prefix = path.trim_end_matches('/');
     loop {
         if let Some(function) = routes.get(prefix) {
--- a/packages/node_protocol/src/function_leadership/handover.rs
+++ b/packages/node_protocol/src/function_leadership/handover.rs
@@ -270,8 +270,8 @@
             }
             is_kept
         });
-        for (requester, request_id) in denied {
-            self.deny(requester, &request_id);
+        for (requester, request) in denied {
+            self.deny(requester, &request);
         }
     }
 }
