--- a/packages/usage_reports/src/lib.rs
+++ b/packages/usage_reports/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reports of usage: how many calls of each tenant cells began, by windows of true time.
+//! Usage reports: how many calls of each tenant the instances began, counted in windows of wall-clock time.
 //!
-//! All parts are pure. [`UsageCounter`] counts at one node; [`UsageAggregator`] folds what nodes tell together at the
-//! collector; [`FleetClock`] is the time that windows are told apart by; [`UsageRegister`] is the replicated
-//! value that says which counts were chosen for a window, and who sends them under which fence.
+//! This package does no I/O. [`UsageCounter`] counts at one node; [`UsageAggregator`] merges the counts of
+//! all nodes at the collector; [`FleetClock`] is the agreed time that assigns calls to windows;
+//! [`UsageRegister`] is the replicated value that holds the counts chosen for each window, and the holder and
+//! fence under which they are sent.
 
 mod fleet_clock;
 mod usage_aggregator;
@@ -16,18 +17,19 @@
 
 use monotonic_clock::Micros;
 
-/// The length of the windows. Example: `WindowLength(Micros::from_secs(5)).number_at(Micros(0)) == 0`.
+/// The length of the usage windows. Example: `WindowLength(Micros::from_secs(5)).number_at(Micros(0)) == 0`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowLength(pub Micros);
 
 impl WindowLength {
-    /// The window that an instant since the start of 1970 is in.
+    /// The number of the window that contains an instant, given as time since the Unix epoch.
     /// Example: `length.number_at(Micros::from_secs(11)) == 2` for windows of five seconds.
     pub fn number_at(self, unix: Micros) -> u64 {
         unix.0 / self.0.0.max(1)
     }
 
-    /// When a window ends. Example: `length.end_of(2) == Micros::from_secs(15)` for windows of five seconds.
+    /// The end of a window, as time since the Unix epoch.
+    /// Example: `length.end_of(2) == Micros::from_secs(15)` for windows of five seconds.
     pub fn end_of(self, window: u64) -> Micros {
         Micros(self.0.0.saturating_mul(window.saturating_add(1)))
     }
--- a/packages/usage_reports/src/tests.rs
+++ b/packages/usage_reports/src/tests.rs
@@ -8,12 +8,12 @@
     UsageWindow { window, counts: List(vec![TenantCount { tenant: "acme".into(), count: calls }]) }
 }
 
-fn reported(since: u64, sequence: u64, clock: Micros, windows: Vec<UsageWindow>) -> UsageDelta {
+fn update(since: u64, sequence: u64, clock: Micros, windows: Vec<UsageWindow>) -> UsageDelta {
     UsageDelta { since, sequence, clock, windows: List(windows) }
 }
 
 #[test]
-fn windows_begin_at_whole_multiples_since_1970() {
+fn windows_are_aligned_to_the_unix_epoch() {
     let length = WindowLength(Micros::from_secs(5));
     assert_eq!(length.number_at(Micros(4_999_999)), 0);
     assert_eq!(length.number_at(Micros(5_000_000)), 1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn counts_go_up_and_are_taken_back() {
+fn a_removed_call_is_reported_as_a_changed_count() {
     let (mut usage_counter, tenant) = (UsageCounter::default(), Arc::from("acme"));
     assert!(
         usage_counter.add(7, &tenant, NOW)
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn nothing_is_counted_for_decided_windows() {
+fn a_call_is_not_counted_in_a_decided_window() {
     let (mut usage_counter, tenant) = (UsageCounter::default(), Arc::from("acme"));
     usage_counter.add(7, &tenant, NOW);
     usage_counter.decided_below(8);
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn repeated_and_reordered_tells_change_nothing() {
+fn repeated_and_reordered_updates_change_no_counts() {
     let mut usage_aggregator = UsageAggregator::default();
-    let first = reported(0, 3, Micros(30), vec![report(7, 3)]);
-    let second = reported(3, 4, Micros(40), vec![report(7, 2)]);
+    let first = update(0, 3, Micros(30), vec![report(7, 3)]);
+    let second = update(3, 4, Micros(40), vec![report(7, 2)]);
     assert_eq!(usage_aggregator.apply(1, first.clone(), NOW), 3);
     assert_eq!(usage_aggregator.apply(1, second.clone(), NOW), 4);
     assert_eq!(usage_aggregator.apply(1, first, NOW), 4);
@@ -59,14 +59,15 @@
     assert_eq!(usage_aggregator.counts(7), report(7, 2).counts);
 }
 
-/// A collector that took over would count only what changed since its predecessor heard of it.
+/// After a change of collector, a delta would leave out everything counted before the new collector's first
+/// update.
 #[test]
-fn a_collector_that_lacks_counts_asks_for_all() {
+fn a_collector_that_misses_counts_requests_all_of_them() {
     let mut usage_aggregator = UsageAggregator::default();
-    assert_eq!(usage_aggregator.apply(1, reported(9, 12, Micros(40), vec![report(7, 2)]), NOW), 0);
+    assert_eq!(usage_aggregator.apply(1, update(9, 12, Micros(40), vec![report(7, 2)]), NOW), 0);
     assert_eq!(usage_aggregator.counts(7), List(Vec::new()));
     assert!(!usage_aggregator.is_complete(&[1], Micros(40)));
-    assert_eq!(usage_aggregator.apply(1, reported(0, 12, Micros(40), vec![report(7, 5)]), NOW), 12);
+    assert_eq!(usage_aggregator.apply(1, update(0, 12, Micros(40), vec![report(7, 5)]), NOW), 12);
     assert!(
         usage_aggregator.is_complete(&[1], Micros(40)) && !usage_aggregator.is_complete(&[1, 2], Micros(40))
     );
@@ -74,10 +75,10 @@
 }
 
 #[test]
-fn counts_of_a_node_that_is_gone_are_kept() {
+fn counts_of_a_node_that_is_gone_are_kept_until_decided() {
     let mut usage_aggregator = UsageAggregator::default();
-    usage_aggregator.apply(1, reported(0, 1, Micros(1), vec![report(7, 3)]), NOW);
-    usage_aggregator.apply(2, reported(0, 1, Micros(1), vec![report(7, 4), report(8, 1)]), NOW);
+    usage_aggregator.apply(1, update(0, 1, Micros(1), vec![report(7, 3)]), NOW);
+    usage_aggregator.apply(2, update(0, 1, Micros(1), vec![report(7, 4), report(8, 1)]), NOW);
     assert_eq!(usage_aggregator.counts(7), report(7, 7).counts);
     usage_aggregator.forget(8, Micros(0));
     assert_eq!(
@@ -88,9 +89,9 @@
     assert_eq!(usage_aggregator.counts(8), List(Vec::new()));
 }
 
-/// A clock that jumps by seconds on a minority of the machines must not move the fleet's windows.
+/// A minority of machines whose clocks jump by seconds must not shift the fleet's usage windows.
 #[test]
-fn a_minority_of_wrong_clocks_changes_nothing() {
+fn a_minority_of_wrong_clocks_does_not_move_the_fleet_clock() {
     let right = Micros::from_secs(1_700_000_000);
     let mut clock = FleetClock::default();
     clock.set_own(right + Micros::from_secs(9), NOW);
@@ -116,23 +117,23 @@
 }
 
 #[test]
-fn a_fence_goes_with_one_name_and_windows_only_rise() {
+fn a_fence_belongs_to_one_holder_and_windows_only_increase() {
     let bootstrapped = UsageRegister::bootstrapped("a", 1, 7, Micros::from_secs(100));
     let first = bootstrapped.with_decided("a", 1, vec![report(7, 1)], 0);
-    let again = first.with_decided("a", 2, vec![report(7, 9), report(8, 2)], 8);
-    assert_eq!((bootstrapped.fence, again.fence, again.process), (100, 100, 2));
-    assert_eq!(again.reports, List(vec![report(8, 2)]));
-    let taken = again.with_decided("b", 3, vec![], 0);
-    assert_eq!((taken.fence, taken.next_window, taken.delivered_below), (101, 9, 8));
-    let back = taken.with_decided("a", 2, vec![report(12, 1), report(11, 1)], 0);
-    assert_eq!((back.fence, back.next_window), (102, 13));
-    assert_eq!(back.undelivered(0), Some(&report(8, 2)));
-    assert_eq!(back.undelivered(9), Some(&report(12, 1)));
-    assert!(back.raised(2, Micros(0)).fence > back.fence);
+    let same_holder = first.with_decided("a", 2, vec![report(7, 9), report(8, 2)], 8);
+    assert_eq!((bootstrapped.fence, same_holder.fence, same_holder.process), (100, 100, 2));
+    assert_eq!(same_holder.reports, List(vec![report(8, 2)]));
+    let other_holder = same_holder.with_decided("b", 3, vec![], 0);
+    assert_eq!((other_holder.fence, other_holder.next_window, other_holder.delivered_below), (101, 9, 8));
+    let first_holder_again = other_holder.with_decided("a", 2, vec![report(12, 1), report(11, 1)], 0);
+    assert_eq!((first_holder_again.fence, first_holder_again.next_window), (102, 13));
+    assert_eq!(first_holder_again.undelivered(0), Some(&report(8, 2)));
+    assert_eq!(first_holder_again.undelivered(9), Some(&report(12, 1)));
+    assert!(first_holder_again.raised(2, Micros(0)).fence > first_holder_again.fence);
 }
 
 #[test]
-fn the_register_keeps_the_newest_reports_and_comes_back_whole() {
+fn the_register_keeps_the_newest_reports_and_decodes_to_the_same_value() {
     let bootstrapped = UsageRegister::bootstrapped("a", 1, 0, Micros(0));
     let full = bootstrapped.with_decided("a", 1, (0..20).map(|window| report(window, 1)).collect(), 0);
     assert_eq!(full.reports.0.len(), REPORTS_KEPT);
@@ -141,11 +142,12 @@
     assert_eq!(UsageRegister::decode(&Bytes::default()), None);
 }
 
-/// Counts of a process that died were lost when the collector that held them gave way to another.
+/// Counts of a process that had died were lost when their collector was replaced: only that collector held
+/// them.
 #[test]
-fn counts_of_a_node_that_is_gone_are_told_on() {
+fn counts_of_a_node_that_is_gone_are_forwarded_to_a_new_collector() {
     let (mut before, mut after) = (UsageAggregator::default(), UsageAggregator::default());
-    before.apply(1, reported(0, 4, Micros(30), vec![report(7, 3)]), NOW);
+    before.apply(1, update(0, 4, Micros(30), vec![report(7, 3)]), NOW);
     assert_eq!(before.reporters().collect::<Vec<_>>(), [(1, NOW)]);
     let forwarded = before.reported_by(1).expect("held");
     assert_eq!(after.apply(1, forwarded.clone(), NOW), 4);
