--- a/packages/function_scheduler/src/fallback_scheduler.rs
+++ b/packages/function_scheduler/src/fallback_scheduler.rs
@@ -5,94 +5,100 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A cell that the platform lists, not leaving.
+/// An instance that the platform lists as not draining.
 /// Example: `FallbackInstance { id: "c1".into(), address, is_known: true }`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FallbackInstance {
     /// The platform's id.
     pub id: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Whether a steward told that it runs; another one may still boot.
+    /// Whether a leader reported it as running; otherwise it may still be booting.
     pub is_known: bool,
 }
 
-/// An ask that the deputy may grant. Example: `FallbackRequest { permit_id: 4, function: "proof", .. }`.
+/// A permit request for the fallback scheduler.
+/// Example: `FallbackRequest { permit_id: 4, function: "proof", .. }`.
 #[derive(Clone, Copy, Debug)]
 pub struct FallbackRequest<'a> {
-    /// The number that the ticket gets.
+    /// The id for the permit.
     pub permit_id: u64,
-    /// Its function.
+    /// The function to call.
     pub function: &'a str,
     /// Whether the call was dispatched before.
     pub is_extra: bool,
-    /// The cell that its last dispatch failed on.
+    /// The instance on which the last dispatch failed.
     pub avoid: &'a str,
-    /// When the ticket runs out.
+    /// When the permit expires.
     pub ends_at: Micros,
 }
 
-/// Tickets for one function while its steward does not answer: within a quarter of what each cell
-/// that is known to run may run, more as calls are answered, and backing off on the first turn-away. A
-/// cell that the platform lists and nobody knows to run gets one call at a time, once the known ones
-/// have no room; if that call is answered it is known. It starts and stops nothing.
+/// Grants permits for one function while its leader does not respond. Each instance known to run is used up
+/// to a quarter of its concurrency limit, and further as calls succeed; the first busy refusal makes the
+/// scheduler back off. A listed instance that is not known to run gets one call at a time once the known ones
+/// have no room, and counts as known after a response. Instances are never started or stopped here.
 ///
 /// Example: `fallback.grant(own, request, &instances, 8, now)`.
 #[derive(Debug)]
 pub struct FallbackScheduler {
     open: BTreeMap<u64, (String, Micros)>,
-    /// Cells that answered this deputy, and cells not to be tried before a time.
-    proved: BTreeMap<String, Micros>,
+    /// When each instance last responded to this scheduler's calls, and until when failed instances are
+    /// skipped.
+    last_responses: BTreeMap<String, Micros>,
     suspected_until: BTreeMap<String, Micros>,
     backed_off_until: Micros,
-    /// How long the next turn-away backs off.
-    back_off: Option<Micros>,
-    /// Calls at once over all cells since a turn-away, growing with each answer; none before one.
-    cap: Option<f64>,
-    /// Answers since the last turn-away: as long as none comes, cells have more room than a quarter.
+    /// The duration of the next back-off after a busy refusal.
+    next_backoff: Option<Micros>,
+    /// Limit on concurrent calls over all instances since a busy refusal, raised with each response; none
+    /// before the first refusal.
+    total_limit: Option<f64>,
+    /// Responses since the last busy refusal. Without refusals, instances have room for more than a quarter
+    /// of their limit.
     responses: u32,
-    extras: FallbackRetryBudget,
+    retries: FallbackRetryBudget,
 }
 
-const BACK_OFF: Micros = Micros::from_secs(2);
-const LONGEST_BACK_OFF: Micros = Micros::from_secs(16);
-/// So many answers let one call more in after a turn-away.
-const RESPONSES_FOR_ONE_MORE: f64 = 8.0;
-/// So many answers without a turn-away let each cell have one call more, up to half.
-const RESPONSES_FOR_A_CALL_MORE: u32 = 48;
-/// A cell that was tried in vain is left alone for so long.
+const FIRST_BACKOFF: Micros = Micros::from_secs(2);
+const MAX_BACKOFF: Micros = Micros::from_secs(16);
+/// Responses needed to raise the limit over all instances by one call after a busy refusal.
+const RESPONSES_PER_TOTAL_LIMIT_STEP: f64 = 8.0;
+/// Responses without a busy refusal needed to raise each instance's limit by one call, up to half of its
+/// concurrency.
+const RESPONSES_PER_INSTANCE_LIMIT_STEP: u32 = 48;
+/// How long an instance is skipped after a failed call.
 const TRIAL_PAUSE: Micros = Micros::from_millis(500);
-/// What a cell's answer proves lasts as long as no failure speaks against it, and at the most so long.
-const PROVED_SPAN: Micros = Micros::from_secs(60);
-/// Extra dispatches of one deputy in a window where no part was told.
-const RETRY_SHARE: u32 = 3;
+/// How long a response counts as proof that an instance runs, unless a failure comes first.
+const PROOF_RETENTION: Micros = Micros::from_secs(60);
+/// Retries of one fallback scheduler within a window until a share is set.
+const DEFAULT_RETRY_SHARE: u32 = 3;
 
 impl Default for FallbackScheduler {
     fn default() -> FallbackScheduler {
         FallbackScheduler {
             open: BTreeMap::new(),
-            proved: BTreeMap::new(),
+            last_responses: BTreeMap::new(),
             suspected_until: BTreeMap::new(),
             backed_off_until: Micros(0),
-            back_off: None,
-            cap: None,
+            next_backoff: None,
+            total_limit: None,
             responses: 0,
-            extras: FallbackRetryBudget::new(RETRY_SHARE as usize, RetryLimits::default().span()),
+            retries: FallbackRetryBudget::new(DEFAULT_RETRY_SHARE as usize, RetryLimits::default().span()),
         }
     }
 }
 
 impl FallbackScheduler {
-    /// The extra dispatches that this deputy may grant: its node's part of the bound, and none before
-    /// a time. Example: `fallback.set_retry_share(bound.fallback_share(10), bound.span(), started_at + bound.span())`.
+    /// Sets the retries this fallback scheduler may grant within a span (its node's share of the limit), and
+    /// the time before which it grants none.
+    /// Example: `fallback.set_retry_share(limits.fallback_share(10), limits.span(), started_at + limits.span())`.
     pub fn set_retry_share(&mut self, share: usize, span: Micros, opens_at: Micros) {
-        self.extras.share = share;
-        self.extras.span = span;
-        self.extras.opens_at = opens_at;
+        self.retries.share = share;
+        self.retries.span = span;
+        self.retries.opens_at = opens_at;
     }
 
-    /// Grants a ticket if a cell has room under the reduced limit.
-    /// Example: `fallback.grant(..) == None` right after a turn-away.
+    /// Grants a permit if an instance has room under the reduced limit.
+    /// Example: `fallback.grant(..) == None` right after a busy refusal.
     pub fn grant(
         &mut self,
         own: NodeId,
@@ -103,28 +109,29 @@
     ) -> Option<Permit> {
         self.open.retain(|_, (_, permit_end)| now < *permit_end);
         self.suspected_until.retain(|_, until| now < *until);
-        self.proved.retain(|_, proved_at| now < *proved_at + PROVED_SPAN);
-        let is_capped = self.cap.is_some_and(|cap| self.open.len() as f64 >= cap.floor());
-        if now < self.backed_off_until || is_capped {
+        self.last_responses.retain(|_, responded_at| now < *responded_at + PROOF_RETENTION);
+        let is_at_total_limit =
+            self.total_limit.is_some_and(|total_limit| self.open.len() as f64 >= total_limit.floor());
+        if now < self.backed_off_until || is_at_total_limit {
             return None;
         }
         let in_flight = |instance: &str| {
             self.open.values().filter(|(open_instance, _)| open_instance == instance).count()
         };
-        let grown = self.responses / RESPONSES_FOR_A_CALL_MORE;
-        let limit = (calls_at_once / 4 + grown).min(calls_at_once / 2).max(1) as usize;
+        let limit_increase = self.responses / RESPONSES_PER_INSTANCE_LIMIT_STEP;
+        let limit = (calls_at_once / 4 + limit_increase).min(calls_at_once / 2).max(1) as usize;
         let (.., picked_instance) = instances
             .iter()
             .filter(|instance| {
                 instance.id != request.avoid && !self.suspected_until.contains_key(&instance.id)
             })
             .map(|instance| {
-                let is_known = instance.is_known || self.proved.contains_key(&instance.id);
+                let is_known = instance.is_known || self.last_responses.contains_key(&instance.id);
                 (!is_known, in_flight(&instance.id), instance)
             })
             .filter(|(is_trial, count, _)| *count < if *is_trial { 1 } else { limit })
             .min_by_key(|(is_trial, count, instance)| (*is_trial, *count, instance.id.clone()))?;
-        if request.is_extra && !self.extras.spend(now) {
+        if request.is_extra && !self.retries.spend(now) {
             return None;
         }
         self.open.insert(request.permit_id, (picked_instance.id.clone(), request.ends_at));
@@ -138,26 +145,28 @@
         })
     }
 
-    /// Takes a ticket back. Example: `fallback.returned(permit.id, RAN, now)`.
+    /// Records that a permit was returned, with the outcome of its call.
+    /// Example: `fallback.returned(permit.id, RAN, now)`.
     pub fn returned(&mut self, permit_id: u64, outcome: u8, now: Micros) {
         let Some((instance, _)) = self.open.remove(&permit_id) else { return };
         match outcome {
             RAN => {
-                self.proved.insert(instance, now);
-                self.cap = self.cap.map(|cap| cap + 1.0 / RESPONSES_FOR_ONE_MORE);
+                self.last_responses.insert(instance, now);
+                self.total_limit =
+                    self.total_limit.map(|total_limit| total_limit + 1.0 / RESPONSES_PER_TOTAL_LIMIT_STEP);
                 self.responses = self.responses.saturating_add(1);
             }
             NOT_RUN | UNKNOWN => {
-                self.proved.remove(&instance);
+                self.last_responses.remove(&instance);
                 self.suspected_until.insert(instance, now + TRIAL_PAUSE);
             }
-            // Somebody else fills the cells: another deputy, or a steward beyond a cut. Those that
-            // went out together count once.
+            // Other schedulers use these instances as well: another fallback, or a leader on the other side
+            // of a partition. Refusals of calls dispatched before the back-off count once.
             REFUSED_BUSY if now >= self.backed_off_until => {
-                let span = self.back_off.unwrap_or(BACK_OFF);
-                self.backed_off_until = now + span;
-                self.back_off = Some(Micros(span.0 * 2).min(LONGEST_BACK_OFF));
-                self.cap = Some(1.0);
+                let backoff = self.next_backoff.unwrap_or(FIRST_BACKOFF);
+                self.backed_off_until = now + backoff;
+                self.next_backoff = Some(Micros(backoff.0 * 2).min(MAX_BACKOFF));
+                self.total_limit = Some(1.0);
                 self.responses = 0;
             }
             _ => {}
--- a/packages/function_scheduler/src/fallback_scheduler/tests.rs
+++ b/packages/function_scheduler/src/fallback_scheduler/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn a_fallback_grants_a_quarter_and_backs_off_on_the_first_turn_away() {
+fn a_fallback_grants_a_quarter_of_the_slots_and_backs_off_on_the_first_busy_refusal() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000));
     let known = [FallbackInstance { id: "c1".to_owned(), address, is_known: true }];
     let mut fallback = FallbackScheduler::default();
     let grant = |fallback: &mut FallbackScheduler, permit_id: u64, is_extra: bool, now: Micros| {
         let ends_at = now + Micros::from_secs(4);
-        let request_id = FallbackRequest { permit_id, function: "f", is_extra, avoid: "", ends_at };
-        fallback.grant(7, request_id, &known, 8, now)
+        let request = FallbackRequest { permit_id, function: "f", is_extra, avoid: "", ends_at };
+        fallback.grant(7, request, &known, 8, now)
     };
     let first = grant(&mut fallback, 1, false, Micros(0)).expect("room");
     assert_eq!((first.leader_epoch, first.instance.0.as_str()), (0, "c1"));
@@ -16,34 +16,40 @@
     assert!(grant(&mut fallback, 3, false, Micros(0)).is_none(), "two of eight are a quarter");
     fallback.returned(1, REFUSED_BUSY, Micros(0));
     assert!(grant(&mut fallback, 4, false, Micros(1)).is_none(), "backed off");
-    assert!(grant(&mut fallback, 4, false, BACK_OFF).is_none(), "one at a time after that, and 2 is out");
-    fallback.returned(2, RAN, BACK_OFF);
-    assert!(grant(&mut fallback, 4, false, BACK_OFF).is_some());
+    assert!(
+        grant(&mut fallback, 4, false, FIRST_BACKOFF).is_none(),
+        "one at a time after that, and permit 2 is still open"
+    );
+    fallback.returned(2, RAN, FIRST_BACKOFF);
+    assert!(grant(&mut fallback, 4, false, FIRST_BACKOFF).is_some());
     for permit_id in 10..20 {
-        fallback.returned(4, RAN, BACK_OFF);
-        fallback.returned(permit_id - 1, RAN, BACK_OFF);
-        let is_granted = grant(&mut fallback, permit_id, true, BACK_OFF).is_some();
-        assert_eq!(is_granted, permit_id < 10 + u64::from(RETRY_SHARE), "extra ticket {permit_id}");
+        fallback.returned(4, RAN, FIRST_BACKOFF);
+        fallback.returned(permit_id - 1, RAN, FIRST_BACKOFF);
+        let is_granted = grant(&mut fallback, permit_id, true, FIRST_BACKOFF).is_some();
+        assert_eq!(is_granted, permit_id < 10 + u64::from(DEFAULT_RETRY_SHARE), "retry permit {permit_id}");
     }
-    assert!(grant(&mut fallback, 30, false, Micros::from_secs(60)).is_some(), "lost tickets run out");
+    assert!(
+        grant(&mut fallback, 30, false, Micros::from_secs(60)).is_some(),
+        "permits that are never returned expire"
+    );
 }
 
 #[test]
-fn a_listed_instance_that_nobody_knows_gets_one_call_at_a_time_until_it_answers() {
+fn a_listed_instance_not_known_to_run_gets_one_call_at_a_time_until_it_responds() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000));
     let listed = [FallbackInstance { id: "c1".to_owned(), address, is_known: false }];
     let mut fallback = FallbackScheduler::default();
     let grant = |fallback: &mut FallbackScheduler, permit_id: u64, now: Micros| {
         let ends_at = now + Micros::from_secs(4);
-        let request_id = FallbackRequest { permit_id, function: "f", is_extra: false, avoid: "", ends_at };
-        fallback.grant(7, request_id, &listed, 8, now).is_some()
+        let request = FallbackRequest { permit_id, function: "f", is_extra: false, avoid: "", ends_at };
+        fallback.grant(7, request, &listed, 8, now).is_some()
     };
     assert!(grant(&mut fallback, 1, Micros(0)));
-    assert!(!grant(&mut fallback, 2, Micros(0)), "one goes first");
+    assert!(!grant(&mut fallback, 2, Micros(0)), "a single trial call first");
     fallback.returned(1, NOT_RUN, Micros(0));
     assert!(!grant(&mut fallback, 2, Micros(1)), "it may still boot");
     assert!(grant(&mut fallback, 2, TRIAL_PAUSE));
     fallback.returned(2, RAN, TRIAL_PAUSE);
     assert!(grant(&mut fallback, 3, TRIAL_PAUSE) && grant(&mut fallback, 4, TRIAL_PAUSE));
-    assert!(!grant(&mut fallback, 5, TRIAL_PAUSE), "a quarter, as for one that a steward knew");
+    assert!(!grant(&mut fallback, 5, TRIAL_PAUSE), "a quarter, as for an instance reported by a leader");
 }
--- a/packages/function_scheduler/src/lib.rs
+++ b/packages/function_scheduler/src/lib.rs
@@ -1,7 +1,8 @@
-//! A steward's work for its functions: tickets within what cells may run at once, the waitlist while
-//! cells boot, starting and stopping cells within the allowance tree, and the deputy's reduced part.
+//! A leader's work for its functions: permits within the instances' concurrency limits, the queue while
+//! instances boot, starting and stopping instances within the quota tree; and the fallback scheduler's
+//! reduced part.
 //!
-//! All of it is pure: times and events come in, acts go out.
+//! This package does no I/O: times and events are passed in, and actions are returned.
 
 mod fallback_scheduler;
 mod instance_demand;
@@ -25,16 +26,16 @@
 pub use start_rate::StartRate;
 pub use zone::{WorkerZones, Zone, ZoneCalls};
 
-/// How a ticket came back: the cell ran the call and answered.
+/// Outcome of a permit: the instance ran the call and responded.
 pub const RAN: u8 = 0;
-/// The connection was refused: the call did not run.
+/// The connection was refused; the call did not run.
 pub const NOT_RUN: u8 = 1;
-/// The cell turned the call away: it did not run.
+/// The instance refused the call as busy; it did not run.
 pub const REFUSED_BUSY: u8 = 2;
-/// Some bytes may have reached the cell and no whole answer came back.
+/// Some bytes may have reached the instance and no complete response was received.
 pub const UNKNOWN: u8 = 3;
-/// The ticket was not used.
+/// The permit was not used.
 pub const UNUSED: u8 = 4;
-/// The client left and the connection to the cell was closed: the cell may still be at work. It says nothing
-/// against the cell.
+/// The client disconnected and the connection to the instance was closed. The instance may still be working;
+/// this does not count as its failure.
 pub const ABANDONED: u8 = 5;
--- a/packages/function_scheduler/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A worker as the platform lists it.
+/// A worker as listed by the platform.
 /// Example: `ListedWorker { id: "w1".into(), memory_mb: 6500, free_mb: None, draining: false, zone: "a".into() }`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
-    /// The platform's name for it.
+    /// The platform's id.
     pub id: String,
-    /// All its memory.
+    /// Its total memory.
     pub memory_mb: u64,
-    /// Memory that is free by the platform's own count, if it tells.
+    /// Free memory as reported by the platform, if it is.
     pub free_mb: Option<u64>,
-    /// It takes no new cells, and those it has will leave.
+    /// It accepts no new instances, and its instances are being drained.
     pub draining: bool,
-    /// Its zone's name; empty where the platform tells none.
+    /// Its zone's name; empty if the platform reports none.
     pub zone: String,
 }
 
@@ -27,12 +27,12 @@
     at: Micros,
 }
 
-/// Where cells go: the workers with most free memory in the wanted zone, spread by rendezvous weight.
+/// Places instances on the workers with the most free memory in the wanted zone, spread by rendezvous hash.
 /// Example: `placement.pick(600, start_id, false, zone, now)`.
 #[derive(Debug, Default)]
 pub struct Placement {
     workers: Vec<ListedWorker>,
-    /// Memory of each worker that only a function's first cell may take.
+    /// Memory of each worker that is reserved for a function's first instance.
     reserve_mb: u64,
     used: BTreeMap<String, u64>,
     recent: Vec<RecentStart>,
@@ -40,15 +40,16 @@
     zones: Arc<WorkerZones>,
 }
 
-/// A start is counted on its own until the late list surely shows it.
-const RECENT_SPAN: Micros = Micros::from_secs(4);
-const FULL_SPAN: Micros = Micros::from_secs(2);
+/// How long a start is counted separately, until the delayed platform list is certain to include it.
+const RECENT_START_RETENTION: Micros = Micros::from_secs(4);
+const FULL_WORKER_BACKOFF: Micros = Micros::from_secs(2);
 
 impl Placement {
-    /// Takes the platform's list: workers, and the memory its cells use on each.
+    /// Updates the workers from the platform's list; `used` is the memory of the listed instances on each
+    /// worker.
     /// Example: `placement.update_list(workers, used)`.
     pub fn update_list(&mut self, workers: Vec<ListedWorker>, mut used: BTreeMap<String, u64>) {
-        // The platform's own count holds cells that boot, which are in no list yet.
+        // The platform's own figure includes booting instances, which are not in the list yet.
         for worker in &workers {
             if let Some(free_mb) = worker.free_mb {
                 used.insert(worker.id.clone(), worker.memory_mb.saturating_sub(free_mb));
@@ -63,15 +64,14 @@
         self.used = used;
     }
 
-    /// Keeps so much of each worker's memory free for functions that have no cell yet: what a hungry
-    /// group holds comes back only seconds after it was asked to stop.
+    /// Reserves memory on each worker for functions without an instance. Memory held by a group above its
+    /// share is only available seconds after its instances were asked to stop.
     /// Example: `placement.set_reserve(128)`.
     pub fn set_reserve(&mut self, reserve_mb: u64) {
         self.reserve_mb = reserve_mb;
     }
 
-    /// Memory of all usable workers, without what is kept free.
-    /// Example: `placement.total_memory_mb() == 78_000`.
+    /// Memory of all usable workers, without the reserve. Example: `placement.total_memory_mb() == 78_000`.
     pub fn total_memory_mb(&self) -> u64 {
         let usable = self.workers.iter().filter(|worker| !worker.draining);
         usable.map(|worker| worker.memory_mb.saturating_sub(self.reserve_mb)).sum()
@@ -87,8 +87,9 @@
         self.zones.clone()
     }
 
-    /// Picks a worker with room, in the zone if one there has any: of the three with most free memory
-    /// the one that the start id hashes to, so that many stewards placing at once do not all pick the same.
+    /// Picks a worker with room, in the zone if one there has room: among the three with the most free
+    /// memory, the one with the highest rendezvous weight for the start id, so that leaders placing at the
+    /// same time spread over them.
     /// Example: `placement.pick(600, "7-1", false, zone, now) == Some("w3".into())`.
     pub fn pick(
         &mut self,
@@ -98,10 +99,10 @@
         zone: Zone,
         now: Micros,
     ) -> Option<String> {
-        let kept_mb = if is_first { 0 } else { self.reserve_mb };
-        self.recent.retain(|start| now < start.at + RECENT_SPAN);
+        let reserved_mb = if is_first { 0 } else { self.reserve_mb };
+        self.recent.retain(|start| now < start.at + RECENT_START_RETENTION);
         self.full_until.retain(|_, (_, until)| now < *until);
-        let mut rooms: Vec<(u64, &str)> = self
+        let mut candidates: Vec<(u64, &str)> = self
             .workers
             .iter()
             .filter(|worker| !worker.draining)
@@ -117,16 +118,16 @@
                     .sum();
                 let used_mb = self.used.get(&worker.id).copied().unwrap_or(0) + recent_mb;
                 let free_mb = worker.memory_mb.checked_sub(used_mb)?;
-                (free_mb >= memory_mb + kept_mb).then_some((free_mb, worker.id.as_str()))
+                (free_mb >= memory_mb + reserved_mb).then_some((free_mb, worker.id.as_str()))
             })
             .collect();
         let is_remote = |worker: &str| self.zones.get(worker).is_some_and(|other| other.is_remote_from(zone));
-        if rooms.iter().any(|(_, worker)| !is_remote(worker)) {
-            rooms.retain(|(_, worker)| !is_remote(worker));
+        if candidates.iter().any(|(_, worker)| !is_remote(worker)) {
+            candidates.retain(|(_, worker)| !is_remote(worker));
         }
-        rooms.sort_by(|left, right| right.cmp(left));
-        rooms.truncate(3);
-        let picked_worker = rooms
+        candidates.sort_by(|left, right| right.cmp(left));
+        candidates.truncate(3);
+        let picked_worker = candidates
             .into_iter()
             .max_by_key(|(_, worker_id)| {
                 rendezvous_weight(start_id, peer_messages::stable_hash(worker_id.as_bytes()))
@@ -136,10 +137,11 @@
         Some(picked_worker)
     }
 
-    /// The worker refused a cell of this size: others are tried first for a while.
+    /// Records that the worker refused an instance of this size; for a while it is skipped for instances of
+    /// that size or larger.
     /// Example: `placement.refused("w3", 600, now)`.
     pub fn refused(&mut self, worker_name: &str, memory_mb: u64, now: Micros) {
-        self.full_until.insert(worker_name.to_owned(), (memory_mb, now + FULL_SPAN));
+        self.full_until.insert(worker_name.to_owned(), (memory_mb, now + FULL_WORKER_BACKOFF));
     }
 }
 
--- a/packages/function_scheduler/src/placement/tests.rs
+++ b/packages/function_scheduler/src/placement/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn instances_go_where_room_is_and_not_where_they_were_just_refused() {
+fn instances_are_placed_on_workers_with_room_that_did_not_just_refuse() {
     let worker = |id: &str, draining| ListedWorker {
         id: id.to_owned(),
         memory_mb: 1_000,
@@ -25,16 +25,22 @@
         None,
         "its own starts count before the list shows them"
     );
-    assert_eq!(placement.pick(600, "c", false, Zone::default(), RECENT_SPAN), Some("w2".to_owned()));
-    placement.refused("w2", 600, RECENT_SPAN);
-    let late = RECENT_SPAN + RECENT_SPAN;
+    assert_eq!(
+        placement.pick(600, "c", false, Zone::default(), RECENT_START_RETENTION),
+        Some("w2".to_owned())
+    );
+    placement.refused("w2", 600, RECENT_START_RETENTION);
+    let late = RECENT_START_RETENTION + RECENT_START_RETENTION;
     placement.refused("w2", 600, late);
     assert_eq!(placement.pick(600, "d", false, Zone::default(), late), None);
-    assert_eq!(placement.pick(600, "e", false, Zone::default(), late + FULL_SPAN), Some("w2".to_owned()));
+    assert_eq!(
+        placement.pick(600, "e", false, Zone::default(), late + FULL_WORKER_BACKOFF),
+        Some("w2".to_owned())
+    );
 }
 
 #[test]
-fn an_instance_goes_where_its_calls_come_from_and_elsewhere_where_that_zone_is_full() {
+fn an_instance_is_placed_in_the_wanted_zone_unless_that_is_full() {
     let worker = |id: &str, zone: &str, free_mb| ListedWorker {
         id: id.to_owned(),
         memory_mb: 10_000,
@@ -47,6 +53,6 @@
     placement.update_list(workers, BTreeMap::new());
     let local = Zone::named("a");
     assert_eq!(placement.pick(600, "x", false, local, Micros(0)), Some("w1".to_owned()));
-    let elsewhere = placement.pick(600, "y", false, local, Micros(0)).expect("room beyond the border");
+    let elsewhere = placement.pick(600, "y", false, local, Micros(0)).expect("room in another zone");
     assert_ne!(elsewhere, "w1", "it has no more room");
 }
--- a/packages/function_scheduler/src/quota_split/tests.rs
+++ b/packages/function_scheduler/src/quota_split/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn floors_then_weights_up_to_the_demand_and_nothing_is_left_while_some_want() {
+fn memory_goes_to_floors_then_by_weight_and_none_is_left_unused_while_demand_is_unmet() {
     let tree = configuration(
         r#"{"allowances": {"all": {"weight": 1},
             "busy": {"parent": "all", "weight": 3},
@@ -27,15 +27,15 @@
         let shares = quota_split(&tree, &wanted, Totals { memory_mb: 95.0, starts: 0.0 });
         ["a", "b", "c", "d"].map(|name| (shares[name].memory_mb * 100.0).round() / 100.0)
     };
-    // 5 to the capped one, 30 to the floor, the other 60 by 3 to 1.
+    // 5 go to the capped quota, 30 to the floor, and the other 60 are split 3 to 1.
     assert_eq!(share([100.0, 100.0, 100.0, 100.0]), [30.0, 15.0, 45.0, 5.0]);
-    // What one does not want goes to those that do.
+    // What one function does not want goes to the others.
     assert_eq!(share([100.0, 10.0, 0.0, 0.0]), [85.0, 10.0, 0.0, 0.0]);
     assert_eq!(share([1.0, 2.0, 3.0, 4.0]), [1.0, 2.0, 3.0, 4.0]);
 }
 
 #[test]
-fn what_is_no_whole_instance_goes_to_a_sibling_that_can_use_it() {
+fn parts_too_small_for_an_instance_go_to_a_sibling_that_can_use_them() {
     let tree = configuration(
         r#"{"allowances": {"all": {"weight": 1}},
           "functions": {
@@ -52,12 +52,12 @@
         ["a", "b", "c"].map(|name| shares[name].memory_mb)
     };
     let starving = split([600.0; 3]);
-    assert_eq!(starving.iter().sum::<f64>(), 300.0, "five cells, not three: {starving:?}");
+    assert_eq!(starving.iter().sum::<f64>(), 300.0, "five instances, not three: {starving:?}");
     assert_eq!(split([60.0, 60.0, 60.0]), [60.0; 3]);
 }
 
-/// Two functions of one group; memory in cells of ten.
-fn pair(demands: [Demand; 2], total: f64) -> [f64; 2] {
+/// Splits memory between two functions of one quota; an instance takes 10 MB.
+fn split_between_two(demands: [Demand; 2], total: f64) -> [f64; 2] {
     let tree = configuration(
         r#"{"allowances": {"all": {"weight": 1}},
           "functions": {
@@ -71,20 +71,32 @@
 }
 
 #[test]
-fn calls_get_memory_before_what_keeps_functions_quick_and_that_before_what_nobody_called() {
+fn current_calls_get_memory_before_warm_instances_and_those_before_spare_ones() {
     let calls = Demand { memory_mb: 80.0, warm_mb: 20.0, ..Demand::default() };
-    let quick = Demand { memory_mb: 10.0, warm_mb: 60.0, ..Demand::default() };
+    let fast = Demand { memory_mb: 10.0, warm_mb: 60.0, ..Demand::default() };
     let uncalled = Demand { spare_mb: 100.0, ..Demand::default() };
-    assert_eq!(pair([calls, uncalled], 80.0), [80.0, 0.0], "all of it is needed for calls");
-    assert_eq!(pair([calls, uncalled], 90.0), [90.0, 0.0], "the rest keeps a called function quick");
-    assert_eq!(pair([calls, quick], 100.0), [80.0, 20.0], "nobody loses what its calls need");
-    let [called, spare] = pair([calls, uncalled], 160.0);
-    assert_eq!((called, spare), (100.0, 30.0), "half of what is left stays free for calls to come");
-    assert_eq!(pair([quick, quick], 200.0), [70.0, 70.0], "where there is enough everybody has all");
+    assert_eq!(split_between_two([calls, uncalled], 80.0), [80.0, 0.0], "all of it is needed for calls");
+    assert_eq!(
+        split_between_two([calls, uncalled], 90.0),
+        [90.0, 0.0],
+        "the remainder keeps a called function fast"
+    );
+    assert_eq!(
+        split_between_two([calls, fast], 100.0),
+        [80.0, 20.0],
+        "memory needed for calls is not taken away"
+    );
+    let [called, spare] = split_between_two([calls, uncalled], 160.0);
+    assert_eq!((called, spare), (100.0, 30.0), "half of the remainder stays free for later calls");
+    assert_eq!(
+        split_between_two([fast, fast], 200.0),
+        [70.0, 70.0],
+        "with enough memory all demands are met"
+    );
 }
 
 #[test]
-fn a_ceiling_holds_over_all_classes_of_demand() {
+fn a_ceiling_applies_to_all_classes_of_demand_together() {
     let tree = configuration(
         r#"{"allowances": {"all": {"weight": 1}, "capped": {"parent": "all", "memory_ceiling_mb": 30, "weight": 1}},
           "functions": {
--- a/packages/function_scheduler/src/retry_budget.rs
+++ b/packages/function_scheduler/src/retry_budget.rs
@@ -1,13 +1,14 @@
 use monotonic_clock::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the whole fleet may dispatch to one function beyond each call's first: in any sliding window a
-/// share of the calls and a fixed part. Example: `RetryLimits::default().fixed == 60`.
+/// Fleet-wide limit on the retries of one function (dispatches beyond each call's first): in any sliding
+/// window a share of the calls plus a fixed number.
+/// Example: `RetryLimits::default().fixed == 60`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Extra dispatches for each call.
+    /// Retries allowed per call.
     pub ratio: f64,
-    /// Extra dispatches besides those.
+    /// Retries allowed in addition.
     pub fixed: u64,
     /// The window's length.
     pub window: Micros,
@@ -19,102 +20,103 @@
     }
 }
 
-/// Grants are counted in steps of this length.
+/// Granularity in which grants are counted.
 const STEP: Micros = Micros::from_millis(250);
-/// A dispatch reaches its cell within four steps of its grant, and a step is not told apart in itself.
+/// A dispatch reaches its instance within four steps of its grant; one more step allows for the rounding of
+/// times to steps.
 const LATE_STEPS: u64 = 5;
-/// A fleet smaller than this is taken for a part of one: beyond a cut or just started, a node does not
-/// know them all.
-const FEWEST_NODES: u64 = 10;
+/// A smaller known fleet is taken for part of a larger one: during a partition or just after a start, a node
+/// does not know all members.
+const MIN_NODE_COUNT: u64 = 10;
 
 impl RetryLimits {
-    /// The window with the time that a dispatch may be late by.
+    /// The window plus the longest delay between a grant and its dispatch.
     /// Example: `RetryLimits::default().span()` is 11.25 seconds.
     pub fn span(&self) -> Micros {
         self.window + Micros(STEP.0 * LATE_STEPS)
     }
 
-    /// A third of the fixed part is all deputies' together.
-    fn fallbacks_share(&self) -> u64 {
+    /// All fallback schedulers together get a third of the fixed number.
+    fn fallback_total(&self) -> u64 {
         self.fixed / 3
     }
 
-    /// What one node of so many may grant as deputy in a span.
+    /// Retries that one node's fallback scheduler may grant within a span.
     /// Example: `RetryLimits::default().fallback_share(10) == 2`.
     pub fn fallback_share(&self, node_count: usize) -> usize {
-        (self.fallbacks_share() / (node_count as u64).max(FEWEST_NODES)) as usize
+        (self.fallback_total() / (node_count as u64).max(MIN_NODE_COUNT)) as usize
     }
 
-    /// What a steward may grant at once, and the microseconds after which it may grant one more: the
-    /// two halves of its part of the fixed part.
+    /// A leader's burst, and the number of further retries it may grant per microsecond. Each uses half of
+    /// the leaders' part of the fixed number.
     fn leader_share(&self) -> (f64, f64) {
-        let share = (self.fixed - self.fallbacks_share()) as f64;
+        let share = (self.fixed - self.fallback_total()) as f64;
         (share / 2.0, share / 2.0 / self.span().0.max(1) as f64)
     }
 }
 
-/// A steward's extra dispatches. From any moment on it grants at most what it may at once, what has
-/// come in since, and its ratio of the calls that it dispatched first from then on and that surely
-/// reached a cell. A new steward begins with nothing to grant at once: the one before may have
-/// granted all of that, so that both together stay within one steward's part.
+/// A leader's retry budget. From any moment on, a leader grants at most its burst, what has accrued since,
+/// and its ratio of the calls first dispatched from then on that are known to have reached an instance. A new
+/// leader starts without a burst: the previous leader may have used all of it, and both together must stay
+/// within the limit for one leader.
 ///
 /// Example: `budget.spend(now)` is false right after `RetryBudget::new(bound, now)`.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    bound: RetryLimits,
-    began_at: Micros,
-    /// By step: calls first dispatched then that reached a cell, and extra dispatches.
+    limits: RetryLimits,
+    created_at: Micros,
+    /// By step: calls first dispatched in it that reached an instance, and retries granted in it.
     steps: BTreeMap<u64, (u32, u32)>,
 }
 
 impl RetryBudget {
-    pub(crate) fn new(bound: RetryLimits, now: Micros) -> RetryBudget {
-        RetryBudget { bound, began_at: now, steps: BTreeMap::new() }
+    pub(crate) fn new(limits: RetryLimits, now: Micros) -> RetryBudget {
+        RetryBudget { limits, created_at: now, steps: BTreeMap::new() }
     }
 
-    /// Whether it may still pay for what the steward before granted.
-    pub(crate) fn is_young(&self, now: Micros) -> bool {
-        now < self.began_at + self.bound.span()
+    /// Whether the budget is still reduced by what the previous leader may have granted.
+    pub(crate) fn is_in_first_window(&self, now: Micros) -> bool {
+        now < self.created_at + self.limits.span()
     }
 
-    /// A call that was granted its first dispatch then did reach a cell.
+    /// Records that a call, first dispatched with a grant of that time, reached an instance.
     pub(crate) fn call_arrived(&mut self, granted_at: Micros) {
         self.steps.entry(granted_at.0 / STEP.0).or_default().0 += 1;
     }
 
-    /// An extra dispatch that was granted then never reached a cell.
-    pub(crate) fn not_arrived(&mut self, granted_at: Micros) {
-        if let Some((_, extras)) = self.steps.get_mut(&(granted_at.0 / STEP.0)) {
-            *extras = extras.saturating_sub(1);
+    /// Gives back a retry granted at that time that never reached an instance.
+    pub(crate) fn retry_not_arrived(&mut self, granted_at: Micros) {
+        if let Some((_, retries)) = self.steps.get_mut(&(granted_at.0 / STEP.0)) {
+            *retries = retries.saturating_sub(1);
         }
     }
 
-    /// Whether one more is within the bound of every window that ends from now on.
+    /// Whether one more retry is within the limit of every window that ends from now on.
     pub(crate) fn may_spend(&mut self, now: Micros) -> bool {
-        let span = self.bound.span();
+        let span = self.limits.span();
         self.steps.retain(|step, _| now < Micros(step * STEP.0) + span);
-        let (at_once, each_micro) = self.bound.leader_share();
+        let (full_burst, per_micro) = self.limits.leader_share();
         let allowed_since = |since: Micros| {
-            let begins_here = since <= self.began_at;
-            let since = since.max(self.began_at);
-            let burst = if begins_here { 0.0 } else { at_once };
-            burst + (now - since).0 as f64 * each_micro
+            let includes_creation = since <= self.created_at;
+            let since = since.max(self.created_at);
+            let burst = if includes_creation { 0.0 } else { full_burst };
+            burst + (now - since).0 as f64 * per_micro
         };
         let calls_from = |step: u64| -> u32 { self.steps.range(step..).map(|(_, (calls, _))| calls).sum() };
         let first_step = now.0.saturating_sub(span.0) / STEP.0;
-        let began_step = self.began_at.0 / STEP.0;
+        let creation_step = self.created_at.0 / STEP.0;
         let mut starts: Vec<u64> =
-            self.steps.iter().filter(|(_, (_, extras))| *extras > 0).map(|(step, _)| *step).collect();
+            self.steps.iter().filter(|(_, (_, retries))| *retries > 0).map(|(step, _)| *step).collect();
         starts.push(now.0 / STEP.0);
-        starts.extend((began_step >= first_step).then_some(began_step));
+        starts.extend((creation_step >= first_step).then_some(creation_step));
         starts.into_iter().all(|start| {
-            let extras: u32 = self.steps.range(start..).map(|(_, (_, extras))| extras).sum();
-            let by_ratio = self.bound.ratio * f64::from(calls_from(start + LATE_STEPS));
-            f64::from(extras + 1) <= allowed_since(Micros(start * STEP.0)) + by_ratio
+            let retries: u32 = self.steps.range(start..).map(|(_, (_, retries))| retries).sum();
+            let by_ratio = self.limits.ratio * f64::from(calls_from(start + LATE_STEPS));
+            f64::from(retries + 1) <= allowed_since(Micros(start * STEP.0)) + by_ratio
         })
     }
 
-    /// Grants one if it may. Example: at most 40 at the default bound without any call.
+    /// Grants a retry if the limit allows it. Example: at most 40 with the default limits and without any call.
     pub(crate) fn spend(&mut self, now: Micros) -> bool {
         let may_spend = self.may_spend(now);
         if may_spend {
@@ -124,8 +126,8 @@
     }
 }
 
-/// A deputy's extra dispatches: so many in any span, and none before what an earlier process of its
-/// node may have granted is out of the window.
+/// A fallback scheduler's retry budget: a number of retries per span, and none until grants of an earlier
+/// process of this node are out of the window.
 #[derive(Debug)]
 pub(crate) struct FallbackRetryBudget {
     pub(crate) share: usize,
--- a/packages/function_scheduler/src/scheduler.rs
+++ b/packages/function_scheduler/src/scheduler.rs
@@ -1,57 +1,57 @@
-//! A steward's work for one function: asks, tickets, cells, and how many of these there are to be.
+//! A leader's work for one function: requests, permits, instances and their number.
 
+mod fair_order;
 mod handover;
 mod instance;
-mod turns;
 
 use crate::retry_budget::{RetryBudget, RetryLimits};
 use crate::zone::{WorkerZones, Zone, ZoneCalls};
 use crate::{
     ABANDONED, CostModel, InstanceDemand, InstanceShape, NOT_RUN, RAN, REFUSED_BUSY, UNKNOWN, UNUSED,
 };
-use instance::{FIRST_HOLD, Instance, Phase, apply_outcome, learn_boot, learn_latency};
+use fair_order::{FairOrder, RETRY_TAG};
+use instance::{FIRST_LIMIT_PERIOD, Instance, Phase, apply_outcome, updated_boot_estimate, updated_latency};
 use monotonic_clock::Micros;
 use peer_messages::{Address, NodeId, Permit};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use turns::{AGAIN, Turns};
 
 pub use handover::{HandoverState, TransferredRequest};
 
-/// What the configuration says of the function. Example: `SchedulerSettings { calls_at_once: 4, .. }`.
+/// Settings of the function from the configuration. Example: `SchedulerSettings { calls_at_once: 4, .. }`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// Calls one cell may run at once.
+    /// Calls one instance may run at once.
     pub calls_at_once: u32,
-    /// The configured boot time, until a better one is learnt.
+    /// The configured boot time; used until a better estimate is learnt.
     pub boot: Micros,
-    /// How long surplus cells may idle; without it the cost model decides.
+    /// How long surplus instances may idle; without it the cost model decides.
     pub idle: Option<Micros>,
-    /// Memory of one cell in megabytes.
+    /// Memory of one instance in megabytes.
     pub memory_mb: u64,
-    /// The time within which an answer is worth most, if a lane names it.
+    /// The target response time, if a route names one.
     pub target: Option<Micros>,
-    /// What cells, starts and late answers cost beside each other.
+    /// The relative costs of instances, starts and late responses.
     pub costs: CostModel,
-    /// Cells kept even when idle.
+    /// Instances kept even when idle.
     pub min_instances: u32,
-    /// Cells never passed.
+    /// The largest number of instances.
     pub max_instances: u32,
-    /// Calls that may wait.
+    /// The largest number of queued calls.
     pub queue_limit: usize,
 }
 
-/// A cell known to run, as told to colleagues for the deputy.
+/// An instance known to run, as published to peers for their fallback schedulers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadyInstance {
     /// The platform's id.
     pub id: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
 }
 
-/// A cell as the platform lists it.
+/// An instance as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedInstance {
     /// The platform's id.
@@ -60,60 +60,61 @@
     pub function: String,
     /// Its worker.
     pub worker: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its memory.
     pub memory_mb: u64,
-    /// It is leaving, or its worker is.
+    /// The instance or its worker is draining.
     pub draining: bool,
-    /// The platform says that its boot is over; others may still boot.
+    /// The platform reports its boot as finished; otherwise it may still be booting.
     pub started: bool,
 }
 
-/// How a start went. Example: `StartOutcome::NoRoom`.
+/// The outcome of a start. Example: `StartOutcome::NoRoom`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartOutcome {
-    /// The platform made the cell.
+    /// The platform created the instance.
     Started { instance: String, address: SocketAddr, worker: String },
-    /// No worker has room, or the act was throttled: the start is wanted no more for now.
+    /// No worker has room, or the operation was throttled: the start is dropped for now.
     NoRoom,
 }
 
-/// Why an ask is held back or turned down.
+/// Why a request is deferred or refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
-    /// It waits; the asker shall ask again so that both know of each other.
+    /// It is queued; the requester repeats the request so that both sides know the other is alive.
     Waiting,
     /// It is refused for good.
     Refused,
-    /// This node is not, or no longer, the steward.
+    /// This node is not, or no longer, the leader.
     NotLeader,
 }
 
-/// Cells that a function claims memory for. Example: `DemandedInstances { needed: 2, warm: 1, spare: 0 }`.
+/// Instances for which a function claims memory.
+/// Example: `DemandedInstances { needed: 2, warm: 1, spare: 0 }`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DemandedInstances {
-    /// What calls of now need.
+    /// Needed for current calls.
     pub needed: u32,
-    /// What answers calls in time, by the rate at which they come.
+    /// Further instances that keep responses in time at the current call rate.
     pub warm: u32,
-    /// What is kept ready although nobody called yet.
+    /// Kept ready although the function was not called yet.
     pub spare: u32,
 }
 
 impl DemandedInstances {
-    /// All of them. Example: `demanded.total() == 3`.
+    /// The sum of the three. Example: `demanded.total() == 3`.
     pub fn total(&self) -> u32 {
         self.needed + self.warm + self.spare
     }
 }
 
-/// What the steward wants done.
+/// Actions for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerAction {
-    /// Give the asker its ticket; `is_remote` where the cell stands in another zone than the asker.
+    /// Send the requester its permit; `is_remote` if the instance runs in another zone than the requester.
     Grant { requester: NodeId, request_id: u64, permit: Permit, is_remote: bool },
-    /// Tell the asker that it waits or is refused.
+    /// Tell the requester that its request is queued or refused.
     Defer {
         requester: NodeId,
         request_id: u64,
@@ -121,12 +122,12 @@
         reason: &'static str,
         retry_after: Micros,
     },
-    /// Start a cell under this start id, in this zone if it has room; a repeat of the id starts nothing twice.
-    /// `is_spare` where nobody called the function yet.
+    /// Start an instance under this start id, in this zone if it has room. Repeating a start id starts
+    /// nothing twice. `is_spare` if the function was not called yet.
     Start { start_id: String, zone: Zone, is_spare: bool },
-    /// Stop a cell that no call uses any more.
+    /// Stop an instance that no call uses any more.
     Stop { instance: String },
-    /// The cells known to run have changed.
+    /// The set of instances known to run has changed.
     ReadyChanged,
 }
 
@@ -139,53 +140,54 @@
     seen_at: Micros,
     avoid: String,
     urgency: Urgency,
-    /// Its place among asks that are as urgent; see [`turns`].
-    turn: u64,
+    /// Its start tag among requests of the same class; see [`fair_order`].
+    start_tag: u64,
     zone: Zone,
 }
 
-/// What is said of an ask beside its time. Example: `RequestDetails { avoid: "c1", ..RequestDetails::default() }`.
+/// Further properties of a request. Example: `RequestDetails { avoid: "c1", ..RequestDetails::default() }`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestDetails<'a> {
-    /// The cell that the call's last dispatch failed on; empty for none.
+    /// The instance on which the call's last dispatch failed; empty for none.
     pub avoid: &'a str,
-    /// How urgent the call is.
+    /// The call's urgency.
     pub urgency: Urgency,
-    /// Where the asker is.
+    /// The requester's zone.
     pub zone: Zone,
 }
 
-/// What a call's front wants of a steward or deputy. Example: see `node_protocol::Event::CallNeedsPermit`.
+/// What a gateway passes with a call that needs a permit from a leader or fallback scheduler.
+/// Example: see `node_protocol::Event::CallNeedsPermit`.
 #[derive(Clone, Debug)]
 pub struct PermitParameters {
     /// The function.
     pub function: String,
-    /// Until the call's time is over.
+    /// Time left until the call's deadline.
     pub time_left: Micros,
     /// Dispatches of the call so far.
     pub dispatches: u32,
-    /// The cell that the last of them failed on; empty for none.
+    /// The instance on which the last dispatch failed; empty for none.
     pub avoid: String,
-    /// Until the call's answer is late, if its lane names a target.
+    /// Time left until the response is late, if the call's route names a target.
     pub target_left: Option<Micros>,
-    /// Zero goes first.
+    /// Lower ranks go first.
     pub rank: u16,
-    /// Who calls, if a tenant does.
+    /// The calling tenant, if any.
     pub tenant: Option<Arc<str>>,
-    /// A call under way made it: a slot stays taken until it is answered.
+    /// A running call made this call and holds a slot until it is answered.
     pub is_nested: bool,
 }
 
-/// Which of the calls that wait goes first. Example: `Urgency::default()` where no lane says anything.
+/// Determines the order of queued calls. Example: `Urgency::default()` if the route sets nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// An answer after this is late.
+    /// A response after this time is late.
     pub late_at: Micros,
-    /// Zero goes first.
+    /// Lower ranks go first.
     pub rank: u16,
-    /// Tells apart who calls; zero where no tenant does.
+    /// Hash of the calling tenant; zero for none.
     pub tenant: u32,
-    /// A call under way made it: a slot stays taken until it is answered, so it goes before all others.
+    /// A running call made this call and holds a slot until it is answered, so it goes before all others.
     pub is_nested: bool,
 }
 
@@ -200,17 +202,17 @@
     instance: String,
     requester: NodeId,
     request_id: u64,
-    /// Dispatches of the call before this ticket's.
+    /// Dispatches of the call before this permit's.
     dispatches: u32,
-    /// When this steward granted it; none if another did.
+    /// When this leader granted it; none if another node did.
     granted_at: Option<Micros>,
     ends_at: Micros,
     permit: Permit,
-    /// The asker is done with it, and the cell may not be.
+    /// The requester is done with it, but the instance may still be working on the call.
     is_over: bool,
 }
 
-/// A steward's state for one function. Example: `FunctionScheduler::new("proof", 7, 12, settings, now)`.
+/// A leader's state for one function. Example: `FunctionScheduler::new("proof", 7, 12, settings, now)`.
 #[derive(Debug)]
 pub struct FunctionScheduler {
     function: String,
@@ -219,89 +221,90 @@
     settings: SchedulerSettings,
     instances: BTreeMap<String, Instance>,
     queue: VecDeque<QueuedRequest>,
-    turns: Turns,
+    fair_order: FairOrder,
     open: BTreeMap<u64, OpenPermit>,
     by_request: BTreeMap<(NodeId, u64), u64>,
-    /// Where calls come from, and where workers are.
+    /// Where calls come from, and the zones of the workers.
     zone_calls: ZoneCalls,
     worker_zones: Arc<WorkerZones>,
-    /// The cell that each asker was sent to last: it may have a connection there still.
+    /// The instance last granted to each requester, which may still have a connection to it.
     last_instances: BTreeMap<NodeId, String>,
-    /// Starts under way: since when, and in which zone they are wanted.
+    /// Starts in progress: when each was requested, and in which zone.
     starting: BTreeMap<String, (Micros, Zone)>,
-    /// What the allowance lets it have; none before the first split since this steward began.
+    /// Instances that the quota split allows; none before the first split since this leader started.
     allowed_instances: Option<u32>,
-    /// Cells that were found count as called for until then: the steward before had its reasons.
+    /// Until then, discovered instances count as called: the previous leader kept them for calls this leader
+    /// has not seen.
     discovered_until: Micros,
     next_permit: u64,
     next_start: u64,
     awaited_holders: Vec<NodeId>,
-    careful_until: Micros,
-    back_until: Micros,
-    learnt_boot: Micros,
-    extras: RetryBudget,
+    half_limit_until: Micros,
+    quarter_limit_until: Micros,
+    boot_estimate: Micros,
+    retries: RetryBudget,
     peak: (u32, u32),
     peak_rotated_at: Micros,
     demand: InstanceDemand,
-    /// Cells that the cost model finds worth having now, and keeping.
-    worth: (u32, u32),
+    /// Instances that the cost model wants now, and those it keeps.
+    cost_model_instances: (u32, u32),
     no_room_until: Micros,
     refused_busy: VecDeque<Micros>,
-    /// The calls that the whole function is held to, until a time.
-    held_to: (usize, Micros),
+    /// Limit on concurrent calls of the whole function, and until when it applies.
+    call_limit: (usize, Micros),
     paused_until: Micros,
-    /// Turn-aways since the last answer: the pause grows with them.
+    /// Busy refusals since the last response; the pause grows with them.
     refused_busy_in_row: u32,
-    /// No list is in yet: cells may run that are not known.
-    is_adopting: bool,
+    /// The first platform list is outstanding: unknown instances may be running.
+    awaits_first_list: bool,
     usual_latency: Micros,
-    /// Calls given up on since the last answer, each after more than the usual time.
+    /// Calls that timed out since the last response, each after more than the usual latency.
     slow_in_row: u32,
-    /// Whether that is learnt yet.
+    /// Whether the usual latency was learnt from a response.
     knows_latency: bool,
-    /// Since when calls wait without a start on their account.
+    /// Since when calls have been queued without a start for them.
     waiting_since: Option<Micros>,
-    /// When it was last called, or this steward began.
+    /// When it was last called, or this leader started.
     called_at: Micros,
     ticked_at: Micros,
     actions: Vec<SchedulerAction>,
 }
 
-/// A function that was not called for so long counts as one that nobody calls.
+/// A function without a call for this long counts as idle.
 const IDLE_AFTER: Micros = Micros::from_secs(5);
-/// A new steward starts nothing for a function that nobody called before all nodes can know what all want.
+/// A new leader starts nothing for a function that was not called yet until demand has spread to all nodes.
 const SPARE_DELAY: Micros = Micros::from_secs(2);
-/// Where no lane names a target.
-const UNNAMED_TARGET: Micros = Micros::from_secs(1);
-/// Cells found by a new steward are kept for so long at the least.
-const DISCOVERED_SPAN: Micros = Micros::from_secs(4);
-const LIMIT_REGAINED_EACH: Micros = Micros::from_millis(300);
-/// So many turn-aways in five seconds hold the whole function to the calls it has.
+/// The target response time if no route names one.
+const DEFAULT_TARGET: Micros = Micros::from_secs(1);
+/// The shortest time for which a new leader keeps discovered instances.
+const DISCOVERED_RETENTION: Micros = Micros::from_secs(4);
+const LIMIT_RECOVERY_INTERVAL: Micros = Micros::from_millis(300);
+/// This many busy refusals within [`REFUSED_BUSY_WINDOW`] limit the whole function to the calls it has.
 const REFUSED_BUSY_LIMIT: usize = 3;
 const REFUSED_BUSY_WINDOW: Micros = Micros::from_secs(5);
-/// What others have on the cells ends meanwhile.
+/// Gives other senders' calls on the instances time to end.
 const REFUSED_BUSY_PAUSE: Micros = Micros::from_millis(150);
 const LIST_TIMEOUT: Micros = Micros::from_secs(10);
-const STOP_REPEAT: Micros = Micros::from_secs(8);
+const STOP_RETRY_INTERVAL: Micros = Micros::from_secs(8);
 const REQUEST_EXPIRY: Micros = Micros::from_millis(1_500);
-const START_FORGOTTEN: Micros = Micros::from_secs(10);
-/// A colleague that is back tells its tickets within a message's way; it is not waited for longer.
+const START_TIMEOUT: Micros = Micros::from_secs(10);
+/// A returned peer reports its permits within one message delay; it is not awaited longer than this.
 const RETURNED_PEER_TIMEOUT: Micros = Micros::from_secs(1);
 const OPEN_LIMIT: usize = 20_000;
-/// So many calls more than the emptiest cell may the asker's last one have to be taken again.
-const LAST_INSTANCE_MORE: u32 = 1;
-/// Askers whose last cell is remembered.
+/// A requester's last instance is preferred if it has at most this many calls more than the least loaded one.
+const LAST_INSTANCE_EXTRA_CALLS: u32 = 1;
+/// Requesters whose last instance is remembered.
 const LAST_INSTANCES_LIMIT: usize = 8_192;
-/// Extra dispatches that wait for a new steward's part to open: it does so by one each 0.6 s.
+/// Retries that may wait while a new leader's retry budget fills up, by one each 0.6 s.
 const RETRIES_WAITING_LIMIT: usize = 4;
 const RETRIES_EXHAUSTED: &str = "extra dispatches used up";
 const TOO_LATE: &str = "no cell would be free in the time left";
-const LEAST_LINGERING: Micros = Micros::from_millis(100);
-const MOST_LINGERING: Micros = Micros::from_secs(3);
+const MIN_SLOT_RETENTION: Micros = Micros::from_millis(100);
+const MAX_SLOT_RETENTION: Micros = Micros::from_secs(3);
 
 impl FunctionScheduler {
-    /// A fresh steward's state. Until every node in `awaited_holders` told which tickets it holds, or their
-    /// time is over, cells are used at half of what they may run.
+    /// Creates a new leader's state. Until every node in `awaited_holders` has reported the permits it holds,
+    /// or the time for that is over, instances are used up to half of their limit.
     /// Example: `FunctionScheduler::new("proof", 7, 12, settings, others, now)`.
     pub fn new(
         function: &str,
@@ -315,11 +318,11 @@
             function: function.to_owned(),
             own,
             leader_epoch,
-            learnt_boot: settings.boot,
+            boot_estimate: settings.boot,
             settings,
             instances: BTreeMap::new(),
             queue: VecDeque::new(),
-            turns: Turns::default(),
+            fair_order: FairOrder::default(),
             open: BTreeMap::new(),
             by_request: BTreeMap::new(),
             zone_calls: ZoneCalls::default(),
@@ -331,19 +334,19 @@
             next_permit: 0,
             next_start: 0,
             awaited_holders,
-            careful_until: now + Micros::from_secs(4),
-            back_until: Micros(0),
-            extras: RetryBudget::new(RetryLimits::default(), now),
+            half_limit_until: now + Micros::from_secs(4),
+            quarter_limit_until: Micros(0),
+            retries: RetryBudget::new(RetryLimits::default(), now),
             peak: (0, 0),
             peak_rotated_at: now,
             demand: InstanceDemand::new(now),
-            worth: (0, 0),
+            cost_model_instances: (0, 0),
             no_room_until: Micros(0),
             refused_busy: VecDeque::new(),
-            held_to: (usize::MAX, Micros(0)),
+            call_limit: (usize::MAX, Micros(0)),
             paused_until: Micros(0),
             refused_busy_in_row: 0,
-            is_adopting: false,
+            awaits_first_list: false,
             usual_latency: Micros::from_millis(50),
             slow_in_row: 0,
             knows_latency: false,
@@ -354,60 +357,61 @@
         }
     }
 
-    /// The epoch this steward acts under. Example: `work.leader_epoch()`.
+    /// The epoch under which this leader acts. Example: `scheduler.leader_epoch()`.
     pub fn leader_epoch(&self) -> u64 {
         self.leader_epoch
     }
 
-    /// Bounds extra dispatches; called before the first ask.
-    /// Example: `work.set_retry_limits(RetryLimits::default(), now)`.
-    pub fn set_retry_limits(&mut self, bound: RetryLimits, now: Micros) {
-        self.extras = RetryBudget::new(bound, now);
+    /// Sets the retry limits; called before the first request.
+    /// Example: `scheduler.set_retry_limits(RetryLimits::default(), now)`.
+    pub fn set_retry_limits(&mut self, limits: RetryLimits, now: Micros) {
+        self.retries = RetryBudget::new(limits, now);
     }
 
-    /// Takes changed settings. Example: `work.update_settings(settings)`.
+    /// Applies changed settings. Example: `scheduler.update_settings(settings)`.
     pub fn update_settings(&mut self, settings: SchedulerSettings) {
         self.settings = settings;
     }
 
-    /// Starts nothing before this time: the cells that run are not known yet.
-    /// Example: `work.hold_starts(now + Micros::from_secs(1))`.
+    /// Prevents starts before this time, while the running instances are not known yet.
+    /// Example: `scheduler.hold_starts(now + Micros::from_secs(1))`.
     pub fn hold_starts(&mut self, until: Micros) {
         self.no_room_until = until;
-        self.is_adopting = true;
+        self.awaits_first_list = true;
     }
 
-    /// How many cells the allowance lets this function have. Example: `work.set_allowed_instances(3)`.
+    /// Sets how many instances the quota allows this function. Example: `scheduler.set_allowed_instances(3)`.
     pub fn set_allowed_instances(&mut self, instance_count: u32) {
         self.allowed_instances = Some(instance_count);
     }
 
-    /// Cells that the calls of now want, at most what the settings allow.
-    /// Example: nine calls on cells of four want three.
+    /// Instances wanted for the current calls, at most what the settings allow.
+    /// Example: three for nine calls on instances of four calls at once.
     pub fn wanted_instances(&self) -> u32 {
         let calls_at_once = self.settings.calls_at_once;
-        // A start is worth it where calls would wait for a quarter of a boot: short calls that come
-        // together are through a few cells before more of them run.
-        let waiting_instances = self.instances_to_serve_within(Micros(self.learnt_boot.0 / 4));
+        // A start pays off if calls would wait for a quarter of a boot: short calls that arrive together are
+        // served by few instances before more of them run.
+        let waiting_instances = self.instances_to_serve_within(Micros(self.boot_estimate.0 / 4));
         let open_instances = (self.open.len() as u32).div_ceil(calls_at_once);
-        let needed_instances = waiting_instances.max(open_instances).max(self.worth.0);
+        let needed_instances = waiting_instances.max(open_instances).max(self.cost_model_instances.0);
         needed_instances.max(self.settings.min_instances).min(self.settings.max_instances)
     }
 
-    /// Cells that are through with all calls of now within a time, by what calls usually take.
+    /// Instances that complete all current calls within a time at the usual latency.
     fn instances_to_serve_within(&self, span: Micros) -> u32 {
         let is_latency_known = self.knows_latency || self.settings.idle.is_none();
-        let turns = if is_latency_known { span.0 / self.usual_latency.0.max(1) } else { 0 };
-        let calls_each = u64::from(self.settings.calls_at_once) * (1 + turns);
+        let rounds = if is_latency_known { span.0 / self.usual_latency.0.max(1) } else { 0 };
+        let calls_each = u64::from(self.settings.calls_at_once) * (1 + rounds);
         u64::from(self.needed_calls()).div_ceil(calls_each) as u32
     }
 
-    /// Cells to claim memory for: what is wanted now, was in the last idle span, or is worth its memory; by
-    /// how much depends on them. Example: `work.demanded_instances().total() >= work.wanted_instances()`.
+    /// Instances to claim memory for: wanted now, used within the last idle period, or worth their memory;
+    /// classified by how urgently calls need them.
+    /// Example: `scheduler.demanded_instances().total() >= scheduler.wanted_instances()`.
     pub fn demanded_instances(&self) -> DemandedInstances {
         let kept_instances = match self.settings.idle {
             Some(_) => self.peak.0.max(self.peak.1).div_ceil(self.settings.calls_at_once),
-            None => self.worth.1,
+            None => self.cost_model_instances.1,
         };
         let total = kept_instances.min(self.settings.max_instances).max(self.wanted_instances());
         let needed = match self.settings.idle {
@@ -421,77 +425,81 @@
         }
     }
 
-    /// Cells that the calls of now and of the last seconds take, without any that only make them quicker.
+    /// Instances that the calls of now and of the last seconds occupy, without those that only reduce
+    /// latency.
     fn instances_for_calls(&self) -> u32 {
-        let waiting_instances = self.instances_to_serve_within(Micros(self.learnt_boot.0 / 4));
+        let waiting_instances = self.instances_to_serve_within(Micros(self.boot_estimate.0 / 4));
         let loaded_instances = (self.demand.load() / f64::from(self.settings.calls_at_once)).ceil() as u32;
         waiting_instances.max(loaded_instances).max(self.settings.min_instances)
     }
 
-    /// Whether a call ever came, or such are under way from before.
+    /// Whether the function was called, or has open calls or instances from a previous leader.
     fn is_called(&self) -> bool {
         let is_discovered = self.ticked_at < self.discovered_until;
         self.settings.idle.is_some() || self.demand.is_called() || self.needed_calls() > 0 || is_discovered
     }
 
-    /// Cells that it may have now. A function that is called gets one as soon as a worker has room for it.
+    /// Instances it may have now. A called function gets one as soon as a worker has room for it.
     fn allowed_instances(&self) -> u32 {
         self.allowed_instances.unwrap_or(0).max(u32::from(self.is_called()))
     }
 
-    /// Cells that it may keep. Before the first split nothing speaks against what runs already.
+    /// Instances it may keep. Before the first quota split, all running instances are kept.
     fn keepable_instances(&self) -> u32 {
         self.allowed_instances.map_or(u32::MAX, |_| self.allowed_instances())
     }
 
-    /// Tells when traffic began, of whatever function, as far as is known here.
-    /// Example: `work.set_traffic_since(Some(now))`.
+    /// Sets the time since when calls of any function have been seen here.
+    /// Example: `scheduler.set_traffic_since(Some(now))`.
     pub fn set_traffic_since(&mut self, since: Option<Micros>) {
         self.demand.set_traffic_since(since);
     }
 
-    /// Nodes that have not yet told which tickets they hold. Example: `work.awaited_holders().is_empty()`.
+    /// Nodes that have not yet reported the permits they hold. Example: `scheduler.awaited_holders().is_empty()`.
     pub fn awaited_holders(&self) -> &[NodeId] {
         &self.awaited_holders
     }
 
-    /// Cells that exist and are not leaving, and starts under way. Example: `work.instance_count()`.
+    /// Instances that are not draining, and starts in progress. Example: `scheduler.instance_count()`.
     pub fn instance_count(&self) -> u32 {
         (self.usable_instances().count() + self.starting.len()) as u32
     }
 
-    /// Whether it has any cell that is not leaving. Example: the first one may go where others may not.
+    /// Whether it has an instance that is not draining. Example: the first one may go where others may not.
     pub fn has_instances(&self) -> bool {
         self.usable_instances().next().is_some()
     }
 
-    /// Starts and stops still wanted, for the split of the start rate. Example: `work.wanted_operations()`.
+    /// Instances still to be started and starts in progress, for the split of the start rate.
+    /// Example: `scheduler.wanted_operations()`.
     pub fn wanted_operations(&self) -> u32 {
         self.wanted_instances().saturating_sub(self.instance_count()) + self.starting.len() as u32
     }
 
-    /// Calls that wait. Example: `work.waiting_count()`.
+    /// Queued calls. Example: `scheduler.waiting_count()`.
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Calls a second that are asked for here, each counted once, as of the last moment if that is more. Example: `work.call_rate(now)`.
+    /// Requested calls per second, each call counted once, or the rate of the last half second if that is
+    /// higher.
+    /// Example: `scheduler.call_rate(now)`.
     pub fn call_rate(&self, now: Micros) -> f64 {
         self.demand.peak_rate(now)
     }
 
-    /// Tickets that are out. Example: `work.open_count()`.
+    /// Open permits. Example: `scheduler.open_count()`.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether nobody called it for a while, and nothing is under way for it. Example: `work.is_idle(now)`.
+    /// Whether it was not called for a while and nothing is in progress for it. Example: `scheduler.is_idle(now)`.
     pub fn is_idle(&self, now: Micros) -> bool {
         let is_busy = self.needed_calls() > 0 || !self.starting.is_empty();
         !is_busy && now >= self.called_at + IDLE_AFTER
     }
 
-    /// The cells known to run, for the deputy. Example: `work.ready_instances().len()`.
+    /// The instances known to run, for the fallback scheduler. Example: `scheduler.ready_instances().len()`.
     pub fn ready_instances(&self) -> Vec<ReadyInstance> {
         self.instances
             .iter()
@@ -500,7 +508,7 @@
             .collect()
     }
 
-    /// The acts since the last call. Example: `for action in work.take_actions() { .. }`.
+    /// Drains the actions since the last call. Example: `for action in scheduler.take_actions() { .. }`.
     pub fn take_actions(&mut self) -> Vec<SchedulerAction> {
         std::mem::take(&mut self.actions)
     }
@@ -513,8 +521,8 @@
         self.instances.iter().filter(|(_, instance)| !matches!(instance.phase, Phase::Draining { .. }))
     }
 
-    /// A node asks for a ticket; asking again is always safe.
-    /// Example: `work.request(9, 1, Micros::from_secs(4), 0, "", now)`.
+    /// Handles a node's permit request; repeating a request is always safe.
+    /// Example: `scheduler.request(9, 1, Micros::from_secs(4), 0, "", now)`.
     pub fn request(
         &mut self,
         requester: NodeId,
@@ -528,8 +536,8 @@
         self.request_with_details(requester, request_id, time_left, dispatches, details, now);
     }
 
-    /// The same with what the call's lane says of its urgency, and where it comes from.
-    /// Example: `work.request_with_details(9, 1, Micros::from_secs(4), 0, RequestDetails::default(), now)`.
+    /// The same with the call's urgency and the requester's zone.
+    /// Example: `scheduler.request_with_details(9, 1, Micros::from_secs(4), 0, RequestDetails::default(), now)`.
     pub fn request_with_details(
         &mut self,
         requester: NodeId,
@@ -539,7 +547,7 @@
         RequestDetails { avoid, urgency, zone }: RequestDetails,
         now: Micros,
     ) {
-        let is_extra = dispatches > 0;
+        let is_retry = dispatches > 0;
         if let Some(permit_id) = self.by_request.get(&(requester, request_id)).copied()
             && let Some(open_permit) = self.open.get_mut(&permit_id)
         {
@@ -548,8 +556,8 @@
                 self.actions.push(SchedulerAction::Grant { requester, request_id, permit, is_remote: false });
                 return;
             }
-            // The call's dispatch before this one is over, and its return is late or lost: one ticket
-            // is never granted for two dispatches. Its place is free when the return comes.
+            // The call's previous dispatch has ended, but its return is late or lost. A permit is never
+            // granted for two dispatches; the old slot is freed when the return arrives.
             self.by_request.remove(&(requester, request_id));
         }
         if let Some(waiting) = self
@@ -561,21 +569,21 @@
             self.defer(requester, request_id, Deferral::Waiting, "waiting", Micros(0));
             return;
         }
-        if !is_extra {
+        if !is_retry {
             self.demand.called(now);
             self.called_at = now;
             self.zone_calls.record_call(zone, now);
         }
-        let extras_waiting = self.queue.iter().filter(|waiting| waiting.dispatches > 0).count();
-        let may_wait = self.extras.is_young(now) && extras_waiting < RETRIES_WAITING_LIMIT;
-        if is_extra && !may_wait && !self.extras.may_spend(now) {
+        let retries_waiting = self.queue.iter().filter(|waiting| waiting.dispatches > 0).count();
+        let may_wait = self.retries.is_in_first_window(now) && retries_waiting < RETRIES_WAITING_LIMIT;
+        if is_retry && !may_wait && !self.retries.may_spend(now) {
             self.defer(requester, request_id, Deferral::Refused, RETRIES_EXHAUSTED, Micros::from_secs(1));
             return;
         }
-        // A nested call that is turned away fails its caller, which has run for nothing: such calls have as
-        // many places again.
-        let places = self.settings.queue_limit * if urgency.is_nested { 2 } else { 1 };
-        let turn = if is_extra { AGAIN } else { self.turns.next(&self.queue, &urgency) };
+        // Refusing a nested call fails its caller, whose work is then lost: such calls get twice the queue
+        // length.
+        let queue_limit = self.settings.queue_limit * if urgency.is_nested { 2 } else { 1 };
+        let start_tag = if is_retry { RETRY_TAG } else { self.fair_order.next(&self.queue, &urgency) };
         let waiting = QueuedRequest {
             requester,
             request_id,
@@ -584,16 +592,16 @@
             seen_at: now,
             avoid: avoid.to_owned(),
             urgency,
-            turn,
+            start_tag,
             zone,
         };
-        let is_full = self.queue.len() >= places || self.open.len() >= OPEN_LIMIT;
+        let is_full = self.queue.len() >= queue_limit || self.open.len() >= OPEN_LIMIT;
         if is_full && !self.make_room(&waiting) {
             self.refuse_for_room(requester, request_id);
             return;
         }
-        match is_extra {
-            // A call that was turned away has waited its turn already.
+        match is_retry {
+            // A retry has already waited for its first dispatch.
             true => self.queue.push_front(waiting),
             false => self.queue.push_back(waiting),
         }
@@ -605,15 +613,15 @@
         }
     }
 
-    /// The list is full: one in it gives way, or the newcomer does.
+    /// Makes room in a full queue by evicting a request; `false` if the newcomer is refused instead.
     fn make_room(&mut self, newcomer: &QueuedRequest) -> bool {
         if self.open.len() >= OPEN_LIMIT {
             return false;
         }
-        let Some(place) = self.turns.yields_to(&self.queue, newcomer) else { return false };
+        let Some(index) = self.fair_order.replaced_by(&self.queue, newcomer) else { return false };
         let (refused_requester, refused_request) =
-            (self.queue[place].requester, self.queue[place].request_id);
-        self.drop_waiting(place);
+            (self.queue[index].requester, self.queue[index].request_id);
+        self.drop_waiting(index);
         self.refuse_for_room(refused_requester, refused_request);
         true
     }
@@ -623,21 +631,21 @@
         self.defer(requester, request_id, Deferral::Refused, "waitlist full", retry_after);
     }
 
-    /// The asker's call is over before a ticket came. Example: `work.withdraw(9, 1)`.
+    /// Drops a queued request whose call has ended. Example: `scheduler.withdraw(9, 1)`.
     pub fn withdraw(&mut self, requester: NodeId, request_id: u64) {
-        let place = self
+        let index = self
             .queue
             .iter()
             .position(|waiting| (waiting.requester, waiting.request_id) == (requester, request_id));
-        if let Some(place) = place {
-            self.drop_waiting(place);
+        if let Some(index) = index {
+            self.drop_waiting(index);
         }
     }
 
-    /// Takes an ask off the list that is not served.
-    fn drop_waiting(&mut self, place: usize) {
-        if let Some(dropped) = self.queue.remove(place) {
-            turns::close_gap(&mut self.queue, &dropped);
+    /// Removes a request from the queue without serving it.
+    fn drop_waiting(&mut self, index: usize) {
+        if let Some(dropped) = self.queue.remove(index) {
+            fair_order::close_gap(&mut self.queue, &dropped);
         }
     }
 
@@ -652,24 +660,24 @@
         self.actions.push(SchedulerAction::Defer { requester, request_id, deferral, reason, retry_after });
     }
 
-    /// An extra dispatch counts from its grant: it may have waited for seconds by then.
+    /// A retry is counted when it is granted, which may be seconds after its request.
     fn spend_retry(&mut self, now: Micros) -> bool {
-        self.extras.spend(now)
+        self.retries.spend(now)
     }
 
-    /// What a ticket's end tells of arrivals: only what surely reached a cell counts as a call, and only
-    /// what surely did not makes room for another extra dispatch.
+    /// Updates the retry budget from a permit's outcome: only a call known to have reached an instance counts
+    /// as a call, and only a retry known not to have reached one is given back.
     fn count_arrival(&mut self, open_permit: &OpenPermit, outcome: u8) {
         let Some(granted_at) = open_permit.granted_at else { return };
         match outcome {
-            RAN | REFUSED_BUSY if open_permit.dispatches == 0 => self.extras.call_arrived(granted_at),
-            NOT_RUN | UNUSED if open_permit.dispatches > 0 => self.extras.not_arrived(granted_at),
+            RAN | REFUSED_BUSY if open_permit.dispatches == 0 => self.retries.call_arrived(granted_at),
+            NOT_RUN | UNUSED if open_permit.dispatches > 0 => self.retries.retry_not_arrived(granted_at),
             _ => {}
         }
     }
 
-    /// Tickets that a node held when this steward took over.
-    /// Example: `work.record_held_permit(9, vec![(permit, Micros::from_secs(2))], now)`.
+    /// Records permits that a node held when this leader took over.
+    /// Example: `scheduler.record_held_permit(9, vec![(permit, Micros::from_secs(2))], now)`.
     pub fn record_held_permit(&mut self, node: NodeId, permits: Vec<(Permit, Micros)>, now: Micros) {
         self.awaited_holders.retain(|awaited_holder| *awaited_holder != node);
         self.drop_returned(node, &permits);
@@ -696,30 +704,33 @@
         }
     }
 
-    /// A ticket comes back with how it went. Example: `work.returned(&permit, RAN, latency, now)`.
+    /// Handles a returned permit and the outcome of its call.
+    /// Example: `scheduler.returned(&permit, RAN, latency, now)`.
     pub fn returned(&mut self, permit: &Permit, outcome: u8, latency: Micros, now: Micros) {
         let Some(mut open_permit) = self.open.remove(&permit.id) else { return };
         self.forget_request(&open_permit, permit.id);
         self.count_arrival(&open_permit, outcome);
         let mut ready_changed = false;
-        let is_lingering = matches!(outcome, UNKNOWN | ABANDONED) && !open_permit.is_over;
+        let keeps_slot = matches!(outcome, UNKNOWN | ABANDONED) && !open_permit.is_over;
         if let Some(instance) = self.instances.get_mut(&open_permit.instance) {
-            if !is_lingering {
+            if !keeps_slot {
                 instance.in_flight = instance.in_flight.saturating_sub(1);
             }
             ready_changed = apply_outcome(instance, outcome, now);
-            if let Some(boot_start) = instance.booted_from {
-                // A cell that died in its boot says nothing of boots: calls must not be turned away for
-                // a time that the configuration does not know of.
+            if let Some(boot_started_at) = instance.boot_started_at {
+                // An instance that died while booting must not raise the estimate without bound: calls would
+                // be refused for a wait that the configured boot time does not justify.
                 let longest_boot = Micros(self.settings.boot.0 * 2);
-                let learnt = learn_boot(self.learnt_boot, (now - latency) - boot_start, outcome);
-                self.learnt_boot = learnt.min(longest_boot);
+                let updated_estimate =
+                    updated_boot_estimate(self.boot_estimate, (now - latency) - boot_started_at, outcome);
+                self.boot_estimate = updated_estimate.min(longest_boot);
             }
             if outcome == RAN {
-                instance.booted_from = None;
+                instance.boot_started_at = None;
                 self.refused_busy_in_row = 0;
-                // Each answer under a hold lets one call more in: what filled the cells may be over.
-                self.held_to.0 = self.held_to.0.saturating_add(1);
+                // Each response raises the function's limit by one call: the load from other senders may be
+                // over.
+                self.call_limit.0 = self.call_limit.0.saturating_add(1);
                 self.knows_latency = true;
             }
             let is_slow = outcome == UNKNOWN && latency > self.usual_latency;
@@ -727,17 +738,17 @@
                 RAN => 0,
                 _ => self.slow_in_row + u32::from(is_slow),
             };
-            self.usual_latency = learn_latency(self.usual_latency, latency, outcome, self.slow_in_row);
+            self.usual_latency = updated_latency(self.usual_latency, latency, outcome, self.slow_in_row);
         }
         if ready_changed {
             self.actions.push(SchedulerAction::ReadyChanged);
         }
-        if is_lingering {
-            // Whoever gave up on the answer does not end the cell's work: its place stays taken for
-            // as long as calls take.
+        if keeps_slot {
+            // The instance may continue the call after the requester gave up on it: the slot stays in use for
+            // as long as calls usually take.
             open_permit.is_over = true;
-            let lingering = Micros((self.usual_latency.0 * 2).max(latency.0));
-            open_permit.ends_at = now + lingering.clamp(LEAST_LINGERING, MOST_LINGERING);
+            let slot_retention = Micros((self.usual_latency.0 * 2).max(latency.0));
+            open_permit.ends_at = now + slot_retention.clamp(MIN_SLOT_RETENTION, MAX_SLOT_RETENTION);
             self.open.insert(permit.id, open_permit);
         }
         if outcome == REFUSED_BUSY {
@@ -747,9 +758,9 @@
     }
 
     fn forget_request(&mut self, open_permit: &OpenPermit, permit_id: u64) {
-        let place = (open_permit.requester, open_permit.request_id);
-        if self.by_request.get(&place) == Some(&permit_id) {
-            self.by_request.remove(&place);
+        let request_key = (open_permit.requester, open_permit.request_id);
+        if self.by_request.get(&request_key) == Some(&permit_id) {
+            self.by_request.remove(&request_key);
         }
     }
 
@@ -761,26 +772,27 @@
         self.refused_busy_in_row += 1;
         if self.refused_busy.len() >= REFUSED_BUSY_LIMIT {
             self.refused_busy.pop_front();
-            let held_before = if now < self.held_to.1 { self.held_to.0 } else { usize::MAX };
-            self.held_to = (self.open.len().clamp(1, held_before), now + REFUSED_BUSY_WINDOW);
+            let previous_limit = if now < self.call_limit.1 { self.call_limit.0 } else { usize::MAX };
+            self.call_limit = (self.open.len().clamp(1, previous_limit), now + REFUSED_BUSY_WINDOW);
             let doublings = self.refused_busy_in_row.saturating_sub(REFUSED_BUSY_LIMIT as u32).min(4);
             self.paused_until = now + Micros(REFUSED_BUSY_PAUSE.0 << doublings);
         }
     }
 
-    /// A colleague that was away is back: the calls it sent to cells meanwhile are asked for, and for
-    /// a second cells are used at a quarter. Example: `work.peer_returned(9, now)`.
+    /// Handles the return of an unreachable peer: the permits it used meanwhile are requested, and for a
+    /// second instances are used up to a quarter of their limit.
+    /// Example: `scheduler.peer_returned(9, now)`.
     pub fn peer_returned(&mut self, node: NodeId, now: Micros) {
         if !self.awaited_holders.contains(&node) {
             self.awaited_holders.push(node);
         }
-        self.careful_until = self.careful_until.max(now + RETURNED_PEER_TIMEOUT);
-        // Others beyond the same cut may not have been heard of yet.
-        self.back_until = now + RETURNED_PEER_TIMEOUT;
+        self.half_limit_until = self.half_limit_until.max(now + RETURNED_PEER_TIMEOUT);
+        // Other peers from the other side of the same partition may not be known to be back yet.
+        self.quarter_limit_until = now + RETURNED_PEER_TIMEOUT;
     }
 
-    /// Takes the platform's list of this function's cells; `listed_at` is when it was asked for.
-    /// Example: `work.listed(&instances, &known_ready, requested_at, now)`.
+    /// Updates the instances from the platform's list; `listed_at` is when the list was requested.
+    /// Example: `scheduler.listed(&instances, &known_ready, requested_at, now)`.
     pub fn listed(
         &mut self,
         listed_instances: &[ListedInstance],
@@ -793,11 +805,11 @@
             if let Some(instance) = self.instances.get_mut(&listed_instance.id) {
                 instance.listed = true;
                 if listed_instance.started
-                    && instance.booted_from.is_some()
+                    && instance.boot_started_at.is_some()
                     && !matches!(instance.phase, Phase::Draining { .. })
                 {
-                    // Whether it serves is known without a first call.
-                    instance.booted_from = None;
+                    // It is known to run; no trial call is needed.
+                    instance.boot_started_at = None;
                     if matches!(instance.phase, Phase::Unproven { .. }) {
                         instance.phase = Phase::Ready;
                     }
@@ -809,7 +821,7 @@
                 }
                 continue;
             }
-            // Adopted: in flight already are the tickets that other nodes told of.
+            // A discovered instance already runs the calls of permits that other nodes reported.
             let in_flight =
                 self.open.values().filter(|permit| permit.instance == listed_instance.id).count() as u32;
             let phase = match (
@@ -825,34 +837,35 @@
                 worker: listed_instance.worker.clone(),
                 phase,
                 in_flight,
-                booted_from: None,
-                known_at: now,
+                boot_started_at: None,
+                first_seen_at: now,
                 listed: true,
                 errors_in_row: 0,
                 limit: u32::MAX,
                 limited_until: Micros(0),
-                hold: FIRST_HOLD,
+                limit_period: FIRST_LIMIT_PERIOD,
             };
             self.instances.insert(listed_instance.id.clone(), adopted_instance);
             ready_changed = true;
-            // The steward before kept these cells for calls that this one has not seen: they count as
-            // needed for one idle span.
+            // The previous leader kept these instances for calls that this one has not seen: they count as
+            // needed for one idle period.
             let usable_count = self.usable_instances().count() as u32;
             self.peak.0 = self.peak.0.max(usable_count * self.settings.calls_at_once);
             self.hold_instances(usable_count, now);
-            self.discovered_until = now + DISCOVERED_SPAN;
+            self.discovered_until = now + DISCOVERED_RETENTION;
         }
-        // From now on it is known which cells run.
-        if std::mem::take(&mut self.is_adopting) {
+        // From now on the running instances are known.
+        if std::mem::take(&mut self.awaits_first_list) {
             self.no_room_until = Micros(0);
         }
         let is_listed = |id: &str| listed_instances.iter().any(|listed_instance| listed_instance.id == id);
         let instance_count = self.instances.len();
-        // A cell is gone once it was listed and no longer is; a fresh one may be listed late.
+        // An instance is gone once it was listed and no longer is; a new one may appear in the list with a
+        // delay.
         self.instances.retain(|id, instance| {
             is_listed(id)
-                || (!instance.listed && listed_at < instance.known_at + LIST_TIMEOUT)
-                || listed_at < instance.known_at
+                || (!instance.listed && listed_at < instance.first_seen_at + LIST_TIMEOUT)
+                || listed_at < instance.first_seen_at
         });
         if ready_changed || instance_count != self.instances.len() {
             self.actions.push(SchedulerAction::ReadyChanged);
@@ -860,8 +873,8 @@
         self.serve(now);
     }
 
-    /// Cells on workers that drain or are gone leave with them, also those that boot and that no list
-    /// shows yet. Example: `work.evacuate_workers(|worker| placement.is_usable(worker), now)`.
+    /// Drains instances on unusable workers, including booting instances that no list shows yet.
+    /// Example: `scheduler.evacuate_workers(|worker| placement.is_usable(worker), now)`.
     pub fn evacuate_workers(&mut self, is_usable: impl Fn(&str) -> bool, now: Micros) {
         let mut ready_changed = false;
         for instance in self.instances.values_mut() {
@@ -876,7 +889,7 @@
         }
     }
 
-    /// The answer to a start. Example: `work.started("7-12-1", StartOutcome::NoRoom, now)`.
+    /// Handles the outcome of a start. Example: `scheduler.started("7-12-1", StartOutcome::NoRoom, now)`.
     pub fn started(&mut self, start_id: &str, outcome: StartOutcome, now: Micros) {
         if self.starting.remove(start_id).is_none() {
             return;
@@ -888,13 +901,13 @@
                     worker,
                     phase: Phase::Unproven { trial_at: now + self.first_trial() },
                     in_flight: 0,
-                    booted_from: Some(now),
-                    known_at: now,
+                    boot_started_at: Some(now),
+                    first_seen_at: now,
                     listed: false,
                     errors_in_row: 0,
                     limit: u32::MAX,
                     limited_until: Micros(0),
-                    hold: FIRST_HOLD,
+                    limit_period: FIRST_LIMIT_PERIOD,
                 };
                 self.instances.entry(instance).or_insert(started_instance);
             }
@@ -902,7 +915,7 @@
         }
     }
 
-    /// Clock event: serves, sheds, starts, stops. Example: `work.tick(now)` each 25 ms.
+    /// Timer event: expires, serves, sheds, starts and stops. Example: `scheduler.tick(now)` each 25 ms.
     pub fn tick(&mut self, now: Micros) {
         self.ticked_at = now;
         self.expire(now);
@@ -912,8 +925,8 @@
         self.stop_surplus(now);
     }
 
-    /// Ends all: who waits is told to look for another steward.
-    /// Example: `work.defer_all(); for action in work.take_actions() { .. }`.
+    /// Defers all queued requests to another leader.
+    /// Example: `scheduler.defer_all(); for action in scheduler.take_actions() { .. }`.
     pub fn defer_all(&mut self) {
         for waiting in std::mem::take(&mut self.queue) {
             self.defer(
@@ -939,40 +952,42 @@
                 }
             }
         }
-        // An asker that went silent is gone; one whose time is over refuses its call itself.
+        // Requests that were not repeated in time have lost their requester. A requester whose call has ended
+        // refuses the call itself.
         let is_over =
             |waiting: &QueuedRequest| now >= waiting.ends_at || now >= waiting.seen_at + REQUEST_EXPIRY;
-        while let Some(place) = self.queue.iter().rposition(is_over) {
-            self.drop_waiting(place);
+        while let Some(index) = self.queue.iter().rposition(is_over) {
+            self.drop_waiting(index);
         }
-        self.starting.retain(|_, (sent_at, _)| now < *sent_at + START_FORGOTTEN);
+        self.starting.retain(|_, (sent_at, _)| now < *sent_at + START_TIMEOUT);
         if self.last_instances.len() > LAST_INSTANCES_LIMIT {
             self.last_instances.clear();
         }
-        self.note_load(now);
+        self.update_kept_instances(now);
     }
 
-    /// Keeps so many cells for a while, from now on: the memory for them is claimed before the next clock event.
+    /// Keeps a number of instances for a while, effective at once: memory is claimed before the next timer
+    /// event.
     fn hold_instances(&mut self, instances: u32, now: Micros) {
-        self.demand.hold(instances, now + DISCOVERED_SPAN);
-        self.worth.1 = self.demand.kept(self.worth.0, now);
+        self.demand.hold(instances, now + DISCOVERED_RETENTION);
+        self.cost_model_instances.1 = self.demand.kept(self.cost_model_instances.0, now);
     }
 
-    /// Judges how many cells to keep: by the peak of the last idle span where the configuration names
-    /// one, by the cost model otherwise.
-    fn note_load(&mut self, now: Micros) {
+    /// Updates how many instances to keep: from the peak of the last idle period if the configuration has
+    /// one, otherwise from the cost model.
+    fn update_kept_instances(&mut self, now: Micros) {
         let Some(idle) = self.settings.idle else {
             self.demand.note(now, self.offered_load());
             let shape = InstanceShape {
                 memory_mb: self.settings.memory_mb.max(1) as f64,
                 boot: self.settings.boot,
                 calls_at_once: self.settings.calls_at_once,
-                target: self.settings.target.unwrap_or(UNNAMED_TARGET),
+                target: self.settings.target.unwrap_or(DEFAULT_TARGET),
                 costs: self.settings.costs,
             };
             let zone_shares = self.zone_calls.largest_shares();
             let wanted = self.demand.wanted(&shape, &zone_shares, self.usual_latency, now);
-            self.worth = (wanted, self.demand.kept(wanted, now));
+            self.cost_model_instances = (wanted, self.demand.kept(wanted, now));
             return;
         };
         if now >= self.peak_rotated_at + Micros(idle.0 / 2) {
@@ -982,64 +997,66 @@
         self.peak.0 = self.peak.0.max(self.needed_calls());
     }
 
-    /// Slots that the calls of now take: one for each that is under way, and for those that wait what it
-    /// takes to be through with them within the time of a boot. A call that waits is a short piece of work,
-    /// not a slot's worth of load: counted as such, a queue would start many times the cells it needs.
+    /// Slots that the current calls need: one for each running call, and for queued calls as many as complete
+    /// them within a boot time. Counting a whole slot for each queued call would start many times the
+    /// instances needed for a queue of short calls.
     fn offered_load(&self) -> f64 {
-        let turns = (self.settings.boot.0 as f64 / self.usual_latency.0.max(1) as f64).max(1.0);
-        self.open.len() as f64 + self.queue.len() as f64 / turns
+        let rounds = (self.settings.boot.0 as f64 / self.usual_latency.0.max(1) as f64).max(1.0);
+        self.open.len() as f64 + self.queue.len() as f64 / rounds
     }
 
-    /// When a booting cell is first tried: boots differ, and where the cost model counts the calls that
-    /// are late a trial too early costs less than one too late.
+    /// When a booting instance gets its first trial call. Boot times vary, and under the cost model, which
+    /// counts late calls, a trial too early costs less than one too late.
     fn first_trial(&self) -> Micros {
         match self.settings.idle {
-            Some(_) => self.learnt_boot,
-            None => Micros(self.learnt_boot.0.min(self.settings.boot.0) * 7 / 10),
+            Some(_) => self.boot_estimate,
+            None => Micros(self.boot_estimate.0.min(self.settings.boot.0) * 7 / 10),
         }
     }
 
-    fn is_careful(&self, now: Micros) -> bool {
-        !self.awaited_holders.is_empty() && now < self.careful_until
+    fn is_half_limited(&self, now: Micros) -> bool {
+        !self.awaited_holders.is_empty() && now < self.half_limit_until
     }
 
-    /// Room on a cell now: none, or the calls it already has.
-    fn room(&self, instance: &Instance, now: Micros) -> Option<u32> {
-        let full_limit = match (now < self.back_until, self.is_careful(now)) {
+    /// The current calls of an instance with room for another, or `None`.
+    fn load_if_available(&self, instance: &Instance, now: Micros) -> Option<u32> {
+        let full_limit = match (now < self.quarter_limit_until, self.is_half_limited(now)) {
             (true, _) => (self.settings.calls_at_once / 4).max(1),
             (false, true) => (self.settings.calls_at_once / 2).max(1),
             (false, false) => self.settings.calls_at_once,
         };
-        // What a turn-away took off comes back one call at a time: whoever else sends to the cell is
-        // found out by a call a second, not by a burst.
-        let regained = (now - instance.limited_until).0 / LIMIT_REGAINED_EACH.0;
-        let limit = full_limit.min(instance.limit.saturating_add(regained as u32));
+        // A limit set by a busy refusal recovers by one call at a time, so load from other senders is found
+        // with one call and not with a burst.
+        let recovered = (now - instance.limited_until).0 / LIMIT_RECOVERY_INTERVAL.0;
+        let limit = full_limit.min(instance.limit.saturating_add(recovered as u32));
         match instance.phase {
             Phase::Ready => (instance.in_flight < limit).then_some(instance.in_flight),
-            // The first call goes alone, after all proven room is used.
+            // The trial call goes alone, and only when no running instance has room.
             Phase::Unproven { trial_at } => (now >= trial_at && instance.in_flight == 0).then_some(u32::MAX),
             Phase::Trial | Phase::Draining { .. } => None,
         }
     }
 
-    /// In the asker's zone, if a cell there that runs has room, and elsewhere otherwise: the cell with the
-    /// fewest calls, or the one that the asker used last where that has hardly more. It spares a connection,
-    /// and the calls stay spread.
+    /// Picks an instance in the requester's zone if a running one there has room, otherwise elsewhere: the
+    /// least loaded one, or the requester's last instance if that has few more calls. This reuses connections
+    /// and keeps the calls spread.
     fn pick_instance(&self, waiting: &QueuedRequest, now: Micros) -> Option<String> {
-        let rooms = self.instances.iter().filter_map(|(id, instance)| {
-            let room = self.room(instance, now)?;
+        let candidates = self.instances.iter().filter_map(|(id, instance)| {
+            let load = self.load_if_available(instance, now)?;
             let is_unproven = instance.phase != Phase::Ready;
-            Some((*id == waiting.avoid, is_unproven, self.is_remote(instance, waiting.zone), room, id))
+            Some((*id == waiting.avoid, is_unproven, self.is_remote(instance, waiting.zone), load, id))
         });
-        let (is_avoided, _, is_remote, fewest, emptiest) = rooms.min()?;
+        let (is_avoided, _, is_remote, lowest_load, least_loaded) = candidates.min()?;
         let last =
             self.last_instances.get(&waiting.requester).filter(|last| **last != waiting.avoid && !is_avoided);
-        let last_room = last.and_then(|last| {
+        let last_load = last.and_then(|last| {
             let instance = self.instances.get(last)?;
-            self.room(instance, now).filter(|_| is_remote || !self.is_remote(instance, waiting.zone))
+            self.load_if_available(instance, now)
+                .filter(|_| is_remote || !self.is_remote(instance, waiting.zone))
         });
-        let is_last_good = last_room.is_some_and(|calls| calls <= fewest.saturating_add(LAST_INSTANCE_MORE));
-        last.filter(|_| is_last_good).or(Some(emptiest)).cloned()
+        let prefers_last =
+            last_load.is_some_and(|calls| calls <= lowest_load.saturating_add(LAST_INSTANCE_EXTRA_CALLS));
+        last.filter(|_| prefers_last).or(Some(least_loaded)).cloned()
     }
 
     fn is_remote(&self, instance: &Instance, zone: Zone) -> bool {
@@ -1050,7 +1067,7 @@
         self.worker_zones.get(worker).copied().unwrap_or_default()
     }
 
-    /// Cells that are not leaving, and starts under way, by zone.
+    /// Instances that are not draining, and starts in progress, by zone.
     fn instances_by_zone(&self) -> BTreeMap<Zone, usize> {
         let mut instances: BTreeMap<Zone, usize> = BTreeMap::new();
         for (_, instance) in self.usable_instances() {
@@ -1062,48 +1079,49 @@
         instances
     }
 
-    /// The zone that lacks a cell most, by where calls come from.
+    /// The zone that lacks most instances for the calls that come from it.
     fn zone_for_a_start(&self) -> Zone {
         let missing = self.zone_calls.missing(&self.instances_by_zone());
         let most = missing.into_iter().max_by(|(_, left), (_, right)| left.total_cmp(right));
         most.map_or(Zone::default(), |(zone, _)| zone)
     }
 
-    /// Takes the zones of the workers. Example: `work.set_worker_zones(placement.zones())`.
+    /// Sets the zones of the workers. Example: `scheduler.set_worker_zones(placement.zones())`.
     pub fn set_worker_zones(&mut self, zones: Arc<WorkerZones>) {
         self.worker_zones = zones;
     }
 
-    /// Whose turn it is: a new steward's extra dispatches let others pass until they are granted.
-    fn next_place(&mut self, now: Micros) -> Option<usize> {
-        let is_extra_held = self.extras.is_young(now) && !self.extras.may_spend(now);
+    /// The index of the next request to serve. A new leader's queued retries do not block others while its
+    /// retry budget fills up.
+    fn next_index(&mut self, now: Micros) -> Option<usize> {
+        let holds_back_retries = self.retries.is_in_first_window(now) && !self.retries.may_spend(now);
         let answered_at = now + self.usual_latency;
         let eligible = self.queue.iter().enumerate();
-        let eligible = eligible.filter(|(_, waiting)| waiting.dispatches == 0 || !is_extra_held);
-        self.turns.first(eligible, answered_at)
+        let eligible = eligible.filter(|(_, waiting)| waiting.dispatches == 0 || !holds_back_retries);
+        self.fair_order.first(eligible, answered_at)
     }
 
     fn serve(&mut self, now: Micros) {
-        while let Some(place) = self.next_place(now) {
-            let waiting = &self.queue[place];
+        while let Some(index) = self.next_index(now) {
+            let waiting = &self.queue[index];
             if now >= waiting.ends_at {
-                self.drop_waiting(place);
+                self.drop_waiting(index);
                 continue;
             }
             if now + self.usual_latency > waiting.ends_at {
                 let (requester, request_id) = (waiting.requester, waiting.request_id);
-                self.drop_waiting(place);
+                self.drop_waiting(index);
                 let retry_after = self.usual_latency + Micros::from_secs(1);
                 self.defer(requester, request_id, Deferral::Refused, TOO_LATE, retry_after);
                 continue;
             }
-            let is_held = now < self.held_to.1 && self.open.len() >= self.held_to.0;
-            if is_held || now < self.paused_until {
+            let is_at_limit = now < self.call_limit.1 && self.open.len() >= self.call_limit.0;
+            if is_at_limit || now < self.paused_until {
                 return;
             }
             let Some(picked_id) = self.pick_instance(waiting, now) else { return };
-            let Some(waiting) = self.queue.remove(place) else { return };
-            self.turns.served(&self.queue, &waiting.urgency, waiting.turn);
+            let Some(waiting) = self.queue.remove(index) else { return };
+            self.fair_order.record_served(&self.queue, &waiting.urgency, waiting.start_tag);
             if waiting.dispatches > 0 && !self.spend_retry(now) {
                 let retry_after = Micros::from_secs(1);
                 self.defer(
@@ -1124,7 +1142,8 @@
             instance.in_flight += 1;
             let address = Address::from(instance.address);
             self.next_permit += 1;
-            // Unique over stewards: the epoch is in it, so an old steward's ticket is never mistaken.
+            // The epoch makes the id unique across leaders, so a previous leader's permit is never taken for
+            // this one's.
             let permit_id = peer_messages::stable_hash(
                 format!("{}/{}/{}", self.function, self.leader_epoch, self.next_permit).as_bytes(),
             );
@@ -1158,10 +1177,10 @@
         }
     }
 
-    /// Who cannot be served in time is told so at once, with when to come back.
+    /// Refuses requests that cannot be served in time as soon as that is known, with a time to retry after.
     fn shed(&mut self, now: Micros) {
-        let is_adopting = self.is_adopting && now < self.no_room_until;
-        if self.queue.is_empty() || is_adopting {
+        let awaits_first_list = self.awaits_first_list && now < self.no_room_until;
+        if self.queue.is_empty() || awaits_first_list {
             return;
         }
         let usable_count = self.usable_instances().count() as u64;
@@ -1171,30 +1190,31 @@
                 Phase::Unproven { trial_at } => trial_at.max(now),
                 _ => now,
             })
-            .chain(self.starting.values().map(|(sent_at, _)| (*sent_at + self.learnt_boot).max(now)))
+            .chain(self.starting.values().map(|(sent_at, _)| (*sent_at + self.boot_estimate).max(now)))
             .min();
         let calls_at_once = u64::from(self.settings.calls_at_once);
-        let cannot_grow = self.instance_count() >= self.allowed_instances() || now < self.no_room_until;
-        let turn_time = Micros(self.usual_latency.0 / (usable_count * calls_at_once).max(1));
+        let is_at_instance_limit =
+            self.instance_count() >= self.allowed_instances() || now < self.no_room_until;
+        let service_interval = Micros(self.usual_latency.0 / (usable_count * calls_at_once).max(1));
         let mut refused = Vec::new();
-        // Where the cells are as many as there may be the calls take turns at them, in the order they are served in.
-        let waiting_in_order = match cannot_grow {
-            true => self.turns.in_order(&self.queue, now + self.usual_latency),
+        // If no instance can be added, the calls are served one after the other in queue order.
+        let waiting_in_order = match is_at_instance_limit {
+            true => self.fair_order.in_order(&self.queue, now + self.usual_latency),
             false => self.queue.iter().collect(),
         };
-        let mut place = 0;
+        let mut calls_ahead = 0;
         for waiting in waiting_in_order {
             let served_at = match earliest_room {
-                Some(room_at) if cannot_grow => room_at + Micros(turn_time.0 * place),
+                Some(room_at) if is_at_instance_limit => room_at + Micros(service_interval.0 * calls_ahead),
                 Some(room_at) => room_at,
-                None if cannot_grow => now + self.learnt_boot,
+                None if is_at_instance_limit => now + self.boot_estimate,
                 None => now,
             };
-            // What cannot be answered in time is not begun: it would end as a call of unknown fate.
+            // A call that cannot be answered in time is not dispatched: its outcome would be unknown.
             if served_at + self.usual_latency > waiting.ends_at {
                 refused.push((waiting.requester, waiting.request_id, served_at - now));
             } else {
-                place += 1;
+                calls_ahead += 1;
             }
         }
         for (requester, request_id, retry_after) in refused {
@@ -1203,18 +1223,19 @@
         }
     }
 
-    /// A list that fills up turns calls away before the cells of one start after the other run: from an
-    /// eighth on, and for an eighth of a boot, they are to be served within the time of such an eighth, and
-    /// there are to be cells for all that come.
-    fn pressed_instances(&self, now: Micros) -> u32 {
+    /// Instances to start for a filling queue, which would refuse calls before instances started one at a
+    /// time could run. Once the queue has been an eighth full for an eighth of a boot time, there must be
+    /// enough instances to serve it within that time and to keep up with the arrivals.
+    fn instances_for_filling_queue(&self, now: Micros) -> u32 {
         let is_filling = self.queue.len() * 8 >= self.settings.queue_limit.max(8);
-        let timeout = Micros(self.learnt_boot.0 / 8);
-        let is_lasting = self.waiting_since.is_some_and(|since| now >= since + timeout);
-        let needed_instances = self.instances_to_serve_within(timeout).max(self.instances_for_arrivals(now));
-        if is_filling && is_lasting { needed_instances.min(self.settings.max_instances) } else { 0 }
+        let tolerated_wait = Micros(self.boot_estimate.0 / 8);
+        let is_filling_long = self.waiting_since.is_some_and(|since| now >= since + tolerated_wait);
+        let needed_instances =
+            self.instances_to_serve_within(tolerated_wait).max(self.instances_for_arrivals(now));
+        if is_filling && is_filling_long { needed_instances.min(self.settings.max_instances) } else { 0 }
     }
 
-    /// Cells whose slots the calls that come keep taken, whatever waits already.
+    /// Instances whose slots the arriving calls occupy, apart from the queue.
     fn instances_for_arrivals(&self, now: Micros) -> u32 {
         let slots = self.demand.peak_rate(now) * self.usual_latency.0 as f64 / 1e6;
         (slots / f64::from(self.settings.calls_at_once)).ceil() as u32
@@ -1229,20 +1250,24 @@
         }
         let is_waiting = !self.queue.is_empty();
         self.waiting_since = is_waiting.then(|| self.waiting_since.unwrap_or(now));
-        let timeout = Micros(self.learnt_boot.0 / 4);
-        // While a cell boots the calls may be waiting for just that one, unless more come than all will carry.
-        let is_growing = !self.starting.is_empty()
-            || self.instances.values().any(|instance| instance.booted_from.is_some());
-        // Where cells are kept by idling, one too many is of use later.
-        let is_counted = self.settings.idle.is_none();
-        let is_coming = is_counted && is_growing && self.instance_count() >= self.instances_for_arrivals(now);
-        let is_behind = !is_coming && self.waiting_since.is_some_and(|since| now >= since + timeout);
-        let behind_instances = if is_behind { self.instance_count() + 1 } else { 0 };
-        let pressed_instances = self.pressed_instances(now);
+        let tolerated_wait = Micros(self.boot_estimate.0 / 4);
+        // While an instance is booting, the calls may be waiting for just that one, unless the arrivals
+        // exceed the capacity of all.
+        let has_boots_in_progress = !self.starting.is_empty()
+            || self.instances.values().any(|instance| instance.boot_started_at.is_some());
+        // With an idle period configured, a surplus instance may still be used later.
+        let uses_cost_model = self.settings.idle.is_none();
+        let is_capacity_booting = uses_cost_model
+            && has_boots_in_progress
+            && self.instance_count() >= self.instances_for_arrivals(now);
+        let is_queue_waiting_long =
+            !is_capacity_booting && self.waiting_since.is_some_and(|since| now >= since + tolerated_wait);
+        let one_more_instance = if is_queue_waiting_long { self.instance_count() + 1 } else { 0 };
+        let instances_for_filling_queue = self.instances_for_filling_queue(now);
         let wanted = self
             .wanted_instances()
-            .max(behind_instances.min(self.settings.max_instances))
-            .max(pressed_instances)
+            .max(one_more_instance.min(self.settings.max_instances))
+            .max(instances_for_filling_queue)
             .min(self.allowed_instances());
         if self.instance_count() < wanted {
             self.waiting_since = None;
@@ -1262,22 +1287,22 @@
         let usable_count = self.usable_instances().count() as u32;
         if usable_count > kept_instances {
             let surplus_ids: Vec<String> = {
-                // Cells not known to run go first, so that the kept ones do run; then those of zones that have
-                // more than their calls need.
+                // Stops instances not known to run first, so that running ones are kept; then those in zones
+                // with more instances than their calls need.
                 let missing = self.zone_calls.missing(&self.instances_by_zone());
                 let missing_of = |instance: &Instance| {
                     let missing = missing.get(&self.zone_of(&instance.worker)).copied().unwrap_or(0.0);
                     (missing * 1e3) as i64
                 };
-                let mut by_worth: Vec<(bool, i64, u32, &String)> = self
+                let mut in_stop_order: Vec<(bool, i64, u32, &String)> = self
                     .usable_instances()
                     .filter(|(_, instance)| !matches!(instance.phase, Phase::Trial))
                     .map(|(id, instance)| {
                         (instance.phase == Phase::Ready, missing_of(instance), instance.in_flight, id)
                     })
                     .collect();
-                by_worth.sort();
-                by_worth
+                in_stop_order.sort();
+                in_stop_order
                     .into_iter()
                     .take((usable_count - kept_instances) as usize)
                     .map(|(.., id)| id.clone())
@@ -1292,7 +1317,7 @@
         }
         for (id, instance) in &mut self.instances {
             let Phase::Draining { stop_sent } = instance.phase else { continue };
-            let is_due = stop_sent.is_none_or(|sent_at| now >= sent_at + STOP_REPEAT);
+            let is_due = stop_sent.is_none_or(|sent_at| now >= sent_at + STOP_RETRY_INTERVAL);
             if instance.in_flight == 0 && is_due {
                 instance.phase = Phase::Draining { stop_sent: Some(now) };
                 self.actions.push(SchedulerAction::Stop { instance: id.clone() });
--- a/packages/function_scheduler/src/scheduler/handover.rs
+++ b/packages/function_scheduler/src/scheduler/handover.rs
@@ -1,48 +1,49 @@
-//! What a leader hands to the one that it gives a function to: the tickets that are out, and who waits.
+//! The state a leader transfers to its successor for a function: the open permits and the queue.
 
 use super::{FunctionScheduler, OpenPermit, Urgency};
 use monotonic_clock::Micros;
 use peer_messages::{HeldPermit, NodeId, Permit, TransferredDemand, TransferredPermit};
 
-/// An ask that waits as its leader goes. Example: see `FunctionScheduler::begin_handover`.
+/// A queued request at the time of a handover. Example: see `FunctionScheduler::begin_handover`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
-    /// Who asks, and under which number.
+    /// The node that requests the permit.
     pub requester: NodeId,
-    /// The ask's number.
+    /// The requester's id for the request.
     pub request_id: u64,
-    /// Until the call's time is over.
+    /// Time left until the call's deadline.
     pub time_left: Micros,
     /// Dispatches of the call so far.
     pub dispatches: u32,
-    /// The cell that the last of them failed on; empty for none.
+    /// The instance on which the last dispatch failed; empty for none.
     pub avoid: String,
-    /// Until the call's answer is late; none where no lane names a target.
+    /// Time left until the response is late; none if no route has a target.
     pub target_left: Option<Micros>,
-    /// Zero goes first.
+    /// Lower ranks go first.
     pub rank: u16,
-    /// Tells apart who calls; zero where no tenant does.
+    /// Hash of the calling tenant; zero for none.
     pub tenant: u32,
-    /// A call under way made it.
+    /// The call was made by a running call.
     pub is_nested: bool,
 }
 
-/// A function's work as its leader goes. Example: `let handover = work.begin_handover(now);`.
+/// A function's state at the time of a handover. Example: `let handover = scheduler.begin_handover(now);`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverState {
-    /// Whether the tickets are all that are out: a leader that still asks for others' does not know.
+    /// Whether `permits` holds all open permits; `false` while the leader itself still awaits the permits of
+    /// others.
     pub is_whole: bool,
-    /// The tickets that are out.
+    /// The open permits.
     pub permits: Vec<TransferredPermit>,
-    /// Who waits, in the order of the list.
+    /// The queued requests, in queue order.
     pub requests: Vec<TransferredRequest>,
-    /// What was seen of the calls, and how many cells are kept for them.
+    /// The call history, and the number of instances kept for it.
     pub demand: TransferredDemand,
 }
 
 impl FunctionScheduler {
-    /// Empties the list of those who wait and tells what is under way; nothing is granted any more.
-    /// Example: `let handover = work.begin_handover(now);`.
+    /// Empties the queue and returns it together with the open permits; no permit is granted after this.
+    /// Example: `let handover = scheduler.begin_handover(now);`.
     pub fn begin_handover(&mut self, now: Micros) -> HandoverState {
         let waiting = std::mem::take(&mut self.queue).into_iter().filter(|waiting| now < waiting.ends_at);
         let requests = waiting.map(|waiting| TransferredRequest {
@@ -64,24 +65,24 @@
             is_over: u8::from(open.is_over),
         });
         HandoverState {
-            is_whole: !self.is_careful(now),
+            is_whole: !self.is_half_limited(now),
             permits: permits.collect(),
             requests: requests.collect(),
             demand: TransferredDemand {
                 instances_kept,
                 usual_latency_micros: if self.knows_latency { self.usual_latency.0 } else { 0 },
-                boot_micros: self.learnt_boot.0,
+                boot_micros: self.boot_estimate.0,
                 ..self.demand.handover(now)
             },
         }
     }
 
-    /// Takes over what the leader before knew to be out: cells are used in full at once, and only those who
-    /// hold tickets are asked whether they still do.
-    /// Example: `work.accept_handover(handover.permits, now)`.
+    /// Takes over the permits that the previous leader knew to be open. Instances are used up to their full
+    /// limit at once, and only the holders of these permits are queried for what they still hold.
+    /// Example: `scheduler.accept_handover(handover.permits, now)`.
     pub fn accept_handover(&mut self, permits: Vec<TransferredPermit>, now: Micros) {
         self.awaited_holders.clear();
-        self.careful_until = now;
+        self.half_limit_until = now;
         for handover in permits {
             let TransferredPermit { requester, held, is_over } = handover;
             if !self.awaited_holders.contains(&requester) && requester != self.own {
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Goes on from what the leader before saw of the calls and of the cells' boots.
-    /// Example: `work.resume_demand(&handover.demand, now)`.
+    /// Continues from the previous leader's call history, latency and boot time.
+    /// Example: `scheduler.resume_demand(&handover.demand, now)`.
     pub fn resume_demand(&mut self, handover: &TransferredDemand, now: Micros) {
         self.demand.resume(handover, now);
         if handover.called_for_micros > 0 {
@@ -123,11 +124,11 @@
         }
         if handover.boot_micros > 0 {
             let longest_boot = Micros(self.settings.boot.0 * 2);
-            self.learnt_boot = Micros(handover.boot_micros).min(longest_boot);
+            self.boot_estimate = Micros(handover.boot_micros).min(longest_boot);
         }
     }
 
-    /// Tickets of leaders before that a node does not name any more were returned to them.
+    /// Removes permits of previous leaders that a node no longer names: they were returned to those leaders.
     pub(super) fn drop_returned(&mut self, node: NodeId, held: &[(Permit, Micros)]) {
         let is_returned = |open: &OpenPermit| {
             let is_named = held.iter().any(|(permit, _)| permit.id == open.permit.id);
--- a/packages/function_scheduler/src/scheduler/handover/tests.rs
+++ b/packages/function_scheduler/src/scheduler/handover/tests.rs
@@ -6,7 +6,7 @@
 const OLD_LEADER: NodeId = 7;
 const NEW_LEADER: NodeId = 8;
 const REQUESTER: NodeId = 9;
-const LONG: Micros = Micros::from_secs(4);
+const AMPLE_TIME: Micros = Micros::from_secs(4);
 
 fn settings() -> SchedulerSettings {
     SchedulerSettings {
@@ -26,8 +26,8 @@
     Micros::from_millis(millis)
 }
 
-fn granted(work: &mut FunctionScheduler) -> Vec<(u64, Permit)> {
-    let actions = work.take_actions().into_iter();
+fn granted(scheduler: &mut FunctionScheduler) -> Vec<(u64, Permit)> {
+    let actions = scheduler.take_actions().into_iter();
     actions
         .filter_map(|action| match action {
             SchedulerAction::Grant { request_id, permit, .. } => Some((request_id, permit)),
@@ -36,32 +36,39 @@
         .collect()
 }
 
-/// A leader with one proven cell of two places, both taken, and two more calls that wait.
+/// A leader with one running instance of two slots, both in use, and two queued calls.
 fn full_leader() -> (FunctionScheduler, Vec<Permit>) {
-    let mut work = FunctionScheduler::new("proof", OLD_LEADER, 12, settings(), Vec::new(), at(0));
-    work.set_allowed_instances(1);
-    work.request(REQUESTER, 1, LONG, 0, "", at(0));
-    let start = work.take_actions().into_iter().find_map(|action| match action {
+    let mut scheduler = FunctionScheduler::new("proof", OLD_LEADER, 12, settings(), Vec::new(), at(0));
+    scheduler.set_allowed_instances(1);
+    scheduler.request(REQUESTER, 1, AMPLE_TIME, 0, "", at(0));
+    let start = scheduler.take_actions().into_iter().find_map(|action| match action {
         SchedulerAction::Start { start_id, .. } => Some(start_id),
         _ => None,
     });
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000));
     let outcome = StartOutcome::Started { instance: "c1".to_owned(), address, worker: "w1".to_owned() };
-    work.started(&start.expect("a start"), outcome, at(0));
-    work.tick(at(1_000));
-    let trial = granted(&mut work).remove(0);
-    work.returned(&trial.1, RAN, at(20), at(1_020));
+    scheduler.started(&start.expect("a start"), outcome, at(0));
+    scheduler.tick(at(1_000));
+    let trial = granted(&mut scheduler).remove(0);
+    scheduler.returned(&trial.1, RAN, at(20), at(1_020));
     for request_id in 2..=5 {
-        work.request_with_details(REQUESTER, request_id, LONG, 0, RequestDetails::default(), at(1_030));
+        scheduler.request_with_details(
+            REQUESTER,
+            request_id,
+            AMPLE_TIME,
+            0,
+            RequestDetails::default(),
+            at(1_030),
+        );
     }
-    let permits = granted(&mut work).into_iter().map(|(_, permit)| permit).collect();
-    (work, permits)
+    let permits = granted(&mut scheduler).into_iter().map(|(_, permit)| permit).collect();
+    (scheduler, permits)
 }
 
 fn successor_of(handover: HandoverState) -> FunctionScheduler {
-    let mut work =
+    let mut scheduler =
         FunctionScheduler::new("proof", NEW_LEADER, 20, settings(), vec![REQUESTER, 10, 11], at(1_100));
-    work.set_allowed_instances(1);
+    scheduler.set_allowed_instances(1);
     let instance = ListedInstance {
         id: "c1".to_owned(),
         function: "proof".to_owned(),
@@ -71,59 +78,59 @@
         draining: false,
         started: true,
     };
-    work.listed(&[instance], &["c1".to_owned()], at(1_100), at(1_100));
-    work.accept_handover(handover.permits, at(1_100));
-    work.resume_demand(&handover.demand, at(1_100));
-    work
+    scheduler.listed(&[instance], &["c1".to_owned()], at(1_100), at(1_100));
+    scheduler.accept_handover(handover.permits, at(1_100));
+    scheduler.resume_demand(&handover.demand, at(1_100));
+    scheduler
 }
 
 #[test]
-fn permits_that_are_out_and_those_who_wait_are_told_in_order() {
-    let (mut work, permits) = full_leader();
-    let handover = work.begin_handover(at(1_100));
+fn open_permits_and_queued_requests_are_transferred_in_order() {
+    let (mut scheduler, permits) = full_leader();
+    let handover = scheduler.begin_handover(at(1_100));
     assert!(handover.is_whole);
     assert_eq!(handover.permits.len(), permits.len());
     assert_eq!(handover.requests.iter().map(|request| request.request_id).collect::<Vec<_>>(), [4, 5]);
     assert_eq!(handover.requests[0].time_left, at(3_930));
-    assert_eq!(work.waiting_count(), 0);
+    assert_eq!(scheduler.waiting_count(), 0);
 }
 
 #[test]
-fn a_successor_grants_no_place_that_is_taken_and_asks_only_who_holds_permits() {
-    let (mut work, permits) = full_leader();
-    let mut successor = successor_of(work.begin_handover(at(1_100)));
+fn a_successor_grants_no_slot_in_use_and_queries_only_permit_holders() {
+    let (mut scheduler, permits) = full_leader();
+    let mut successor = successor_of(scheduler.begin_handover(at(1_100)));
     assert_eq!(successor.awaited_holders(), [REQUESTER]);
-    successor.request(10, 1, LONG, 0, "", at(1_110));
-    assert!(granted(&mut successor).is_empty(), "both places are taken");
+    successor.request(10, 1, AMPLE_TIME, 0, "", at(1_110));
+    assert!(granted(&mut successor).is_empty(), "both slots are in use");
     successor.returned(&permits[0], RAN, at(80), at(1_120));
     assert_eq!(granted(&mut successor).len(), 1);
-    successor.request(10, 2, LONG, 0, "", at(1_130));
-    assert!(granted(&mut successor).is_empty(), "one place was free, not two");
+    successor.request(10, 2, AMPLE_TIME, 0, "", at(1_130));
+    assert!(granted(&mut successor).is_empty(), "one slot was free, not two");
 }
 
 #[test]
-fn a_permit_that_its_requester_does_not_name_any_more_was_returned_to_the_leader_before() {
-    let (mut work, permits) = full_leader();
-    let mut successor = successor_of(work.begin_handover(at(1_100)));
+fn a_transferred_permit_that_its_holder_no_longer_names_is_dropped() {
+    let (mut scheduler, permits) = full_leader();
+    let mut successor = successor_of(scheduler.begin_handover(at(1_100)));
     let still_held = vec![(permits[0].clone(), at(3_000))];
     successor.record_held_permit(REQUESTER, still_held, at(1_120));
     assert_eq!(successor.open_count(), 1);
-    successor.request(10, 1, LONG, 0, "", at(1_130));
-    successor.request(10, 2, LONG, 0, "", at(1_130));
+    successor.request(10, 1, AMPLE_TIME, 0, "", at(1_130));
+    successor.request(10, 2, AMPLE_TIME, 0, "", at(1_130));
     assert_eq!(granted(&mut successor).len(), 1);
 }
 
 #[test]
-fn a_leader_that_still_asks_who_holds_permits_does_not_claim_to_know_all() {
-    let mut work = FunctionScheduler::new("proof", OLD_LEADER, 12, settings(), vec![REQUESTER], at(0));
-    assert!(!work.begin_handover(at(100)).is_whole);
+fn a_leader_still_awaiting_permit_holders_transfers_an_incomplete_state() {
+    let mut scheduler = FunctionScheduler::new("proof", OLD_LEADER, 12, settings(), vec![REQUESTER], at(0));
+    assert!(!scheduler.begin_handover(at(100)).is_whole);
 }
 
 #[test]
-fn a_successor_knows_the_rate_of_calls_at_once() {
-    let (mut work, _) = full_leader();
-    let before = (work.call_rate(at(1_100)) * 100.0).round();
-    let handover = work.begin_handover(at(1_100));
+fn a_successor_continues_with_the_previous_call_rate() {
+    let (mut scheduler, _) = full_leader();
+    let before = (scheduler.call_rate(at(1_100)) * 100.0).round();
+    let handover = scheduler.begin_handover(at(1_100));
     assert!(handover.demand.instances_kept >= 1);
     let successor = successor_of(handover);
     assert_eq!((successor.call_rate(at(1_100)) * 100.0).round(), before);
--- a/packages/function_scheduler/src/start_rate.rs
+++ b/packages/function_scheduler/src/start_rate.rs
@@ -1,94 +1,95 @@
-//! This node's part of the starts and stops that the platform takes from the whole fleet.
+//! This node's share of the fleet-wide rate of starts and stops that the platform accepts.
 
 use monotonic_clock::Micros;
 
-/// A bucket of acts that fills at this node's part of the platform's rate.
+/// A token bucket for platform operations, filled at this node's share of the platform's rate.
 /// Example: `let mut rate = StartRate::new(); rate.set_rate(8.0, now); rate.spend(now)`.
 #[derive(Debug)]
 pub struct StartRate {
     per_second: f64,
-    /// Acts that may be saved up.
-    most_saved: f64,
+    /// The bucket's capacity in operations.
+    capacity: f64,
     tokens: f64,
     filled_at: Micros,
-    held_until: Micros,
-    hold: Micros,
+    throttled_until: Micros,
+    backoff: Micros,
 }
 
-/// A node may save up so many acts, at the most: in a large fleet no more than two seconds of its equal part, since
-/// half of the acts is dealt out so and all nodes may act at once. Over all nodes that is a second of the whole rate.
-const LARGEST_SAVING: f64 = 4.0;
-const SAVING_SECONDS: f64 = 2.0;
-/// Nothing can be done with less than one act saved.
-const SMALLEST_SAVING: f64 = 1.0;
-const FIRST_HOLD: Micros = Micros::from_millis(100);
-const LONGEST_HOLD: Micros = Micros::from_millis(1_600);
+/// Largest burst, and its length in seconds of the node's equal share. Half of the rate is divided equally
+/// and all nodes may act at once: two seconds of it over all nodes are one second of the whole rate.
+const MAX_CAPACITY: f64 = 4.0;
+const CAPACITY_SECONDS: f64 = 2.0;
+/// An operation needs a whole token.
+const MIN_CAPACITY: f64 = 1.0;
+const FIRST_BACKOFF: Micros = Micros::from_millis(100);
+const MAX_BACKOFF: Micros = Micros::from_millis(1_600);
 
 impl StartRate {
-    /// One act, and no rate yet: a fleet whose processes all start anew at once begins with no more than
-    /// one act each. Example: `StartRate::new().spend(Micros(0))`.
+    /// Starts with one token and no rate, so that a fleet whose processes all restart at once begins with at
+    /// most one operation each.
+    /// Example: `StartRate::new().spend(Micros(0))`.
     pub fn new() -> StartRate {
         StartRate {
             per_second: 0.0,
-            most_saved: SMALLEST_SAVING,
-            tokens: SMALLEST_SAVING,
+            capacity: MIN_CAPACITY,
+            tokens: MIN_CAPACITY,
             filled_at: Micros(0),
-            held_until: Micros(0),
-            hold: FIRST_HOLD,
+            throttled_until: Micros(0),
+            backoff: FIRST_BACKOFF,
         }
     }
 
-    /// Sets the acts a second, of which `equal_share` are what every node has alike.
+    /// Sets the operations per second; `equal_share` is the part of them that every node has alike.
     /// Example: `rate.set_rate(8.0, 4.0, now)`.
     pub fn set_rate(&mut self, per_second: f64, equal_share: f64, now: Micros) {
         self.fill(now);
         self.per_second = per_second;
-        let equal_saving = (equal_share * SAVING_SECONDS).clamp(SMALLEST_SAVING, LARGEST_SAVING);
-        self.most_saved = equal_saving.max(per_second / 4.0);
+        let equal_capacity = (equal_share * CAPACITY_SECONDS).clamp(MIN_CAPACITY, MAX_CAPACITY);
+        self.capacity = equal_capacity.max(per_second / 4.0);
     }
 
     fn fill(&mut self, now: Micros) {
         let passed_seconds = (now - self.filled_at).0 as f64 / 1e6;
         self.filled_at = now;
-        self.tokens = (self.tokens + passed_seconds * self.per_second).min(self.most_saved);
+        self.tokens = (self.tokens + passed_seconds * self.per_second).min(self.capacity);
     }
 
-    /// Spends one act if there is one and the platform is not backing us off.
+    /// Spends one token if there is one and the platform is not throttling this node.
     /// Example: `if rate.spend(now) { start_instance() }`.
     pub fn spend(&mut self, now: Micros) -> bool {
         self.fill(now);
-        if now < self.held_until || self.tokens < 1.0 {
+        if now < self.throttled_until || self.tokens < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
         true
     }
 
-    /// Spends one act whether or not there is one saved: a report has a time by which it is due, and starts
-    /// that use up every act as it comes must not keep it waiting. What was not there is owed, so that the rate
-    /// holds all the same. False only while the platform is backing us off.
+    /// Spends one token even if there is none, as a debt that later refills pay off, so the rate holds on
+    /// average. For usage reports, which have a deadline and must not wait behind starts that use up every
+    /// token. Returns `false` only while the platform is throttling this node.
     /// Example: `if rate.spend_ahead(now) { report() }`.
     pub fn spend_ahead(&mut self, now: Micros) -> bool {
         self.fill(now);
-        if now < self.held_until {
+        if now < self.throttled_until {
             return false;
         }
         self.tokens -= 1.0;
         true
     }
 
-    /// The platform answered 429: hold, twice as long each time. Example: `rate.throttled(now)`.
+    /// Backs off after a 429 response, twice as long each time. Example: `rate.throttled(now)`.
     pub fn throttled(&mut self, now: Micros) {
-        if now < self.held_until {
+        if now < self.throttled_until {
             return;
         }
-        self.held_until = now + self.hold;
-        self.hold = Micros((self.hold.0 * 2).min(LONGEST_HOLD.0));
+        self.throttled_until = now + self.backoff;
+        self.backoff = Micros((self.backoff.0 * 2).min(MAX_BACKOFF.0));
     }
 
-    /// The platform took an act. Example: `rate.accepted()`.
+    /// Resets the back-off after the platform accepted an operation. Example: `rate.accepted()`.
     pub fn accepted(&mut self) {
-        self.hold = FIRST_HOLD;
+        self.backoff = FIRST_BACKOFF;
     }
 }
 
--- a/packages/function_scheduler/src/start_rate/tests.rs
+++ b/packages/function_scheduler/src/start_rate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn operations_keep_to_the_rate_and_hold_twice_as_long_at_each_429() {
+fn operations_keep_to_the_rate_and_the_backoff_doubles_at_each_429() {
     let mut rate = StartRate::new();
     rate.set_rate(10.0, 4.0, Micros(0));
     let spent = |rate: &mut StartRate, from: u64, to: u64| {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn all_nodes_of_a_large_fleet_that_act_at_once_stay_within_a_second_of_the_platforms_rate() {
+fn a_large_fleet_acting_at_once_stays_within_one_second_of_the_platform_rate() {
     let (nodes, operations_per_second) = (77, 80.0);
     let equal_share = operations_per_second / 2.0 / f64::from(nodes);
     let operations_at = |second: u64| -> usize {
@@ -37,22 +37,21 @@
 }
 
 #[test]
-fn a_node_of_a_small_fleet_saves_up_four_operations() {
+fn a_node_of_a_small_fleet_saves_up_at_most_four_operations() {
     let mut rate = StartRate::new();
     rate.set_rate(4.0, 4.0, Micros(0));
     let saved = (0..100).take_while(|_| rate.spend(Micros::from_secs(9))).count();
     assert_eq!(saved, 4);
 }
 
-/// Guards against a duty left undone: starts used up each act as it came, and a report of usage that was due
-/// waited for 14 seconds.
+/// A usage report that was due waited for 14 seconds because starts used up every token as it was added.
 #[test]
-fn a_report_is_not_kept_waiting_by_starts_that_use_up_every_operation() {
+fn a_usage_report_does_not_wait_behind_starts_that_use_up_every_token() {
     let mut rate = StartRate::new();
     rate.set_rate(2.0, 2.0, Micros(0));
     while rate.spend(Micros(0)) {}
     assert!(rate.spend_ahead(Micros(0)));
-    // The act is owed: starts go on as late as if it had waited in turn.
+    // The token is owed: the next start is as late as if the report had waited for its token.
     let later = Micros::from_millis(999);
     assert!(!rate.spend(later));
     assert!(rate.spend(Micros::from_secs(1)));
@@ -60,7 +59,7 @@
     assert!(!rate.spend_ahead(Micros::from_secs(1)));
 }
 
-/// Acts that all nodes of a fleet do at once after a minute in which nothing was done.
+/// Operations that all nodes of a fleet start at once after a minute without any.
 fn operations_at_once(nodes: usize, operations_per_second: f64) -> usize {
     let equal_share = operations_per_second / 2.0 / nodes as f64;
     let operations_of_one = || {
@@ -72,12 +71,13 @@
     (0..nodes).map(|_| operations_of_one()).sum()
 }
 
-/// Guards against: 79 nodes that saved up four acts each sent 316 at once to a platform that takes 220 a second.
+/// 79 nodes that had saved up four tokens each sent 316 operations at once to a platform that accepts 220 a
+/// second.
 #[test]
-fn no_fleet_saves_up_more_than_a_second_of_the_platforms_rate_but_for_one_operation_a_node() {
+fn saved_up_operations_stay_within_one_second_of_the_rate_or_one_per_node() {
     for (nodes, operations_per_second) in [(10, 80.0), (77, 80.0), (79, 220.0), (92, 220.0), (300, 220.0)] {
         let most = (operations_per_second as usize).max(nodes);
         let actions = operations_at_once(nodes, operations_per_second);
-        assert!(actions <= most, "{nodes} nodes: {actions} acts of {operations_per_second} a second");
+        assert!(actions <= most, "{nodes} nodes: {actions} operations at {operations_per_second} a second");
     }
 }
--- a/packages/function_scheduler/src/zone/tests.rs
+++ b/packages/function_scheduler/src/zone/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn instances_are_missing_where_calls_come_from_and_too_many_elsewhere() {
+fn instances_are_missing_in_zones_with_calls_and_in_surplus_elsewhere() {
     let [a, b, c] = ["a", "b", "c"].map(Zone::named);
     let mut calls = ZoneCalls::default();
     for number in 0..40 {
@@ -11,7 +11,7 @@
     assert!((0.7..0.8).contains(&shares[&a]), "{shares:?}");
     let missing = calls.missing(&BTreeMap::from([(a, 1), (c, 3)]));
     assert!(missing[&a] > 1.5 && missing[&b] > 0.5 && missing[&c] < -2.5, "{missing:?}");
-    // What was long ago counts no more.
+    // Calls of a minute ago have decayed.
     for number in 0..10 {
         calls.record_call(c, Micros::from_secs(60 + number));
     }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_unknown_zone_is_far_from_none() {
+fn an_unnamed_zone_is_remote_from_no_zone() {
     assert!(Zone::named("a").is_remote_from(Zone::named("b")));
     assert!(!Zone::named("a").is_remote_from(Zone::named("a")));
     assert!(
