--- a/packages/node_protocol/src/configuration_sync.rs
+++ b/packages/node_protocol/src/configuration_sync.rs
@@ -19,7 +19,7 @@
 
 const CHANGE_QUEUE_LIMIT: usize = 256;
 /// A change that has no outcome after this is given up.
-const CHANGE_SPAN: Micros = Micros::from_secs(6);
+const CHANGE_TIMEOUT: Micros = Micros::from_secs(6);
 const UNCONFIRMED: &str = "no majority of the disks confirmed it; send it again under the same id";
 const RETRY_PAUSE: Micros = Micros::from_millis(150);
 /// While a change waits, the voters are asked for a direct answer this often.
@@ -46,13 +46,13 @@
     batch: Option<Batch>,
     queue: VecDeque<RequestedChange>,
     forwarded: BTreeMap<u64, ForwardedChange>,
-    confirm_event: Ticker,
+    confirm_ticker: Ticker,
     /// When this node last heard from a majority which version of the register stands.
     majority_read_at: Option<Micros>,
     majority_version: u64,
     /// Which nodes answered probes of this one directly, and when, while changes wait.
     voter_responses: BTreeMap<NodeId, Micros>,
-    voter_probe_event: Ticker,
+    voter_probe_ticker: Ticker,
     read_requested_at: Micros,
 }
 
@@ -68,11 +68,11 @@
             batch: None,
             queue: VecDeque::new(),
             forwarded: BTreeMap::new(),
-            confirm_event: Ticker::every(Micros::from_millis(300)),
+            confirm_ticker: Ticker::every(Micros::from_millis(300)),
             majority_read_at: None,
             majority_version: 0,
             voter_responses: BTreeMap::new(),
-            voter_probe_event: Ticker::every(VOTER_PROBE_INTERVAL),
+            voter_probe_ticker: Ticker::every(VOTER_PROBE_INTERVAL),
             read_requested_at: Micros(0),
         }
     }
--- a/packages/node_protocol/src/configuration_sync/batches.rs
+++ b/packages/node_protocol/src/configuration_sync/batches.rs
@@ -1,7 +1,7 @@
 //! Changes at the owner of the configuration's key: those that wait are applied in turn, written as one
 //! value, and answered together.
 
-use super::{CHANGE_QUEUE_LIMIT, CHANGE_SPAN, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
+use super::{CHANGE_QUEUE_LIMIT, CHANGE_TIMEOUT, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
 use crate::control_store::WritePurpose;
 use crate::node::Node;
 use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
@@ -11,7 +11,7 @@
 
 const BATCH_LIMIT: usize = 64;
 /// A batch whose writes met another value so often is answered as of unknown fate.
-const WRITE_LIMIT: u32 = 8;
+const BATCH_WRITE_LIMIT: u32 = 8;
 
 #[derive(Debug)]
 pub(super) struct RequestedChange {
@@ -52,13 +52,13 @@
     /// A peer passes a change on to this node.
     pub(crate) fn change_forwarded(&mut self, from: NodeId, request_id: u64, change_bytes: &Bytes) {
         let Ok(change) = serde_json::from_slice::<Change>(&change_bytes.0) else { return };
-        self.await_turn(Requester { node: from, request_id }, change, self.now);
+        self.enqueue_change(Requester { node: from, request_id }, change, self.now);
     }
 
-    pub(super) fn await_turn(&mut self, requester: Requester, change: Change, requested_at: Micros) {
-        let is_known = |requested: &RequestedChange| requested.requester == requester;
-        let in_batch = self.configuration.batch.iter().flat_map(|batch| &batch.changes).any(is_known);
-        if in_batch || self.configuration.queue.iter().any(is_known) {
+    pub(super) fn enqueue_change(&mut self, requester: Requester, change: Change, requested_at: Micros) {
+        let is_same_request = |requested: &RequestedChange| requested.requester == requester;
+        let in_batch = self.configuration.batch.iter().flat_map(|batch| &batch.changes).any(is_same_request);
+        if in_batch || self.configuration.queue.iter().any(is_same_request) {
             return;
         }
         if self.configuration.queue.len() >= CHANGE_QUEUE_LIMIT {
@@ -118,7 +118,7 @@
             WRITTEN => {
                 let Some(batch) = &self.configuration.batch else { return };
                 self.configuration.base = (outcome.version, batch.next.clone());
-                self.majority_reported(outcome.version);
+                self.record_majority_version(outcome.version);
                 self.end_batch();
             }
             DIFFERS => {
@@ -152,8 +152,8 @@
     fn retry_batch(&mut self, pause: Micros) {
         let now = self.now;
         let Some(batch) = &mut self.configuration.batch else { return };
-        let is_over = batch.changes.iter().any(|requested| now >= requested.requested_at + CHANGE_SPAN);
-        if (batch.writes >= WRITE_LIMIT && pause == Micros(0)) || is_over {
+        let is_expired = batch.changes.iter().any(|requested| now >= requested.requested_at + CHANGE_TIMEOUT);
+        if (batch.writes >= BATCH_WRITE_LIMIT && pause == Micros(0)) || is_expired {
             for requested in &mut batch.changes {
                 requested.outcome = Some(ChangeOutcome::Unknown { reason: UNCONFIRMED.to_owned() });
             }
--- a/packages/node_protocol/src/configuration_sync/current_generation.rs
+++ b/packages/node_protocol/src/configuration_sync/current_generation.rs
@@ -18,7 +18,7 @@
 const STORED_READ_INTERVAL: Micros = Micros::from_millis(250);
 /// Every other node asks in turn, so that all of them together send the owner a bounded number of reads.
 const READ_INTERVAL: Micros = Micros::from_millis(1_000);
-const READ_SHARE: Micros = Micros::from_millis(60);
+const READ_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(60);
 /// A newer generation that colleagues told of and that the news did not bring within this is asked of a majority,
 /// again after as long and the time that the whole takes over this machine's link.
 const GOSSIP_TIMEOUT: Micros = Micros::from_millis(2_000);
@@ -61,13 +61,13 @@
 
     /// A majority confirmed that the configuration known here stands, under this version.
     pub(crate) fn configuration_confirmed(&mut self, version: u64) {
-        self.majority_reported(version);
+        self.record_majority_version(version);
         self.configuration.confirmed = true;
         self.configuration.suspected_since = None;
         self.report_ready();
     }
 
-    pub(super) fn majority_reported(&mut self, version: u64) {
+    pub(super) fn record_majority_version(&mut self, version: u64) {
         self.configuration.majority_read_at = Some(self.now);
         self.configuration.majority_version = self.configuration.majority_version.max(version);
     }
@@ -83,7 +83,7 @@
 
     /// Takes the configuration's register as a majority confirmed it.
     pub(crate) fn adopt_base(&mut self, outcome: &WriteOutcome) {
-        self.majority_reported(outcome.version);
+        self.record_majority_version(outcome.version);
         if outcome.version <= self.configuration.base.0 {
             return;
         }
@@ -98,12 +98,12 @@
             return;
         }
         let (generation, stored_bytes) = (stored.generation, Bytes(stored.encode()));
-        let meaning = stored.trusted().map_or_else(Vec::new, |next| {
+        let delta_bytes = stored.trusted().map_or_else(Vec::new, |next| {
             let base = (self.configuration.generation, &*self.configuration.current);
             ConfigurationDelta::between(base, (generation, &next)).encode()
         });
         let own = self.settings.node;
-        self.gossip.publish_changed(CONFIGURATION_KEY, own, generation, stored_bytes, Bytes(meaning));
+        self.gossip.publish_changed(CONFIGURATION_KEY, own, generation, stored_bytes, Bytes(delta_bytes));
         self.handle_configuration_update();
     }
 
@@ -121,14 +121,16 @@
 
     /// What changed since the generation that holds here, item by item, if the news tell all of it.
     fn known_deltas(&self) -> Option<Vec<ConfigurationDelta>> {
-        let held = self.configuration.generation;
-        let meanings = self.gossip.meanings_since(CONFIGURATION_KEY, held)?;
-        let deltas: Vec<ConfigurationDelta> =
-            meanings.iter().map(|meaning| ConfigurationDelta::decode(&meaning.0)).collect::<Option<_>>()?;
-        let made = deltas.iter().try_fold(held, |generation, delta| {
+        let current_generation = self.configuration.generation;
+        let encoded_deltas = self.gossip.meanings_since(CONFIGURATION_KEY, current_generation)?;
+        let deltas: Vec<ConfigurationDelta> = encoded_deltas
+            .iter()
+            .map(|delta_bytes| ConfigurationDelta::decode(&delta_bytes.0))
+            .collect::<Option<_>>()?;
+        let reached_generation = deltas.iter().try_fold(current_generation, |generation, delta| {
             (delta.base_generation == generation).then_some(delta.generation)
         })?;
-        (made == self.gossip.sequence(CONFIGURATION_KEY)).then_some(deltas)
+        (reached_generation == self.gossip.sequence(CONFIGURATION_KEY)).then_some(deltas)
     }
 
     /// Costs what changed, not what the configuration holds.
@@ -198,10 +200,10 @@
     pub(super) fn tick_generation(&mut self) {
         self.update_staleness();
         if self.configuration.confirmed && !self.configuration.is_suspected() {
-            self.read_in_turn();
+            self.read_if_due();
             return;
         }
-        if self.configuration.confirm_event.due(self.now) {
+        if self.configuration.confirm_ticker.due(self.now) {
             // A new process is ready by a majority's word alone: the one before it may have used a newer
             // generation than any peer that it hears.
             self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
@@ -226,19 +228,19 @@
     /// the key therefore reads it by a majority in a steady rhythm, a voter asks soon after it stored a
     /// version that it did not hear confirmed, whoever heard of a newer generation that does not come asks
     /// out of turn, and every other node asks in turn.
-    fn read_in_turn(&mut self) {
+    fn read_if_due(&mut self) {
         let now = self.now;
         let read_at = self.configuration.majority_read_at.unwrap_or(Micros(0));
         let requested_at = self.configuration.read_requested_at.max(read_at);
         let stored_version = self.control.stored_version(CONFIGURATION_KEY);
         let is_stored_newer = stored_version > self.configuration.majority_version;
-        let share = Micros(READ_SHARE.0 * self.members.live().len() as u64);
-        let usual_interval = READ_INTERVAL.max(share);
+        let fleet_interval = Micros(READ_INTERVAL_PER_MEMBER.0 * self.members.live().len() as u64);
+        let usual_interval = READ_INTERVAL.max(fleet_interval);
         let interval = match is_stored_newer {
             true => STORED_READ_INTERVAL,
             false if self.key_owner(CONFIGURATION_KEY) == Some(self.settings.node) => OWNER_READ_INTERVAL,
             false if self.is_gossip_overdue() => {
-                usual_interval.min(AWAITED_READ_INTERVAL + self.whole_travel())
+                usual_interval.min(AWAITED_READ_INTERVAL + self.full_transfer_time())
             }
             false => usual_interval,
         };
@@ -256,7 +258,7 @@
     }
 
     /// How long the whole configuration is under way over this machine's link.
-    fn whole_travel(&self) -> Micros {
+    fn full_transfer_time(&self) -> Micros {
         let bytes = self.stored_configuration_length() as f64;
         Micros((self.settings.link_rate.map_or(0.0, |rate| bytes / rate) * 1e6) as u64)
     }
--- a/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
+++ b/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
@@ -1,7 +1,7 @@
 //! Operators' changes that this node passed on: carried to the owner of the configuration's key, sent anew
 //! while they have no outcome, and answered in time whatever becomes of them.
 
-use super::{CHANGE_QUEUE_LIMIT, CHANGE_SPAN, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
+use super::{CHANGE_QUEUE_LIMIT, CHANGE_TIMEOUT, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
 use crate::Action;
 use crate::node::Node;
 use configuration_schema::{Change, ChangeOutcome};
@@ -13,10 +13,10 @@
 const FORWARD_TIMEOUT: Micros = Micros::from_millis(1_000);
 /// After so many sendings without an outcome the next voter is tried: an owner that is cut off from the other
 /// voters is heard by everybody else, and settles nothing.
-const TRIES_EACH: u32 = 2;
+const SENDS_PER_VOTER: u32 = 2;
 /// An operator that hears nothing goes on to another node after about a second: a node that reaches no
 /// majority says so before that, and carries the change on all the same.
-const RESPONSE_WITHIN: Micros = Micros::from_millis(900);
+const RESPONSE_DEADLINE: Micros = Micros::from_millis(900);
 
 /// A change passed on to the owner of the configuration's key.
 #[derive(Debug)]
@@ -28,11 +28,11 @@
     /// The owner it was sent to; none while there is no owner.
     owner: Option<NodeId>,
     /// How often it was sent.
-    tries: u32,
+    send_count: u32,
     /// The operator was told that the outcome is not known yet.
     is_answered: bool,
     /// How long it is under way over this machine's link, at the most.
-    travel: Micros,
+    transfer_time: Micros,
 }
 
 impl Node {
@@ -51,9 +51,9 @@
             requested_at: self.now,
             sent_at: self.now,
             owner: None,
-            tries: 0,
+            send_count: 0,
             is_answered: false,
-            travel: Micros(0),
+            transfer_time: Micros(0),
         };
         self.configuration.forwarded.insert(request_id, forwarded);
         self.forward_change(request_id);
@@ -64,27 +64,27 @@
     fn forward_change(&mut self, request_id: u64) {
         let now = self.now;
         let Some(forwarded) = self.configuration.forwarded.get(&request_id) else { return };
-        let owner = self.settling_voter((forwarded.tries / TRIES_EACH) as usize);
+        let owner = self.voter_for_change((forwarded.send_count / SENDS_PER_VOTER) as usize);
         let Some(forwarded) = self.configuration.forwarded.get_mut(&request_id) else { return };
         forwarded.sent_at = now;
         forwarded.owner = owner;
-        forwarded.tries += u32::from(owner.is_some());
+        forwarded.send_count += u32::from(owner.is_some());
         let Some(owner) = owner else { return };
         if owner == self.settings.node {
             let (change, requested_at) = (forwarded.change.clone(), forwarded.requested_at);
-            self.await_turn(Requester { node: owner, request_id }, change, requested_at);
+            self.enqueue_change(Requester { node: owner, request_id }, change, requested_at);
             return;
         }
         let change = Bytes(serde_json::to_vec(&forwarded.change).unwrap_or_default());
         let seconds = self.settings.link_rate.map_or(0.0, |rate| change.0.len() as f64 / rate);
-        forwarded.travel = Micros((seconds * 1e6) as u64);
+        forwarded.transfer_time = Micros((seconds * 1e6) as u64);
         self.send(owner, Message::ChangeForward { request_id, change });
     }
 
     /// The voter to settle a change: the owner of the configuration's key first, then the others in the order
     /// in which they come after it.
-    fn settling_voter(&self, place: usize) -> Option<NodeId> {
-        let mut voters = self.owner_choices();
+    fn voter_for_change(&self, place: usize) -> Option<NodeId> {
+        let mut voters = self.owner_candidates();
         voters.sort_by_key(|node| std::cmp::Reverse((rendezvous_weight(CONFIGURATION_KEY, *node), *node)));
         voters.get(place % voters.len().max(1)).copied()
     }
@@ -113,27 +113,28 @@
     fn tick_forwarded_change(&mut self, request_id: u64) {
         let now = self.now;
         let Some(forwarded) = self.configuration.forwarded.get(&request_id) else { return };
-        let (requested_at, is_over) = (forwarded.requested_at, now >= forwarded.requested_at + CHANGE_SPAN);
+        let (requested_at, is_expired) =
+            (forwarded.requested_at, now >= forwarded.requested_at + CHANGE_TIMEOUT);
         let is_response_due =
-            now >= requested_at + RESPONSE_WITHIN && !self.reached_majority_since(requested_at);
-        if is_response_due || is_over {
+            now >= requested_at + RESPONSE_DEADLINE && !self.reached_majority_since(requested_at);
+        if is_response_due || is_expired {
             self.respond_unconfirmed(request_id);
         }
-        if is_over {
+        if is_expired {
             self.configuration.forwarded.remove(&request_id);
-        } else if self.must_forward_again(request_id) {
+        } else if self.should_resend(request_id) {
             self.forward_change(request_id);
         }
     }
 
-    fn must_forward_again(&self, request_id: u64) -> bool {
+    fn should_resend(&self, request_id: u64) -> bool {
         let Some(forwarded) = self.configuration.forwarded.get(&request_id) else { return false };
         let timeout = match forwarded.owner {
-            Some(_) => FORWARD_TIMEOUT + forwarded.travel,
+            Some(_) => FORWARD_TIMEOUT + forwarded.transfer_time,
             None => RETRY_PAUSE,
         };
-        let is_owner_gone = forwarded.owner.is_some_and(|owner| self.members.find(owner).is_none());
-        self.now >= forwarded.sent_at + timeout || is_owner_gone
+        let has_owner_left = forwarded.owner.is_some_and(|owner| self.members.find(owner).is_none());
+        self.now >= forwarded.sent_at + timeout || has_owner_left
     }
 
     /// Finds out, while changes wait, whether this node has a way to a majority and back.
@@ -142,7 +143,7 @@
             self.configuration.voter_responses.clear();
             return;
         }
-        if self.configuration.voter_probe_event.due(self.now) {
+        if self.configuration.voter_probe_ticker.due(self.now) {
             self.probe_voters();
         }
     }
@@ -156,8 +157,8 @@
 
     fn reached_majority_since(&self, since: Micros) -> bool {
         let responses = self.configuration.voter_responses.iter();
-        let answering = responses.filter(|(_, answered_at)| **answered_at >= since).map(|(node, _)| *node);
-        self.is_majority(&answering.collect())
+        let responding = responses.filter(|(_, answered_at)| **answered_at >= since).map(|(node, _)| *node);
+        self.is_majority(&responding.collect())
     }
 
     /// Tells the operator, once, that a passed-on change has no outcome yet.
--- a/packages/node_protocol/src/control_store.rs
+++ b/packages/node_protocol/src/control_store.rs
@@ -18,7 +18,7 @@
 pub(crate) use requests::WritePurpose;
 
 use crate::node::Node;
-use crate::voter_replacement::DiskSightings;
+use crate::voter_replacement::DiskObservations;
 use control_registers::{ChosenSet, DiskRegisters, KeyOwner, SetCopy, VoterSet};
 use disk::Disk;
 use monotonic_clock::{Micros, Ticker};
@@ -63,13 +63,13 @@
     poll_groups: PollGroups,
     observed_records: ObservedRecords,
     relayed_poll: RelayedPoll,
-    sightings: DiskSightings,
+    disk_observations: DiskObservations,
     /// The copying that this node does while the voter set changes.
     copy: Option<SetCopy>,
     bootstrap_ticker: Ticker,
     is_wait_reported: bool,
-    upkeep_event: Ticker,
-    replace_event: Ticker,
+    upkeep_ticker: Ticker,
+    replacement_ticker: Ticker,
 }
 
 impl ControlStore {
@@ -86,12 +86,12 @@
             poll_groups: PollGroups::default(),
             observed_records: ObservedRecords::default(),
             relayed_poll: RelayedPoll::default(),
-            sightings: DiskSightings::default(),
+            disk_observations: DiskObservations::default(),
             copy: None,
             bootstrap_ticker: Ticker::every(Micros::from_millis(200)),
             is_wait_reported: false,
-            upkeep_event: Ticker::every(Micros::from_millis(500)),
-            replace_event: Ticker::every(Micros::from_millis(100)),
+            upkeep_ticker: Ticker::every(Micros::from_millis(500)),
+            replacement_ticker: Ticker::every(Micros::from_millis(100)),
         }
     }
 
@@ -128,11 +128,11 @@
             Message::RecordsPolled { keys_digest, change, records, renewed, .. } => {
                 self.records_polled(from, (keys_digest, change), records.0, &renewed.0);
             }
-            Message::RelayPoll { keys_digest, since } => self.relay_polled_by(from, keys_digest, since),
+            Message::RelayPoll { keys_digest, since } => self.relay_poll_requested(from, keys_digest, since),
             Message::RelayPolled { relays: 0, .. } => self.relay_refused(from),
             Message::RelayPolled { keys_digest, change, records, renewed, silent, .. } => {
-                self.owners_silent(silent);
-                self.relay_answered(from, (keys_digest, change), &records.0, &renewed.0);
+                self.suspect_reported_owners(silent);
+                self.relay_polled(from, (keys_digest, change), &records.0, &renewed.0);
             }
             Message::Write { entries } => self.writes_requested(from, entries),
             Message::ReadConfirmed { request_id, key, digest } => {
@@ -153,12 +153,12 @@
         if self.control.bootstrap_ticker.due(now) {
             self.try_bootstrap();
         }
-        if self.control.upkeep_event.due(now) {
+        if self.control.upkeep_ticker.due(now) {
             self.try_repair();
             self.transfer_keys();
         }
         // A change that was begun goes on with each clock event.
-        if self.control.replace_event.due(now) || !self.control.set.joining.0.is_empty() {
+        if self.control.replacement_ticker.due(now) || !self.control.set.joining.0.is_empty() {
             self.try_replacing();
         }
     }
--- a/packages/node_protocol/src/control_store/bootstrap.rs
+++ b/packages/node_protocol/src/control_store/bootstrap.rs
@@ -44,7 +44,7 @@
         if !is_bootstrap_node
             || !self.settings.may_bootstrap
             || is_bootstrapped
-            || disk.is_broken
+            || disk.is_failed
             || !self.may_be_first()
         {
             return;
@@ -106,15 +106,15 @@
 
     pub(super) fn bootstrap(&mut self, from: NodeId, set_digest: u64, bootstrap_disks: &[u64]) {
         let bootstrap_set = ChosenSet::bootstrap(bootstrap_disks);
-        let is_known_other = self.control.set.generation > 0 && self.control.set != bootstrap_set;
+        let conflicts_with_known = self.control.set.generation > 0 && self.control.set != bootstrap_set;
         let wanted_count = self.settings.bootstrap_disks;
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         let disk_id = disk.id;
-        let is_sound = bootstrap_disks.len() == wanted_count
+        let is_valid = bootstrap_disks.len() == wanted_count
             && bootstrap_disks.contains(&disk_id)
             && set_digest == stable_hash(&bootstrap_set.encode().0)
-            && !is_known_other;
-        let records = if is_sound { disk.registers.bootstrap(&bootstrap_set) } else { None };
+            && !conflicts_with_known;
+        let records = if is_valid { disk.registers.bootstrap(&bootstrap_set) } else { None };
         let Some(records) = records else {
             self.send(from, Message::BootstrapResponse { set: set_digest, disk: disk_id, accepted: 0 });
             return;
--- a/packages/node_protocol/src/control_store/current_set.rs
+++ b/packages/node_protocol/src/control_store/current_set.rs
@@ -9,11 +9,11 @@
 impl Node {
     /// A new process goes by the chosen set that its disk knows, until it hears of a newer one.
     pub(crate) fn start_by_own_set(&mut self) {
-        self.go_by_own_set();
+        self.adopt_own_set();
         self.report_disk_state();
     }
 
-    pub(super) fn go_by_own_set(&mut self) {
+    pub(super) fn adopt_own_set(&mut self) {
         let Some(disk) = &self.control.disk else { return };
         let own_set = disk.registers.chosen().clone();
         self.learn_chosen(&own_set);
--- a/packages/node_protocol/src/control_store/disk.rs
+++ b/packages/node_protocol/src/control_store/disk.rs
@@ -20,7 +20,7 @@
     pub(super) id: u64,
     pub(super) registers: DiskRegisters,
     /// It failed, or was not rewritten since the start: it answers nothing before a rewrite succeeded.
-    pub(super) is_broken: bool,
+    pub(super) is_failed: bool,
     /// The decision stream was told that it failed.
     is_failure_reported: bool,
     next_token: u64,
@@ -38,7 +38,7 @@
         Disk {
             id,
             registers,
-            is_broken: false,
+            is_failed: false,
             is_failure_reported: false,
             next_token: 1,
             synced_token: 0,
@@ -70,14 +70,14 @@
         stored.map_or(0, |(_, version, _)| version)
     }
 
-    pub(super) fn sound_disk(&mut self) -> Option<&mut Disk> {
-        self.disk.as_mut().filter(|disk| !disk.is_broken)
+    pub(super) fn healthy_disk(&mut self) -> Option<&mut Disk> {
+        self.disk.as_mut().filter(|disk| !disk.is_failed)
     }
 }
 
 impl Node {
     pub(super) fn promise_requested(&mut self, from: NodeId, fleet_set: u64, entries: &List<PromiseEntry>) {
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         let (responses, records) = disk.registers.promise(fleet_set, entries);
         let response = Message::Promised { disk: disk.id, entries: List(responses) };
         self.write_then_response(records, from, response);
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn store_requested(&mut self, from: NodeId, fleet_set: u64, entries: &List<StoreEntry>) {
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         let (responses, records) = disk.registers.store(fleet_set, entries);
         let response = Message::Stored { disk: disk.id, entries: List(responses) };
         self.write_then_response(records, from, response);
@@ -94,7 +94,7 @@
 
     /// The owner that copies under a joint set asks which keys this disk knows.
     pub(super) fn keys_requested(&mut self, from: NodeId, fleet_set: u64) {
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         let Some(keys) = disk.registers.list_keys(fleet_set) else { return };
         let keys = List(keys.into_iter().map(Text).collect());
         let response = Message::KeysResponse { fleet_set, disk: disk.id, keys };
@@ -105,7 +105,7 @@
     pub(super) fn report_disk_state(&mut self) {
         let Some(disk) = &self.control.disk else { return };
         let is_voting = self.control.set.all().contains(&disk.id);
-        let state = match (disk.is_broken, is_voting, disk.registers.chosen().generation) {
+        let state = match (disk.is_failed, is_voting, disk.registers.chosen().generation) {
             (true, ..) => DISK_FAILED,
             (false, true, 1..) => DISK_VOTING,
             // The damaged one may be the fleet's last copy: no state is founded beside it.
@@ -113,7 +113,7 @@
             (false, _, 0) => DISK_BLANK,
             (false, false, _) => DISK_SPARE,
         };
-        let id = if disk.is_broken { 0 } else { disk.id };
+        let id = if disk.is_failed { 0 } else { disk.id };
         self.members.update_own(|own| {
             own.disk_state = state;
             own.disk = id;
@@ -122,7 +122,7 @@
 
     /// Answers only once the records, and all before them, are synced.
     pub(super) fn write_then_response(&mut self, records: Vec<Vec<u8>>, node: NodeId, response: Message) {
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         if records.is_empty() {
             let last_token = disk.next_token - 1;
             if disk.synced_token >= last_token {
@@ -136,7 +136,7 @@
     }
 
     pub(super) fn write_records(&mut self, records: Vec<Vec<u8>>, response: Option<(NodeId, Message)>) {
-        let Some(disk) = self.control.sound_disk() else { return };
+        let Some(disk) = self.control.healthy_disk() else { return };
         let token = disk.next_token();
         disk.responses.entry(token).or_default().extend(response);
         disk.appended_bytes += records.iter().map(|record| record.len() + 8).sum::<usize>();
@@ -154,12 +154,12 @@
 
     pub(crate) fn disk_done(&mut self, token: u64, is_synced: bool) {
         let Some(disk) = &mut self.control.disk else { return };
-        if disk.is_broken {
-            self.disk_tried(token, is_synced);
+        if disk.is_failed {
+            self.repair_done(token, is_synced);
             return;
         }
         if !is_synced {
-            self.break_disk();
+            self.fail_disk();
             return;
         }
         disk.synced_token = disk.synced_token.max(token);
@@ -170,14 +170,14 @@
             self.send(node, response);
         }
         if is_bootstrapped {
-            self.go_by_own_set();
+            self.adopt_own_set();
         }
     }
 
     /// A sync failed: what waited for it is never answered, and this node owns no keys until the repair.
-    fn break_disk(&mut self) {
+    fn fail_disk(&mut self) {
         let Some(disk) = &mut self.control.disk else { return };
-        disk.is_broken = true;
+        disk.is_failed = true;
         disk.repair_due = self.now + REPAIR_PAUSE;
         disk.responses.clear();
         self.control.owner.retain_keys(|_| false);
@@ -187,7 +187,7 @@
 
     /// What became of a broken disk's repair. Records that were on their way when it failed do not
     /// count, whatever is told of them: the repair holds them.
-    fn disk_tried(&mut self, token: u64, is_synced: bool) {
+    fn repair_done(&mut self, token: u64, is_synced: bool) {
         let now = self.now;
         let Some(disk) = self.control.disk.as_mut().filter(|disk| disk.repair_token == Some(token)) else {
             return;
@@ -198,7 +198,7 @@
             self.report_disk_failure();
             return;
         }
-        disk.is_broken = false;
+        disk.is_failed = false;
         disk.synced_token = token;
         disk.appended_bytes = 0;
         if std::mem::take(&mut disk.is_failure_reported) {
@@ -219,7 +219,7 @@
     pub(crate) fn disk_unsynced(&mut self) {
         let now = self.now;
         let Some(disk) = &mut self.control.disk else { return };
-        disk.is_broken = true;
+        disk.is_failed = true;
         disk.repair_due = now;
         self.report_disk_state();
         self.try_repair();
@@ -230,7 +230,7 @@
     pub(super) fn try_repair(&mut self) {
         let now = self.now;
         let Some(disk) = &mut self.control.disk else { return };
-        if !disk.is_broken || disk.repair_token.is_some() || now < disk.repair_due {
+        if !disk.is_failed || disk.repair_token.is_some() || now < disk.repair_due {
             return;
         }
         let token = disk.next_token();
--- a/packages/node_protocol/src/control_store/key_owners.rs
+++ b/packages/node_protocol/src/control_store/key_owners.rs
@@ -8,7 +8,7 @@
 
 /// An operator gives a node up after about a second; with a quarter of it spent on the wire enough is
 /// left for everything else.
-const WIRE_SECONDS: f64 = 0.25;
+const MAX_TRANSFER_SECONDS: f64 = 0.25;
 
 impl Node {
     /// Live members whose disks vote now.
@@ -25,18 +25,18 @@
     }
 
     /// The nodes that own keys: live voters, those in doubt only where there are no others.
-    pub(crate) fn owner_choices(&self) -> Vec<NodeId> {
+    pub(crate) fn owner_candidates(&self) -> Vec<NodeId> {
         let voters = self.voting_members();
         let is_suspected = |member: &MemberUpdate| {
             member.draining == 1
                 || member.state != 0
                 || self.control.suspected.get(&member.node).is_some_and(|until| self.now < *until)
         };
-        let sound_nodes: Vec<NodeId> =
+        let healthy_nodes: Vec<NodeId> =
             voters.iter().filter(|member| !is_suspected(member)).map(|member| member.node).collect();
-        match sound_nodes.is_empty() {
+        match healthy_nodes.is_empty() {
             true => voters.iter().map(|member| member.node).collect(),
-            false => sound_nodes,
+            false => healthy_nodes,
         }
     }
 
@@ -45,10 +45,10 @@
     /// as every node does, and finds out by itself which of them are silent. Who asks and is not answered in
     /// time goes to another voter, but does not make that one an owner: two that each serve a part of the
     /// askers would take the keys from each other with every question, and the more of it the slower both are.
-    pub(super) fn is_to_own(&self, key: &str) -> bool {
+    pub(super) fn should_own(&self, key: &str) -> bool {
         !is_leader_key(key)
             || self.control.owner.has(key)
-            || Node::rendezvous_choice(key, self.owner_choices().into_iter()) == Some(self.settings.node)
+            || Node::rendezvous_choice(key, self.owner_candidates().into_iter()) == Some(self.settings.node)
     }
 
     /// Asks every voter for a direct answer: what relays and other members tell of it proves no way there.
@@ -62,23 +62,24 @@
     }
 
     /// Whether the given nodes, and this one, hold a majority of the voting disks.
-    pub(crate) fn is_majority(&self, answering: &BTreeSet<NodeId>) -> bool {
+    pub(crate) fn is_majority(&self, responding: &BTreeSet<NodeId>) -> bool {
         let own = self.settings.node;
         let voters = self.voting_members();
-        let answering = voters.iter().filter(|member| member.node == own || answering.contains(&member.node));
-        self.control.set.quorum(&answering.map(|member| member.disk).collect())
+        let responding =
+            voters.iter().filter(|member| member.node == own || responding.contains(&member.node));
+        self.control.set.quorum(&responding.map(|member| member.disk).collect())
     }
 
     /// The node to ask about a key: the rendezvous choice among live voters, those in doubt last.
     pub(crate) fn key_owner(&self, key: &str) -> Option<NodeId> {
-        Node::rendezvous_choice(key, self.owner_choices().into_iter())
+        Node::rendezvous_choice(key, self.owner_candidates().into_iter())
     }
 
     /// Only a node whose own disk votes and is sound owns keys. One that starts by an old set may own keys
     /// under it for a while: it gets no quorum for them, and hears of the newer set from who refuses it.
     pub(super) fn owns_keys(&mut self) -> bool {
         let voters = self.control.set.all();
-        self.control.sound_disk().is_some_and(|disk| voters.contains(&disk.id))
+        self.control.healthy_disk().is_some_and(|disk| voters.contains(&disk.id))
     }
 
     /// Keys whose rendezvous choice is another live voter are let go.
@@ -105,7 +106,7 @@
     pub fn redirect_target(&self, bytes: Option<usize>) -> Option<Address> {
         let link_rate = self.settings.link_rate?;
         let seconds = bytes.unwrap_or_else(|| self.stored_configuration_length()) as f64 / link_rate;
-        if seconds <= WIRE_SECONDS || self.control.disk.is_some() {
+        if seconds <= MAX_TRANSFER_SECONDS || self.control.disk.is_some() {
             return None;
         }
         let owner = self.key_owner(CONFIGURATION_KEY)?;
--- a/packages/node_protocol/src/control_store/owner_responses.rs
+++ b/packages/node_protocol/src/control_store/owner_responses.rs
@@ -19,7 +19,7 @@
         let owns_keys = self.owns_keys();
         let mut refused = Vec::new();
         for entry in entries.0 {
-            match owns_keys && self.is_to_own(&entry.key.0) {
+            match owns_keys && self.should_own(&entry.key.0) {
                 true => self.control.owner.write(from, entry, self.now),
                 false => refused.push(not_owner(entry.request_id, entry.key)),
             }
@@ -46,10 +46,10 @@
             self.send(from, no_records(keys_digest, OWNS_NO_KEYS));
             return;
         }
-        let choices = self.owner_choices();
+        let candidates = self.owner_candidates();
         let own = self.settings.node;
-        let is_to_own = |key: &str| Node::rendezvous_choice(key, choices.iter().copied()) == Some(own);
-        let response = match self.control.owner.poll(keys_digest, since, &keys.0, is_to_own, self.now) {
+        let should_own = |key: &str| Node::rendezvous_choice(key, candidates.iter().copied()) == Some(own);
+        let response = match self.control.owner.poll(keys_digest, since, &keys.0, should_own, self.now) {
             Some(response) => Message::RecordsPolled {
                 keys_digest,
                 known: 1,
--- a/packages/node_protocol/src/control_store/record_polls.rs
+++ b/packages/node_protocol/src/control_store/record_polls.rs
@@ -47,20 +47,20 @@
 
     /// Deals the functions out to their owners anew when the owners or the configuration changed.
     fn group_polls(&mut self) {
-        let owners = self.owner_choices();
+        let owners = self.owner_candidates();
         let generation = self.configuration.generation();
-        let standing = &self.control.poll_groups;
-        if standing.owners == owners && standing.generation == generation {
+        let current_groups = &self.control.poll_groups;
+        if current_groups.owners == owners && current_groups.generation == generation {
             return;
         }
-        let mut dealt: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+        let mut functions_by_owner: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
         for function in self.configuration.current().functions.keys() {
             if let Some(owner) = Node::rendezvous_choice(&leader_key(function), owners.iter().copied()) {
-                dealt.entry(owner).or_default().push(function.clone());
+                functions_by_owner.entry(owner).or_default().push(function.clone());
             }
         }
         let mut groups = Vec::new();
-        for (owner, functions) in dealt {
+        for (owner, functions) in functions_by_owner {
             let keys_digest = keys_digest(&keys_of(&functions));
             let known = self.control.poll_groups.groups.iter();
             let known =
--- a/packages/node_protocol/src/control_store/record_relay.rs
+++ b/packages/node_protocol/src/control_store/record_relay.rs
@@ -16,7 +16,7 @@
 const RELAY_SUSPECT_SPAN: Micros = Micros::from_secs(1);
 
 /// An owner that this node itself heard within this time is not silent, whatever a relay says.
-const SILENT_FOR: Micros = Micros::from_millis(600);
+const RECENT_CONTACT_SPAN: Micros = Micros::from_millis(600);
 
 /// A leader record as this node observed it, and the change numbers at which it last changed, and last
 /// changed otherwise than by a renewal.
@@ -25,7 +25,7 @@
     version: u64,
     value: Bytes,
     changed_at: u64,
-    anew_at: u64,
+    replaced_at: u64,
 }
 
 /// All leader records that this node observed, numbered by change, so that followers get what changed.
@@ -42,8 +42,8 @@
             return;
         }
         self.change_count += 1;
-        let (changed_at, anew_at) = (self.change_count, self.change_count);
-        let observed = ObservedRecord { version, value: value.clone(), changed_at, anew_at };
+        let (changed_at, replaced_at) = (self.change_count, self.change_count);
+        let observed = ObservedRecord { version, value: value.clone(), changed_at, replaced_at };
         self.records.insert(function.to_owned(), observed);
     }
 
@@ -63,7 +63,7 @@
             let Some(known) = self.records.get(function).filter(|known| known.changed_at > since) else {
                 continue;
             };
-            match known.anew_at > since {
+            match known.replaced_at > since {
                 true => records.push(PolledRecord {
                     key: leader_key(function).into(),
                     version: known.version,
@@ -85,7 +85,7 @@
     /// The relay that the change number is of.
     relay: NodeId,
     change: u64,
-    passed_over_until: Micros,
+    skipped_until: Micros,
 }
 
 impl Node {
@@ -93,8 +93,8 @@
     pub(crate) fn polled_relay(&self) -> Option<NodeId> {
         let relay = self.zones.relay().filter(|relay| *relay != self.settings.node)?;
         let is_suspected = self.control.suspected.get(&relay).is_some_and(|until| self.now < *until);
-        let is_passed_over = self.now < self.control.relayed_poll.passed_over_until;
-        (!is_suspected && !is_passed_over && self.configuration.generation() > 0).then_some(relay)
+        let is_skipped = self.now < self.control.relayed_poll.skipped_until;
+        (!is_suspected && !is_skipped && self.configuration.generation() > 0).then_some(relay)
     }
 
     /// Asks the relay what changed since its last answer.
@@ -118,12 +118,12 @@
         let keys_digest = keys_digest(&keys_of(&functions));
         let poll = &mut self.control.relayed_poll;
         let change = if poll.keys_digest == keys_digest { poll.change } else { 0 };
-        let (relay, passed_over_until) = (poll.relay, poll.passed_over_until);
-        *poll = RelayedPoll { generation, functions, keys_digest, relay, change, passed_over_until };
+        let (relay, skipped_until) = (poll.relay, poll.skipped_until);
+        *poll = RelayedPoll { generation, functions, keys_digest, relay, change, skipped_until };
     }
 
     /// A node of the zone polls here: it is answered only by a relay that polls the owners itself.
-    pub(super) fn relay_polled_by(&mut self, from: NodeId, keys_digest: u64, since: u64) {
+    pub(super) fn relay_poll_requested(&mut self, from: NodeId, keys_digest: u64, since: u64) {
         self.list_relayed_functions();
         let is_relaying = self.zones.may_relay() && self.polled_relay().is_none();
         let response = if is_relaying && keys_digest == self.control.relayed_poll.keys_digest {
@@ -147,16 +147,16 @@
     }
 
     /// Owners that the relay found silent are passed over here as well: this node does not poll them itself.
-    pub(super) fn owners_silent(&mut self, owners: List<NodeId>) {
+    pub(super) fn suspect_reported_owners(&mut self, owners: List<NodeId>) {
         for owner in owners.0 {
-            if !self.calls.has_received_since(owner, self.now - SILENT_FOR) {
+            if !self.calls.has_received_since(owner, self.now - RECENT_CONTACT_SPAN) {
                 self.suspect_owner(owner);
             }
         }
     }
 
     /// What the relay says changed; all else stands as it was.
-    pub(super) fn relay_answered(
+    pub(super) fn relay_polled(
         &mut self,
         from: NodeId,
         (keys_digest, change): (u64, u64),
@@ -188,7 +188,7 @@
     /// The asked node does not relay: the owners are polled for a while, beginning now.
     pub(super) fn relay_refused(&mut self, from: NodeId) {
         self.control.polls.remove(&from);
-        self.control.relayed_poll.passed_over_until = self.now + RELAY_SUSPECT_SPAN;
+        self.control.relayed_poll.skipped_until = self.now + RELAY_SUSPECT_SPAN;
         self.poll_records();
     }
 }
--- a/packages/node_protocol/src/control_store/record_relay/tests.rs
+++ b/packages/node_protocol/src/control_store/record_relay/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_follower_is_told_renewals_by_place_and_all_else_whole() {
+fn followers_receive_renewals_by_index_and_other_changes_in_full() {
     let mut observed = ObservedRecords::default();
     observed.observe("batch", 4, &Bytes(vec![1]));
     observed.observe("rush", 7, &Bytes(vec![2]));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_record_never_goes_back() {
+fn an_older_version_never_replaces_an_observed_record() {
     let mut observed = ObservedRecords::default();
     observed.observe("batch", 4, &Bytes(vec![1]));
     let received = observed.change_count;
--- a/packages/node_protocol/src/control_store/requests.rs
+++ b/packages/node_protocol/src/control_store/requests.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An operator that reads asks elsewhere after about a second.
-const REQUEST_TIMEOUT: Micros = Micros::from_millis(900);
+const OPERATOR_READ_TIMEOUT: Micros = Micros::from_millis(900);
 /// Any other write or read is given up after this.
-const ATTEMPT_TIMEOUT: Micros = Micros::from_millis(2_500);
+const DEFAULT_TIMEOUT: Micros = Micros::from_millis(2_500);
 /// An owner that was heard meanwhile is waited for longer: it is slow, and asking elsewhere makes it slower.
 const SLOW_OWNER_TIMEOUT: Micros = Micros::from_millis(2_400);
 /// A renewal has to stand within a lease, so it is not waited for as long.
@@ -68,8 +68,8 @@
             WritePurpose::Leader { .. } => OWNER_TIMEOUT,
             WritePurpose::ConfigurationRequested { .. }
             | WritePurpose::UsageRead
-            | WritePurpose::UsageWrite => REQUEST_TIMEOUT,
-            _ => ATTEMPT_TIMEOUT,
+            | WritePurpose::UsageWrite => OPERATOR_READ_TIMEOUT,
+            _ => DEFAULT_TIMEOUT,
         }
     }
 }
@@ -160,7 +160,7 @@
             WritePurpose::ConfigurationRead => self.configuration_read(outcome),
             WritePurpose::ConfigurationCheck => self.configuration_checked(outcome),
             WritePurpose::ConfigurationRequested { request } => {
-                self.operators_read_answered(from, request, outcome);
+                self.operator_read_answered(from, request, outcome);
             }
             WritePurpose::DisksRead | WritePurpose::DisksChange => self.disks_answered(&outcome),
             WritePurpose::UsageRead => self.usage_read(&outcome),
@@ -182,14 +182,14 @@
                 }
             }
             DIFFERS => {
-                let standing = LeaderRecord::decode(&outcome.value);
-                self.leadership.election.differs(function, outcome.version, standing, now);
+                let current_record = LeaderRecord::decode(&outcome.value);
+                self.leadership.election.differs(function, outcome.version, current_record, now);
             }
             _ => self.leadership.election.unanswered(function, now),
         }
     }
 
-    fn operators_read_answered(&mut self, from: NodeId, request: u64, outcome: WriteOutcome) {
+    fn operator_read_answered(&mut self, from: NodeId, request: u64, outcome: WriteOutcome) {
         let response = match outcome.outcome {
             WRITTEN => ConfigurationResponse::Stored(outcome.value.0),
             // What came meanwhile is newer, and stands on a majority as well.
--- a/packages/node_protocol/src/control_store/voter_changes.rs
+++ b/packages/node_protocol/src/control_store/voter_changes.rs
@@ -18,7 +18,7 @@
         let now = self.now;
         let set = self.control.set.clone();
         let live: Vec<MemberUpdate> = self.members.live().into_iter().cloned().collect();
-        self.control.sightings.update(&set, &live, now);
+        self.control.disk_observations.update(&set, &live, now);
         if set.generation == 0 {
             return;
         }
@@ -28,21 +28,21 @@
         let owner = self.key_owner(DISKS_KEY);
         if owner != Some(self.settings.node) || !self.owns_keys() {
             self.control.copy = None;
-            self.report_sightings(owner, &set, &live);
+            self.report_observations(owner, &set, &live);
             return;
         }
         let timeout = self.settings.replace_disk_after;
-        let swaps = self.control.sightings.swaps(&set, &live, timeout, now);
+        let replacements = self.control.disk_observations.replacements(&set, &live, timeout, now);
         if !set.joining.0.is_empty() {
             self.continue_copy(&set);
-        } else if let Some(joint_set) = set.begin_changes(&swaps) {
+        } else if let Some(joint_set) = set.begin_changes(&replacements) {
             self.write_disks(&joint_set);
         }
     }
 
     /// Tells the owner of the voter set's key what it was not told yet of the voters' machines.
-    fn report_sightings(&mut self, owner: Option<NodeId>, set: &VoterSet, live: &[MemberUpdate]) {
-        let reported = self.control.sightings.unreported(set, live);
+    fn report_observations(&mut self, owner: Option<NodeId>, set: &VoterSet, live: &[MemberUpdate]) {
+        let reported = self.control.disk_observations.unreported(set, live);
         if let Some(owner) = owner.filter(|_| !reported.is_empty()) {
             self.send(owner, Message::Probe { sequence: 0, target: 0, members: List(reported) });
         }
--- a/packages/node_protocol/src/platform_list.rs
+++ b/packages/node_protocol/src/platform_list.rs
@@ -14,23 +14,23 @@
 const NO_CONTACT_TIMEOUT: Micros = Micros::from_millis(300);
 const LISTER_SUSPECT_SPAN: Micros = Micros::from_secs(2);
 /// After so many listers in a row that were silent or had no list, a node asks the platform itself.
-const LISTERS_TRIED: usize = 2;
+const MAX_FAILED_PULLS: usize = 2;
 const WAITING_LIMIT: usize = 512;
 const GONE_LIMIT: usize = 2_048;
 
 /// What the platform told this node itself, numbered, so that colleagues get what changed.
 #[derive(Debug, Default)]
-struct ListLedger {
+struct ListChangeLog {
     sequence: u64,
     instances: BTreeMap<String, (u64, ListedInstance)>,
     /// Cells that left the list, and the number up to which they are no longer remembered.
     gone: VecDeque<(u64, String)>,
-    forgotten_to: u64,
+    forgotten_up_to: u64,
     workers: (u64, Vec<ListedWorker>),
     listed_at: Option<Micros>,
 }
 
-impl ListLedger {
+impl ListChangeLog {
     fn apply(&mut self, workers: &[ListedWorker], instances: &[ListedInstance], listed_at: Micros) {
         self.listed_at = Some(listed_at);
         self.sequence += 1;
@@ -50,17 +50,17 @@
             (!is_listed).then_some((sequence, instance))
         }));
         while self.gone.len() > GONE_LIMIT {
-            self.forgotten_to = self.gone.pop_front().map_or(self.forgotten_to, |(gone_at, _)| gone_at);
+            self.forgotten_up_to = self.gone.pop_front().map_or(self.forgotten_up_to, |(gone_at, _)| gone_at);
         }
     }
 
     /// What changed since a number; everything for zero, and for one that lies too far back.
     fn changes_since(&self, since: u64, now: Micros) -> Message {
-        let is_whole = since == 0 || since < self.forgotten_to || since > self.sequence;
-        let base = if is_whole { 0 } else { since };
+        let is_full = since == 0 || since < self.forgotten_up_to || since > self.sequence;
+        let base = if is_full { 0 } else { since };
         let instances = self.instances.values().filter(|(changed_at, _)| *changed_at > base);
-        let gone = self.gone.iter().filter(|(gone_at, _)| !is_whole && *gone_at > base);
-        let has_workers = is_whole || self.workers.0 > base;
+        let gone = self.gone.iter().filter(|(gone_at, _)| !is_full && *gone_at > base);
+        let has_workers = is_full || self.workers.0 > base;
         let workers = self.workers.1.iter().filter(|_| has_workers);
         Message::ListResponse {
             failed: 0,
@@ -92,12 +92,12 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct PlatformListCache {
-    ledger: ListLedger,
+    change_log: ListChangeLog,
     /// Colleagues that wait for this node's next list, and what they have.
     waiting: BTreeMap<NodeId, u64>,
     copy: Option<ListCopy>,
     pull: Option<Pull>,
-    tries: usize,
+    failed_pulls: usize,
     suspected: BTreeMap<NodeId, Micros>,
 }
 
@@ -114,7 +114,8 @@
     pub(crate) fn lister(&self) -> NodeId {
         let own = self.settings.node;
         let lists = &self.leadership.lists;
-        if self.leadership.is_list_stale || self.is_out_of_contact() || lists.tries >= LISTERS_TRIED {
+        if self.leadership.is_list_stale || self.is_out_of_contact() || lists.failed_pulls >= MAX_FAILED_PULLS
+        {
             return own;
         }
         let fleet_lister = self.fleet_lister();
@@ -142,12 +143,12 @@
     /// as the platform is asked, a relay's four times, so that all ages together stay below two lists'.
     pub(crate) fn list_pause(&self, lister: NodeId) -> Micros {
         // All nodes together stay below what the platform takes, also while each lists for itself.
-        let fleet_pace = Micros((1e6 / self.settings.lists_per_second) as u64);
-        let least = self.settings.list_every.max(fleet_pace);
+        let fleet_interval = Micros((1e6 / self.settings.lists_per_second) as u64);
+        let min_interval = self.settings.list_every.max(fleet_interval);
         match lister == self.settings.node {
-            true => least,
-            false if self.zones.relay() == Some(self.settings.node) => Micros(least.0 / 4),
-            false => Micros(least.0 / 2),
+            true => min_interval,
+            false if self.zones.relay() == Some(self.settings.node) => Micros(min_interval.0 / 4),
+            false => Micros(min_interval.0 / 2),
         }
     }
 
@@ -162,12 +163,12 @@
             return true;
         }
         if is_out_of_contact {
-            lists.tries = LISTERS_TRIED;
+            lists.failed_pulls = MAX_FAILED_PULLS;
         }
         lists.suspected.retain(|_, until| now < *until);
         lists.suspected.insert(pull.lister, now + LISTER_SUSPECT_SPAN);
         lists.pull = None;
-        lists.tries += 1;
+        lists.failed_pulls += 1;
         self.leadership.list_due = now;
         false
     }
@@ -187,10 +188,10 @@
         let list_every = self.settings.list_every;
         let young_age = if is_pulling { Micros(list_every.0 * 2) } else { list_every };
         let lists = &mut self.leadership.lists;
-        let is_young = lists.ledger.listed_at.is_some_and(|listed_at| now < listed_at + young_age);
+        let is_young = lists.change_log.listed_at.is_some_and(|listed_at| now < listed_at + young_age);
         if is_young && !self.leadership.is_list_stale {
-            let reported = lists.ledger.changes_since(since, now);
-            self.send(from, reported);
+            let response = lists.change_log.changes_since(since, now);
+            self.send(from, response);
             return;
         }
         if lists.waiting.len() < WAITING_LIMIT {
@@ -217,20 +218,20 @@
     ) {
         let now = self.now;
         let lists = &mut self.leadership.lists;
-        lists.tries = 0;
-        lists.ledger.apply(workers, instances, requested_at);
+        lists.failed_pulls = 0;
+        lists.change_log.apply(workers, instances, requested_at);
         for (node, since) in std::mem::take(&mut lists.waiting) {
-            let reported = self.leadership.lists.ledger.changes_since(since, now);
-            self.send(node, reported);
+            let response = self.leadership.lists.change_log.changes_since(since, now);
+            self.send(node, response);
         }
     }
 
     /// The platform did not answer this node: those who wait go elsewhere.
     pub(crate) fn note_list_failed(&mut self) {
-        self.leadership.lists.tries = 0;
+        self.leadership.lists.failed_pulls = 0;
         let waiting = std::mem::take(&mut self.leadership.lists.waiting);
         for node in waiting.into_keys() {
-            let reported = Message::ListResponse {
+            let response = Message::ListResponse {
                 failed: 1,
                 base: 0,
                 sequence: 0,
@@ -240,7 +241,7 @@
                 instances: List(Vec::new()),
                 gone: List(Vec::new()),
             };
-            self.send(node, reported);
+            self.send(node, response);
         }
     }
 
@@ -260,12 +261,12 @@
                 let lists = &mut self.leadership.lists;
                 let Some(pull) = lists.pull.take_if(|pull| pull.lister == from) else { return };
                 if failed == 1 {
-                    lists.tries += 1;
+                    lists.failed_pulls += 1;
                     lists.suspected.insert(from, self.now + LISTER_SUSPECT_SPAN);
                     self.leadership.list_due = self.now;
                     return;
                 }
-                let is_fitting =
+                let matches_base =
                     lists.copy.as_ref().is_some_and(|copy| copy.lister == from && copy.sequence == base);
                 if base == 0 {
                     lists.copy = Some(ListCopy {
@@ -274,7 +275,7 @@
                         instances: BTreeMap::new(),
                         workers: Vec::new(),
                     });
-                } else if !is_fitting {
+                } else if !matches_base {
                     lists.copy = None;
                     self.pull_list(from);
                     return;
@@ -293,7 +294,7 @@
                 if has_workers == 1 {
                     copy.workers = workers.0.into_iter().map(listed_worker).collect();
                 }
-                lists.tries = 0;
+                lists.failed_pulls = 0;
                 // The lister answered after this node asked: its list is at least as old as this.
                 let listed_at = pull.requested_at - Micros(age_micros);
                 let workers = copy.workers.clone();
@@ -322,15 +323,15 @@
     }
 }
 
-fn listed_instance(reported: InstanceEntry) -> ListedInstance {
+fn listed_instance(entry: InstanceEntry) -> ListedInstance {
     ListedInstance {
-        id: reported.instance.0,
-        function: reported.function.0,
-        worker: reported.worker.0,
-        address: reported.address.socket(),
-        memory_mb: reported.memory_mb,
-        draining: reported.draining == 1,
-        started: reported.started == 1,
+        id: entry.instance.0,
+        function: entry.function.0,
+        worker: entry.worker.0,
+        address: entry.address.socket(),
+        memory_mb: entry.memory_mb,
+        draining: entry.draining == 1,
+        started: entry.started == 1,
     }
 }
 
@@ -345,13 +346,13 @@
     }
 }
 
-fn listed_worker(reported: WorkerEntry) -> ListedWorker {
+fn listed_worker(entry: WorkerEntry) -> ListedWorker {
     ListedWorker {
-        id: reported.worker.0,
-        memory_mb: reported.memory_mb,
-        free_mb: (reported.reports_free == 1).then_some(reported.free_mb),
-        draining: reported.draining == 1,
-        zone: reported.zone.0,
+        id: entry.worker.0,
+        memory_mb: entry.memory_mb,
+        free_mb: (entry.reports_free == 1).then_some(entry.free_mb),
+        draining: entry.draining == 1,
+        zone: entry.zone.0,
     }
 }
 
--- a/packages/node_protocol/src/platform_list/tests.rs
+++ b/packages/node_protocol/src/platform_list/tests.rs
@@ -55,7 +55,7 @@
         random_seed: 1,
     };
     let mut node = Node::new(settings, None, Micros(0));
-    let two = MemberUpdate {
+    let disk_member = MemberUpdate {
         node: 2,
         address: address(2),
         zone: "a".into(),
@@ -66,7 +66,11 @@
         draining: 0,
         processor: 1_000,
     };
-    received(&mut node, Message::Probe { sequence: 1, target: 1, members: List(vec![two]) }, Micros(0));
+    received(
+        &mut node,
+        Message::Probe { sequence: 1, target: 1, members: List(vec![disk_member]) },
+        Micros(0),
+    );
     node
 }
 
@@ -91,10 +95,10 @@
 }
 
 #[test]
-fn who_pulls_gets_what_changed_and_everything_after_a_gap() {
-    let mut ledger = ListLedger::default();
-    ledger.apply(&[worker(500)], &[instance("a", false), instance("b", false)], Micros(0));
-    let reported = |ledger: &ListLedger, since| match ledger.changes_since(since, Micros(7)) {
+fn a_pull_returns_changes_or_the_full_list_after_a_gap() {
+    let mut change_log = ListChangeLog::default();
+    change_log.apply(&[worker(500)], &[instance("a", false), instance("b", false)], Micros(0));
+    let response = |change_log: &ListChangeLog, since| match change_log.changes_since(since, Micros(7)) {
         Message::ListResponse { base, sequence, age_micros, has_workers, instances, gone, .. } => {
             let instances: Vec<String> =
                 instances.0.into_iter().map(|instance| instance.instance.0).collect();
@@ -102,27 +106,31 @@
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(reported(&ledger, 0), (0, 1, 7, 1, vec!["a".to_owned(), "b".to_owned()], 0));
-    assert_eq!(reported(&ledger, 9), (0, 1, 7, 1, vec!["a".to_owned(), "b".to_owned()], 0), "another life");
-    ledger.apply(&[worker(500)], &[instance("a", false), instance("b", true)], Micros(3));
-    assert_eq!(reported(&ledger, 1), (1, 2, 4, 0, vec!["b".to_owned()], 0));
-    ledger.apply(&[worker(400)], &[instance("b", true)], Micros(5));
-    assert_eq!(reported(&ledger, 2), (2, 3, 2, 1, vec![], 1));
-    assert_eq!(reported(&ledger, 3), (3, 3, 2, 0, vec![], 0));
+    assert_eq!(response(&change_log, 0), (0, 1, 7, 1, vec!["a".to_owned(), "b".to_owned()], 0));
+    assert_eq!(
+        response(&change_log, 9),
+        (0, 1, 7, 1, vec!["a".to_owned(), "b".to_owned()], 0),
+        "another life"
+    );
+    change_log.apply(&[worker(500)], &[instance("a", false), instance("b", true)], Micros(3));
+    assert_eq!(response(&change_log, 1), (1, 2, 4, 0, vec!["b".to_owned()], 0));
+    change_log.apply(&[worker(400)], &[instance("b", true)], Micros(5));
+    assert_eq!(response(&change_log, 2), (2, 3, 2, 1, vec![], 1));
+    assert_eq!(response(&change_log, 3), (3, 3, 2, 0, vec![], 0));
     let many: Vec<ListedInstance> =
         (0..GONE_LIMIT + 1).map(|number| instance(&number.to_string(), false)).collect();
-    ledger.apply(&[], &many, Micros(5));
-    ledger.apply(&[], &[], Micros(6));
-    assert_eq!(reported(&ledger, 3).0, 0, "cells that left are no longer remembered so far back");
-    assert!(ledger.gone.len() <= GONE_LIMIT);
+    change_log.apply(&[], &many, Micros(5));
+    change_log.apply(&[], &[], Micros(6));
+    assert_eq!(response(&change_log, 3).0, 0, "cells that left are no longer remembered so far back");
+    assert!(change_log.gone.len() <= GONE_LIMIT);
 }
 
 #[test]
-fn a_list_is_pulled_and_its_age_counts_from_when_the_lister_asked() {
+fn the_age_of_a_pulled_list_counts_back_from_the_pull_request() {
     let mut node = node_beside_a_disk();
     let (pulls, lists) = tick(&mut node, 20, 60);
     assert_eq!((pulls.len(), lists.len()), (1, 0));
-    let reported = Message::ListResponse {
+    let response = Message::ListResponse {
         failed: 0,
         base: 0,
         sequence: 4,
@@ -132,16 +140,16 @@
         instances: List(vec![instance_entry(&instance("a", false))]),
         gone: List(Vec::new()),
     };
-    received(&mut node, reported.clone(), Micros::from_millis(60));
+    received(&mut node, response.clone(), Micros::from_millis(60));
     let requested_at = Micros::from_millis(pulls[0]);
     assert_eq!(node.leadership.listed_at, Some(requested_at - Micros(15_000)));
     // An answer that nobody asked for changes nothing.
-    received(&mut node, reported, Micros::from_millis(80));
+    received(&mut node, response, Micros::from_millis(80));
     assert_eq!(node.leadership.listed_at, Some(requested_at - Micros(15_000)));
 }
 
 #[test]
-fn a_node_that_hears_nobody_asks_the_platform_itself() {
+fn a_node_without_peer_contact_lists_the_platform_itself() {
     let mut node = node_beside_a_disk();
     let (pulls, lists) = tick(&mut node, 20, 600);
     assert_eq!(pulls.len(), 1);
@@ -149,7 +157,7 @@
 }
 
 #[test]
-fn a_node_that_slept_asks_the_platform_itself_before_anything() {
+fn a_node_resuming_after_a_pause_lists_the_platform_first() {
     let mut node = node_beside_a_disk();
     tick(&mut node, 20, 60);
     let actions = node.handle(Event::Tick, Micros::from_secs(5));
@@ -157,7 +165,7 @@
 }
 
 #[test]
-fn peers_wait_for_one_list_and_hear_when_it_fails() {
+fn waiting_peers_share_one_platform_list_and_are_notified_of_its_failure() {
     let mut node = node_beside_a_disk();
     tick(&mut node, 20, 60);
     let actions = received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(70));
@@ -168,7 +176,7 @@
         "one question to the platform at a time"
     );
     let listed = Event::Listed { workers: vec![worker(500)], instances: vec![instance("a", false)] };
-    let reported = |actions: Vec<Action>| {
+    let response = |actions: Vec<Action>| {
         actions.into_iter().find_map(|action| match action {
             Action::Send { message: Message::ListResponse { failed, instances, .. }, .. } => {
                 Some((failed, instances.0.len()))
@@ -176,12 +184,12 @@
             _ => None,
         })
     };
-    assert_eq!(reported(node.handle(listed, Micros::from_millis(90))), Some((0, 1)));
+    assert_eq!(response(node.handle(listed, Micros::from_millis(90))), Some((0, 1)));
     // From a young list the answer comes at once, without the platform.
     assert_eq!(
-        reported(received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(500))),
+        response(received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(500))),
         Some((0, 1))
     );
     received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(1_200));
-    assert_eq!(reported(node.handle(Event::ListFailed, Micros::from_millis(1_300))), Some((1, 0)));
+    assert_eq!(response(node.handle(Event::ListFailed, Micros::from_millis(1_300))), Some((1, 0)));
 }
--- a/packages/node_protocol/src/voter_replacement.rs
+++ b/packages/node_protocol/src/voter_replacement.rs
@@ -11,19 +11,19 @@
 /// seconds; and a machine that restarts may be told as gone a moment before its new process is.
 const LOST_TIMEOUT: Micros = Micros::from_millis(800);
 /// A voter that this process never met may be about to be heard of.
-const UNMET_TIMEOUT: Micros = Micros::from_secs(1);
+const UNKNOWN_VOTER_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// What this process saw of the voters' disks.
 /// Example: `sightings.update(&set, &live, now); sightings.swaps(&set, &live, timeout, now)`.
 #[derive(Debug, Default)]
-pub(crate) struct DiskSightings {
+pub(crate) struct DiskObservations {
     addresses: BTreeMap<u64, Address>,
     missing_since: BTreeMap<u64, Micros>,
     /// What the owner of the set was told already: processes and their states.
     reported: BTreeSet<(NodeId, u8)>,
 }
 
-impl DiskSightings {
+impl DiskObservations {
     /// Notes where disks are and which voters' disks no member has that answers.
     /// Example: `sightings.update(&set, &live, now)` before each question for swaps.
     pub(crate) fn update(&mut self, set: &VoterSet, live: &[MemberUpdate], now: Micros) {
@@ -31,10 +31,10 @@
         let voters = set.all();
         self.addresses.retain(|disk, _| voters.contains(disk));
         self.addresses.extend(disks.clone().map(|member| (member.disk, member.address)));
-        let answering: BTreeSet<u64> =
+        let responding: BTreeSet<u64> =
             disks.filter(|member| member.state == membership::ALIVE).map(|member| member.disk).collect();
-        self.missing_since.retain(|disk, _| voters.contains(disk) && !answering.contains(disk));
-        for disk in voters.difference(&answering) {
+        self.missing_since.retain(|disk, _| voters.contains(disk) && !responding.contains(disk));
+        for disk in voters.difference(&responding) {
             self.missing_since.entry(*disk).or_insert(now);
         }
     }
@@ -43,21 +43,21 @@
     /// disks. By probes alone it would hear of them a second later.
     /// Example: `sightings.unreported(&set, &live)` at each node that is not the owner.
     pub(crate) fn unreported(&mut self, set: &VoterSet, live: &[MemberUpdate]) -> Vec<MemberUpdate> {
-        let is_telling = |member: &&MemberUpdate| {
+        let is_reportable = |member: &&MemberUpdate| {
             let is_voter = set.disks.0.contains(&member.disk);
             member.disk_state == DISK_BLANK || (is_voter && member.state == membership::SUSPECTED)
         };
-        let telling: Vec<MemberUpdate> = live.iter().filter(is_telling).cloned().collect();
+        let reportable: Vec<MemberUpdate> = live.iter().filter(is_reportable).cloned().collect();
         let previous = std::mem::take(&mut self.reported);
-        self.reported.extend(telling.iter().map(|member| (member.node, member.state)));
-        telling.into_iter().filter(|member| !previous.contains(&(member.node, member.state))).collect()
+        self.reported.extend(reportable.iter().map(|member| (member.node, member.state)));
+        reportable.into_iter().filter(|member| !previous.contains(&(member.node, member.state))).collect()
     }
 
     /// The voters that give their votes away now, each with the disk that gets it. A machine that is
     /// back with another disk gets its own vote at once; the vote of one that is lost goes to a spare disk,
     /// and that of one that lives with a failed disk after `failed_timeout`. None without a majority.
     /// Example: `set.begin_changes(&sightings.swaps(&set, &live, timeout, now))`.
-    pub(crate) fn swaps(
+    pub(crate) fn replacements(
         &self,
         set: &VoterSet,
         live: &[MemberUpdate],
@@ -78,39 +78,40 @@
             .filter(|member| !set.all().contains(&member.disk))
             .map(|member| (member.disk, member.address))
             .collect();
-        let is_there_without = |address: &Address, lost: u64| {
+        let is_alive_without = |address: &Address, lost: u64| {
             live.iter().any(|member| {
                 member.address == *address && member.disk != lost && member.state == membership::ALIVE
             })
         };
-        let mut swaps = Vec::new();
-        let mut others = Vec::new();
+        let mut replacements = Vec::new();
+        let mut other_lost_voters = Vec::new();
         for lost in lost_voters {
             let address = self.addresses.get(&lost);
             let own_disk = free_disks.iter().find(|(_, at)| address == Some(at)).map(|(disk, _)| *disk);
             match own_disk {
-                Some(fresh) => {
-                    free_disks.remove(&fresh);
-                    swaps.push((lost, fresh));
+                Some(replacement) => {
+                    free_disks.remove(&replacement);
+                    replacements.push((lost, replacement));
                 }
-                None => others.push(lost),
+                None => other_lost_voters.push(lost),
             }
         }
         // A disk at a voter's address is that machine's new one: it waits until its own voter counts as lost.
         let voter_addresses = self.addresses.iter().filter(|(disk, _)| voters.contains(disk));
-        free_disks.retain(|_, address| !voter_addresses.clone().any(|(_, voter_at)| voter_at == address));
-        for lost in others {
+        free_disks
+            .retain(|_, address| !voter_addresses.clone().any(|(_, voter_address)| voter_address == address));
+        for lost in other_lost_voters {
             let timeout = match self.addresses.get(&lost) {
-                None => UNMET_TIMEOUT,
-                Some(address) if is_there_without(address, lost) => failed_timeout,
+                None => UNKNOWN_VOTER_TIMEOUT,
+                Some(address) if is_alive_without(address, lost) => failed_timeout,
                 Some(_) => LOST_TIMEOUT,
             };
             let is_due = self.missing_since.get(&lost).is_some_and(|since| now >= *since + timeout);
-            if is_due && let Some((fresh, _)) = free_disks.pop_first() {
-                swaps.push((lost, fresh));
+            if is_due && let Some((replacement, _)) = free_disks.pop_first() {
+                replacements.push((lost, replacement));
             }
         }
-        swaps
+        replacements
     }
 }
 
--- a/packages/node_protocol/src/voter_replacement/tests.rs
+++ b/packages/node_protocol/src/voter_replacement/tests.rs
@@ -23,47 +23,47 @@
 }
 
 /// What follows from these members after others were seen.
-fn swaps_after(
+fn replacements_after(
     set: &VoterSet,
     before: &[MemberUpdate],
     live: &[MemberUpdate],
-    later: Micros,
+    elapsed: Micros,
 ) -> Vec<(u64, u64)> {
-    let mut sightings = DiskSightings::default();
-    sightings.update(set, before, Micros(0));
-    sightings.update(set, live, Micros(1));
-    sightings.swaps(set, live, TIMEOUT, Micros(1) + later)
+    let mut observations = DiskObservations::default();
+    observations.update(set, before, Micros(0));
+    observations.update(set, live, Micros(1));
+    observations.replacements(set, live, TIMEOUT, Micros(1) + elapsed)
 }
 
 #[test]
-fn a_machine_back_with_a_blank_disk_gets_its_vote_at_once() {
+fn a_machine_returning_with_a_blank_disk_gets_its_own_vote_immediately() {
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.extend([member(3, 90, DISK_BLANK), member(4, 4, DISK_SPARE)]);
     // Its own machine's disk, not the lower spare one's.
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), [(3, 90)]);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), [(3, 90)]);
 }
 
 #[test]
-fn a_lost_machine_is_replaced_within_a_second() {
+fn a_lost_voter_is_replaced_only_after_its_timeout() {
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
     live.push(member(7, 90, DISK_BLANK));
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
     // Suspected is enough: removal takes longer.
     let suspected = MemberUpdate { state: membership::SUSPECTED, ..member(3, 3, DISK_VOTING) };
     let all = [live.clone(), vec![suspected]].concat();
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &all, LOST_TIMEOUT), [(3, 90)]);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &all, LOST_TIMEOUT), [(3, 90)]);
     // One that this process never met may only not have been heard of yet.
-    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, LOST_TIMEOUT), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2]), &live, UNMET_TIMEOUT), [(3, 90)]);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2]), &live, LOST_TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2]), &live, UNKNOWN_VOTER_TIMEOUT), [(3, 90)]);
     // Neither a suspected nor a draining machine takes a vote.
     live[2].state = membership::SUSPECTED;
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
     live[2] = MemberUpdate { draining: 1, ..member(7, 90, DISK_BLANK) };
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
 }
 
 /// The machine of voter 2 is back with disk 80 while its old process still counts as alive.
@@ -72,47 +72,47 @@
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.push(member(2, 80, DISK_BLANK));
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), []);
     live.push(member(7, 90, DISK_BLANK));
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
 }
 
 #[test]
-fn a_live_machine_with_a_failed_disk_keeps_its_vote_for_the_set_time() {
+fn a_live_machine_with_a_failed_disk_keeps_its_vote_until_the_configured_timeout() {
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.extend([member(3, 0, DISK_FAILED), member(4, 4, DISK_BLANK)]);
-    let almost = Micros(TIMEOUT.0 - 1);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, almost), []);
-    assert_eq!(swaps_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), [(3, 4)]);
+    let before_timeout = Micros(TIMEOUT.0 - 1);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, before_timeout), []);
+    assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, TIMEOUT), [(3, 4)]);
 }
 
 #[test]
-fn two_of_five_are_swapped_at_once_and_a_minority_swaps_nothing() {
+fn two_of_five_voters_are_replaced_together_but_a_minority_replaces_none() {
     let set = VoterSet::bootstrap(&[1, 2, 3, 4, 5]);
     let spares = [member(8, 8, DISK_BLANK), member(9, 9, DISK_SPARE), member(5, 50, DISK_BLANK)];
     let mut live = voters(&[1, 2, 3]);
     live.extend(spares.clone());
     let all = voters(&[1, 2, 3, 4, 5]);
-    assert_eq!(swaps_after(&set, &all, &live, LOST_TIMEOUT), [(5, 50), (4, 8)]);
-    let mut few = voters(&[1, 2]);
-    few.extend(spares);
-    assert_eq!(swaps_after(&set, &all, &few, TIMEOUT), []);
+    assert_eq!(replacements_after(&set, &all, &live, LOST_TIMEOUT), [(5, 50), (4, 8)]);
+    let mut minority = voters(&[1, 2]);
+    minority.extend(spares);
+    assert_eq!(replacements_after(&set, &all, &minority, TIMEOUT), []);
 }
 
 #[test]
-fn the_owner_is_told_once_of_suspected_voters_and_blank_disks() {
+fn suspected_voters_and_blank_disks_are_reported_to_the_owner_once() {
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2, 3]);
-    let mut sightings = DiskSightings::default();
-    assert_eq!(sightings.unreported(&set, &live), []);
+    let mut observations = DiskObservations::default();
+    assert_eq!(observations.unreported(&set, &live), []);
     live[2].state = membership::SUSPECTED;
     live.push(member(7, 90, DISK_BLANK));
-    assert_eq!(sightings.unreported(&set, &live), live[2..]);
-    assert_eq!(sightings.unreported(&set, &live), []);
+    assert_eq!(observations.unreported(&set, &live), live[2..]);
+    assert_eq!(observations.unreported(&set, &live), []);
     // It answers again, and is suspected anew.
     live[2].state = membership::ALIVE;
-    assert_eq!(sightings.unreported(&set, &live), []);
+    assert_eq!(observations.unreported(&set, &live), []);
     live[2].state = membership::SUSPECTED;
-    assert_eq!(sightings.unreported(&set, &live), live[2..3]);
+    assert_eq!(observations.unreported(&set, &live), live[2..3]);
 }
--- a/packages/node_protocol/src/zones.rs
+++ b/packages/node_protocol/src/zones.rs
@@ -113,8 +113,8 @@
 fn relays_of(zone: &str, members: &[&MemberUpdate]) -> Vec<NodeId> {
     let mut ranked: Vec<&&MemberUpdate> = members.iter().collect();
     ranked.sort_by_key(|member| {
-        let is_sound = member.state == ALIVE && member.draining == 0;
-        std::cmp::Reverse((is_sound, member.processor, rendezvous_weight(zone, member.node), member.node))
+        let is_healthy = member.state == ALIVE && member.draining == 0;
+        std::cmp::Reverse((is_healthy, member.processor, rendezvous_weight(zone, member.node), member.node))
     });
     ranked.into_iter().take(RELAYS).map(|member| member.node).collect()
 }
--- a/packages/node_protocol/src/zones/tests.rs
+++ b/packages/node_protocol/src/zones/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn large_machines_relay_and_all_nodes_agree_on_them() {
+fn all_nodes_choose_the_same_large_machines_as_relays() {
     let mut fleet = fleet();
     assert_eq!(zones(&fleet, 0).relay(), Some(10));
     assert_eq!(zones(&fleet, 14).relay(), Some(20));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_small_fleet_and_one_zone_have_no_relays() {
+fn a_small_or_single_zone_fleet_has_no_relays() {
     let small = &fleet()[5..15];
     assert_eq!(zones(small, 0).relay(), None);
     assert_eq!(zones(small, 0).neighbours().local.len(), 9, "everybody is near");
