--- a/packages/node_protocol/src/configuration_sync.rs
+++ b/packages/node_protocol/src/configuration_sync.rs
@@ -1,8 +1,8 @@
-//! The configuration at this node: the state that its parts share, and their clock events.
+//! The configuration at this node: the state shared by its submodules, and their periodic work.
 //!
-//! The parts: operators' changes on their way to the owner of the key ([`forwarded_changes`]), the batches in
-//! which that owner settles them ([`batches`]), and which generation holds here
-//! ([`current_generation`]).
+//! Submodules: operators' changes forwarded to the owner of the configuration's key
+//! ([`forwarded_changes`]), the batches in which that owner applies them ([`batches`]), and the generation
+//! in use at this node ([`current_generation`]).
 
 mod batches;
 mod current_generation;
@@ -18,14 +18,14 @@
 use std::sync::Arc;
 
 const CHANGE_QUEUE_LIMIT: usize = 256;
-/// A change that has no outcome after this is given up.
+/// A change without an outcome after this time is abandoned.
 const CHANGE_TIMEOUT: Micros = Micros::from_secs(6);
 const UNCONFIRMED: &str = "no majority of the disks confirmed it; send it again under the same id";
 const RETRY_PAUSE: Micros = Micros::from_millis(150);
-/// While a change waits, the voters are asked for a direct answer this often.
+/// How often the voters are probed directly while a change is pending.
 const VOTER_PROBE_INTERVAL: Micros = Micros::from_millis(250);
 
-/// Who waits for a change's outcome: the node that an operator asked, which may be this one.
+/// The node that awaits a change's outcome, which may be this one, and its request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Requester {
     node: NodeId,
@@ -37,8 +37,8 @@
     current: Arc<Configuration>,
     generation: u64,
     confirmed: bool,
-    /// Set while this node, asleep or cut off until then, does not know whether a newer generation
-    /// holds: no ticket is used meanwhile.
+    /// Set while this node, after a pause or a loss of contact, does not know whether a newer generation is
+    /// in use. It uses no permit in this state.
     suspected_since: Option<Micros>,
     is_ready_reported: bool,
     /// The register's version and value as last seen.
@@ -47,10 +47,10 @@
     queue: VecDeque<RequestedChange>,
     forwarded: BTreeMap<u64, ForwardedChange>,
     confirm_ticker: Ticker,
-    /// When this node last heard from a majority which version of the register stands.
+    /// When a majority last confirmed to this node which version of the register is in force.
     majority_read_at: Option<Micros>,
     majority_version: u64,
-    /// Which nodes answered probes of this one directly, and when, while changes wait.
+    /// Nodes that responded to this node's direct probes while changes are pending, and when.
     voter_responses: BTreeMap<NodeId, Micros>,
     voter_probe_ticker: Ticker,
     read_requested_at: Micros,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The answer where the node has too much to do: no word of a majority, so it is no refusal.
+/// The outcome reported by an overloaded node: unknown rather than refused, since no majority has decided.
 fn overloaded() -> ChangeOutcome {
     ChangeOutcome::Unknown { reason: "too many changes wait at this node; send it again".to_owned() }
 }
--- a/packages/node_protocol/src/configuration_sync/batches.rs
+++ b/packages/node_protocol/src/configuration_sync/batches.rs
@@ -1,5 +1,5 @@
-//! Changes at the owner of the configuration's key: those that wait are applied in turn, written as one
-//! value, and answered together.
+//! Changes at the owner of the configuration's key: queued changes are applied in order, written as one
+//! value, and responded to together.
 
 use super::{CHANGE_QUEUE_LIMIT, CHANGE_TIMEOUT, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
 use crate::control_store::WritePurpose;
@@ -10,7 +10,7 @@
 use peer_messages::{Bytes, Message, NodeId, WriteOutcome};
 
 const BATCH_LIMIT: usize = 64;
-/// A batch whose writes met another value so often is answered as of unknown fate.
+/// A batch is abandoned with an unknown outcome after this many writes that found a different value.
 const BATCH_WRITE_LIMIT: u32 = 8;
 
 #[derive(Debug)]
@@ -24,17 +24,18 @@
 #[derive(Debug)]
 pub(super) struct Batch {
     changes: Vec<RequestedChange>,
-    /// The version of the base that the outcomes rest on: the base may move on meanwhile.
+    /// The version of the base that the outcomes were computed on; the base may advance before the write
+    /// completes.
     base_version: u64,
     /// The next value, if any change was accepted on top of the base.
     next: StoredConfiguration,
     writes: u32,
-    /// Set while waiting to try again.
+    /// Set while a retry is pending.
     pub(super) retry_at: Option<Micros>,
 }
 
 impl Batch {
-    /// Applies the changes, in turn, on top of a base, and counts those that change it.
+    /// Applies the changes in order on top of a base and returns how many of them modify it.
     fn apply_changes(&mut self, base_version: u64, base: StoredConfiguration) -> u32 {
         self.next = base;
         self.base_version = base_version;
@@ -49,7 +50,7 @@
 }
 
 impl Node {
-    /// A peer passes a change on to this node.
+    /// Handles a change forwarded by a peer.
     pub(crate) fn change_forwarded(&mut self, from: NodeId, request_id: u64, change_bytes: &Bytes) {
         let Ok(change) = serde_json::from_slice::<Change>(&change_bytes.0) else { return };
         self.enqueue_change(Requester { node: from, request_id }, change, self.now);
@@ -76,7 +77,7 @@
         self.send(requester.node, Message::ChangeSettled { request_id: requester.request_id, outcome });
     }
 
-    /// Changes that wait are applied together, in turn, and written as one value.
+    /// Starts a batch of queued changes: they are applied in order and written as one value.
     fn begin_batch(&mut self) {
         if self.configuration.batch.is_some() || self.configuration.queue.is_empty() {
             return;
@@ -99,7 +100,7 @@
         batch.writes += 1;
         batch.retry_at = None;
         let accepted_count = batch.apply_changes(base_version, base_stored);
-        // With nothing to write the refusals still rest on a base that must be confirmed.
+        // With nothing to write, the refusals still rest on a base that must be confirmed.
         let sent = match accepted_count {
             0 => self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationCheck),
             _ => {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The answer to the batch's write.
+    /// Handles the response to the batch's write.
     pub(crate) fn configuration_written(&mut self, outcome: WriteOutcome) {
         match outcome.outcome {
             WRITTEN => {
@@ -129,7 +130,8 @@
         }
     }
 
-    /// The answer to the check that a batch of refusals rests on the newest base.
+    /// Handles the response to the check that a batch without accepted changes was computed on the newest
+    /// base.
     pub(crate) fn configuration_checked(&mut self, outcome: WriteOutcome) {
         if outcome.outcome != WRITTEN {
             self.configuration_unanswered();
@@ -144,7 +146,8 @@
         }
     }
 
-    /// No answer, no majority, or an answer of unknown fate: tried again under the same change ids.
+    /// Handles a missing response, a missing majority or an unknown outcome: the batch is retried under the
+    /// same change ids.
     pub(crate) fn configuration_unanswered(&mut self) {
         self.retry_batch(RETRY_PAUSE);
     }
--- a/packages/node_protocol/src/configuration_sync/current_generation.rs
+++ b/packages/node_protocol/src/configuration_sync/current_generation.rs
@@ -1,5 +1,5 @@
-//! Which generation of the configuration holds at this node, and how a majority of the disks is asked which
-//! one stands. A generation, once seen, never goes back.
+//! Which configuration generation is in use at this node, and how this node confirms with a majority of the
+//! disks which one is in force. The generation at a node never goes back.
 
 use super::ConfigurationSync;
 use crate::control_store::WritePurpose;
@@ -12,22 +12,25 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// How often the owner of the configuration's key reads it by a majority, and how soon a voter asks that
-/// stored a version which nobody told it to be confirmed.
+/// How often the owner of the configuration's key reads it by a majority, and how soon a voter requests a
+/// read after storing a version that it has not seen confirmed.
 const OWNER_READ_INTERVAL: Micros = Micros::from_millis(500);
 const STORED_READ_INTERVAL: Micros = Micros::from_millis(250);
-/// Every other node asks in turn, so that all of them together send the owner a bounded number of reads.
+/// Every other node reads at an interval that grows with the number of members, so that all together send
+/// the owner a bounded rate of reads.
 const READ_INTERVAL: Micros = Micros::from_millis(1_000);
 const READ_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(60);
-/// A newer generation that colleagues told of and that the news did not bring within this is asked of a majority,
-/// again after as long and the time that the whole takes over this machine's link.
+/// A newer generation that peers reported and that gossip has not delivered within this time is read from a
+/// majority. The read is repeated after the second interval plus the transfer time of the whole
+/// configuration over this machine's link.
 const GOSSIP_TIMEOUT: Micros = Micros::from_millis(2_000);
 const AWAITED_READ_INTERVAL: Micros = Micros::from_millis(1_000);
-/// A node that was away goes on by what it has and by what colleagues told it after this.
+/// A node that lost contact continues with the configuration known from itself and its peers after this
+/// time.
 const STALENESS_TIMEOUT: Micros = Micros::from_millis(2_000);
 
 impl ConfigurationSync {
-    /// How long ago a majority told this node which version of the configuration stands.
+    /// Time since a majority last confirmed to this node which version of the configuration is in force.
     pub(crate) fn majority_read_age(&self, now: Micros) -> Option<Micros> {
         self.majority_read_at.map(|read_at| now - read_at)
     }
@@ -50,7 +53,7 @@
 }
 
 impl Node {
-    /// The answer to the read at the start of the node.
+    /// Handles the response to the read at this node's start.
     pub(crate) fn configuration_read(&mut self, outcome: WriteOutcome) {
         if outcome.outcome != WRITTEN {
             return;
@@ -59,7 +62,7 @@
         self.configuration_confirmed(outcome.version);
     }
 
-    /// A majority confirmed that the configuration known here stands, under this version.
+    /// A majority confirmed that the configuration known here is in force, under this version.
     pub(crate) fn configuration_confirmed(&mut self, version: u64) {
         self.record_majority_version(version);
         self.configuration.confirmed = true;
@@ -72,7 +75,8 @@
         self.configuration.majority_version = self.configuration.majority_version.max(version);
     }
 
-    /// This node was away: before its calls go on it asks which generation holds.
+    /// Called when this node has been without contact: confirms which generation is in force before its
+    /// calls continue.
     pub(crate) fn suspect_configuration(&mut self) {
         if !self.configuration.confirmed {
             return;
@@ -81,7 +85,7 @@
         self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
     }
 
-    /// Takes the configuration's register as a majority confirmed it.
+    /// Adopts the configuration's register as confirmed by a majority.
     pub(crate) fn adopt_base(&mut self, outcome: &WriteOutcome) {
         self.record_majority_version(outcome.version);
         if outcome.version <= self.configuration.base.0 {
@@ -107,9 +111,9 @@
         self.handle_configuration_update();
     }
 
-    /// Newer news of the configuration: it was checked before it was stored.
+    /// Applies a newer configuration from gossip; it was validated before it was stored.
     pub(crate) fn handle_configuration_update(&mut self) {
-        // The news' sequence is the generation.
+        // The gossip sequence is the generation.
         if self.gossip.sequence(CONFIGURATION_KEY) <= self.configuration.generation {
             return;
         }
@@ -119,7 +123,7 @@
         }
     }
 
-    /// What changed since the generation that holds here, item by item, if the news tell all of it.
+    /// The deltas since the generation in use here, if gossip has all of them.
     fn known_deltas(&self) -> Option<Vec<ConfigurationDelta>> {
         let current_generation = self.configuration.generation;
         let encoded_deltas = self.gossip.meanings_since(CONFIGURATION_KEY, current_generation)?;
@@ -133,13 +137,13 @@
         (reached_generation == self.gossip.sequence(CONFIGURATION_KEY)).then_some(deltas)
     }
 
-    /// Costs what changed, not what the configuration holds.
+    /// Applies deltas; the cost depends on the size of the changes, not of the configuration.
     fn apply_deltas(&mut self, deltas: Vec<ConfigurationDelta>) {
         for delta in &deltas {
-            let touched = self.configuration_changes(delta);
+            let affected = self.configuration_changes(delta);
             delta.apply(Arc::make_mut(&mut self.configuration.current));
             self.configuration.generation = delta.generation;
-            self.settings_changed(delta, &touched);
+            self.settings_changed(delta, &affected);
         }
         self.emit_configuration(deltas);
     }
@@ -170,8 +174,8 @@
         self.emit(Action::ConfigurationApplied { generation, configuration, deltas });
     }
 
-    /// An operator's read is confirmed by a majority, so that it never shows less than what was
-    /// acknowledged anywhere.
+    /// Handles an operator's read. A majority confirms it, so that it never shows less than what was
+    /// acknowledged by any node.
     pub(crate) fn configuration_requested(&mut self, request: u64) {
         let purpose = WritePurpose::ConfigurationRequested { request };
         if self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), purpose).is_none() {
@@ -182,7 +186,7 @@
         }
     }
 
-    /// The configuration's stored bytes as this node knows them.
+    /// The stored bytes of the configuration as known to this node.
     /// Example: `StoredConfiguration::decode(&node.stored_configuration())`.
     pub fn stored_configuration(&self) -> Vec<u8> {
         match self.gossip.body(CONFIGURATION_KEY) {
@@ -191,12 +195,13 @@
         }
     }
 
-    /// How many bytes [`Node::stored_configuration`] has, zero before the first configuration.
+    /// The length of [`Node::stored_configuration`], zero before the first configuration.
     pub(crate) fn stored_configuration_length(&self) -> usize {
         self.gossip.body(CONFIGURATION_KEY).map_or(0, |body| body.0.len())
     }
 
-    /// Keeps to what is known, or asks a majority: a doubt begins and ends with time.
+    /// Updates whether this node's generation is suspected to be outdated, and sends the periodic confirmed
+    /// reads.
     pub(super) fn tick_generation(&mut self) {
         self.update_staleness();
         if self.configuration.confirmed && !self.configuration.is_suspected() {
@@ -204,16 +209,16 @@
             return;
         }
         if self.configuration.confirm_ticker.due(self.now) {
-            // A new process is ready by a majority's word alone: the one before it may have used a newer
-            // generation than any peer that it hears.
+            // A new process becomes ready only when a majority confirms: the previous process may have used
+            // a newer generation than any peer that responds.
             self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
         }
     }
 
     fn update_staleness(&mut self) {
         let now = self.now;
-        // Nobody is heard and the platform does not answer either: this machine is cut off. A lone
-        // survivor, which still reaches the platform, goes on.
+        // Neither peers nor the platform respond: this machine is isolated. A sole survivor that still
+        // reaches the platform continues.
         if self.configuration.confirmed && self.is_out_of_contact() && !self.has_fresh_list() {
             self.configuration.suspected_since = Some(now);
         }
@@ -224,10 +229,11 @@
         }
     }
 
-    /// A change may have been acknowledged by a node that was lost before it told anybody. The owner of
-    /// the key therefore reads it by a majority in a steady rhythm, a voter asks soon after it stored a
-    /// version that it did not hear confirmed, whoever heard of a newer generation that does not come asks
-    /// out of turn, and every other node asks in turn.
+    /// Reads the configuration by a majority when due. A change may have been acknowledged by a node that
+    /// failed before it sent the change to others. The key's owner therefore reads at a fixed interval, a
+    /// voter reads soon after it stored a version that it has not seen confirmed, a node that knows of a
+    /// newer generation that gossip has not delivered reads early, and every other node reads at the usual
+    /// interval.
     fn read_if_due(&mut self) {
         let now = self.now;
         let read_at = self.configuration.majority_read_at.unwrap_or(Micros(0));
@@ -251,13 +257,13 @@
         self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationRead);
     }
 
-    /// Whether a newer generation was told of and has not come by the news for so long.
+    /// Whether a newer generation was reported and has not arrived by gossip within the timeout.
     fn is_gossip_overdue(&self) -> bool {
         let awaited_since = self.gossip.awaited_since(CONFIGURATION_KEY);
         awaited_since.is_some_and(|since| self.now >= since + GOSSIP_TIMEOUT)
     }
 
-    /// How long the whole configuration is under way over this machine's link.
+    /// Transfer time of the whole configuration over this machine's link.
     fn full_transfer_time(&self) -> Micros {
         let bytes = self.stored_configuration_length() as f64;
         Micros((self.settings.link_rate.map_or(0.0, |rate| bytes / rate) * 1e6) as u64)
--- a/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
+++ b/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
@@ -1,5 +1,5 @@
-//! Operators' changes that this node passed on: carried to the owner of the configuration's key, sent anew
-//! while they have no outcome, and answered in time whatever becomes of them.
+//! Operators' changes that this node forwards to the owner of the configuration's key. They are resent
+//! until they have an outcome, and the operator always receives a response in time.
 
 use super::{CHANGE_QUEUE_LIMIT, CHANGE_TIMEOUT, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
 use crate::Action;
@@ -9,35 +9,35 @@
 use monotonic_clock::Micros;
 use peer_messages::{Bytes, Message, NodeId, rendezvous_weight};
 
-/// A change is sent anew after this without an outcome.
+/// A change without an outcome is resent after this time.
 const FORWARD_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// After so many sendings without an outcome the next voter is tried: an owner that is cut off from the other
-/// voters is heard by everybody else, and settles nothing.
+/// After this many sends without an outcome the next voter is tried: an owner that is partitioned from the
+/// other voters may still be reachable by all other nodes, but cannot commit a change.
 const SENDS_PER_VOTER: u32 = 2;
-/// An operator that hears nothing goes on to another node after about a second: a node that reaches no
-/// majority says so before that, and carries the change on all the same.
+/// Operators' clients try another node after about a second. A node that reaches no majority responds
+/// before that, and continues to forward the change.
 const RESPONSE_DEADLINE: Micros = Micros::from_millis(900);
 
-/// A change passed on to the owner of the configuration's key.
+/// A change forwarded to the owner of the configuration's key.
 #[derive(Debug)]
 pub(super) struct ForwardedChange {
     request: u64,
     change: Change,
     requested_at: Micros,
     sent_at: Micros,
-    /// The owner it was sent to; none while there is no owner.
+    /// The owner that it was last sent to; `None` while there is no owner.
     owner: Option<NodeId>,
-    /// How often it was sent.
+    /// How many times it was sent.
     send_count: u32,
-    /// The operator was told that the outcome is not known yet.
+    /// Whether the operator received the response that the outcome is unknown.
     is_answered: bool,
-    /// How long it is under way over this machine's link, at the most.
+    /// Its transfer time over this machine's link.
     transfer_time: Micros,
 }
 
 impl Node {
-    /// An operator's change: the owner of the configuration's key settles it, since changes that meet
-    /// at one node never race; any other node passes it on.
+    /// Handles an operator's change. The owner of the configuration's key applies it, since changes that
+    /// meet at one node never race; any other node forwards it.
     pub(crate) fn change_requested(&mut self, request: u64, change: Change) {
         if self.configuration.forwarded.len() >= CHANGE_QUEUE_LIMIT {
             let outcome = overloaded();
@@ -59,8 +59,8 @@
         self.forward_change(request_id);
     }
 
-    /// Sends a change to the owner of the configuration's key; repeating it is harmless, since its id
-    /// is remembered with the configuration.
+    /// Sends a change to the owner of the configuration's key. Resending is harmless, since the change id
+    /// is stored with the configuration.
     fn forward_change(&mut self, request_id: u64) {
         let now = self.now;
         let Some(forwarded) = self.configuration.forwarded.get(&request_id) else { return };
@@ -81,15 +81,15 @@
         self.send(owner, Message::ChangeForward { request_id, change });
     }
 
-    /// The voter to settle a change: the owner of the configuration's key first, then the others in the order
-    /// in which they come after it.
+    /// The voter to send a change to: the owner of the configuration's key at place zero, then the other
+    /// voters in rendezvous order.
     fn voter_for_change(&self, place: usize) -> Option<NodeId> {
         let mut voters = self.owner_candidates();
         voters.sort_by_key(|node| std::cmp::Reverse((rendezvous_weight(CONFIGURATION_KEY, *node), *node)));
         voters.get(place % voters.len().max(1)).copied()
     }
 
-    /// The owner's outcome of a change that this node passed on.
+    /// Handles the owner's outcome of a forwarded change.
     pub(crate) fn change_settled(&mut self, request_id: u64, outcome_bytes: &Bytes) {
         let Ok(outcome) = serde_json::from_slice::<ChangeOutcome>(&outcome_bytes.0) else { return };
         let Some(forwarded) = self.configuration.forwarded.remove(&request_id) else { return };
@@ -100,8 +100,8 @@
         self.emit(Action::ChangeAnswered { request: forwarded.request, change_id, outcome });
     }
 
-    /// Passed-on changes without an outcome are sent anew, perhaps to another owner, and given up
-    /// with their fate unknown when their time is over.
+    /// Resends forwarded changes without an outcome, possibly to another owner, and abandons them with an
+    /// unknown outcome at their timeout.
     pub(super) fn tick_forwarded(&mut self) {
         self.probe_voters_for_changes();
         let requests: Vec<u64> = self.configuration.forwarded.keys().copied().collect();
@@ -137,7 +137,8 @@
         self.now >= forwarded.sent_at + timeout || has_owner_left
     }
 
-    /// Finds out, while changes wait, whether this node has a way to a majority and back.
+    /// Probes the voters while changes are pending, to learn whether this node reaches a majority and
+    /// receives its responses.
     fn probe_voters_for_changes(&mut self) {
         if self.configuration.forwarded.is_empty() {
             self.configuration.voter_responses.clear();
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Notes that a node answered a probe of this one directly; kept while changes wait.
+    /// Records that a node responded to a direct probe; kept while changes are pending.
     pub(crate) fn probe_answered(&mut self, node: NodeId) {
         if !self.configuration.forwarded.is_empty() {
             self.configuration.voter_responses.insert(node, self.now);
@@ -161,7 +162,7 @@
         self.is_majority(&responding.collect())
     }
 
-    /// Tells the operator, once, that a passed-on change has no outcome yet.
+    /// Responds to the operator, once, that a forwarded change has no outcome yet.
     fn respond_unconfirmed(&mut self, request_id: u64) {
         let Some(forwarded) = self.configuration.forwarded.get_mut(&request_id) else { return };
         if std::mem::replace(&mut forwarded.is_answered, true) {
--- a/packages/node_protocol/src/control_store.rs
+++ b/packages/node_protocol/src/control_store.rs
@@ -1,9 +1,10 @@
-//! The replicated control state at this node: the state that its parts share, the messages dealt out to
-//! them, and the clock events.
+//! The replicated control state at this node: the state shared by its submodules, the dispatch of messages
+//! to them, and periodic work.
 //!
-//! The parts: the own [`disk`] and its syncs; the [`current_set`] of voters; [`bootstrap`];
-//! [`voter_changes`] and the copy; [`key_owners`]; [`owner_responses`], this node's work as an owner;
-//! [`requests`] in flight to owners; [`record_polls`] and the [`record_relay`] of a zone.
+//! Submodules: the node's own [`disk`] and its syncs; the [`current_set`] of voters; [`bootstrap`] of the
+//! first voter set; [`voter_changes`] and the key copy that they need; [`key_owners`]; [`owner_responses`],
+//! the work of this node as a key owner; outgoing [`requests`] to owners; [`record_polls`] and the
+//! [`record_relay`] of a zone.
 
 mod bootstrap;
 mod current_set;
@@ -29,42 +30,42 @@
 use requests::WriteAttempt;
 use std::collections::BTreeMap;
 
-/// A blank disk that never voted.
+/// A blank disk that has never voted.
 pub(crate) const DISK_BLANK: u8 = 1;
-/// A disk of the newest known voter set.
+/// A disk in the newest known voter set.
 pub(crate) const DISK_VOTING: u8 = 2;
-/// A disk that voted once and is no longer in the set.
+/// A disk that voted before and is no longer in the voter set.
 pub(crate) const DISK_SPARE: u8 = 3;
-/// A disk that fails now, whatever it was before.
+/// A disk that is failing, whatever its state was before.
 pub(crate) const DISK_FAILED: u8 = 4;
 
-/// After this an owner that does not answer is passed over for a while.
+/// An owner that does not respond within this time is suspected and skipped for a while.
 const OWNER_TIMEOUT: Micros = Micros::from_millis(600);
-/// A confirmed read's outcome: a large value stands that the asker lacks, and the answering node has it
-/// as news. It takes the place of the value for machines without a disk, whose links may be small.
+/// Outcome of a confirmed read: a large value is in force that the requester lacks, and the responding node
+/// has it as gossip. Returned instead of the value to machines without a disk, whose links may be small.
 const VIA_GOSSIP: u8 = 5;
 
 #[derive(Debug)]
 pub(crate) struct ControlStore {
     disk: Option<Disk>,
-    /// Why there is a data folder and no disk.
+    /// Why the data folder's disk cannot be used, if that is so.
     disk_fault: Option<String>,
-    /// The disk was formatted in the place of a damaged one.
+    /// The disk was formatted to replace a damaged one.
     replaces_damaged: bool,
     owner: KeyOwner,
-    /// The newest chosen set that this node knows: the one it goes by.
+    /// The newest chosen voter set known to this node; all its decisions use it.
     set: ChosenSet,
-    /// Writes and confirmed reads that await their answers, by their asks.
+    /// Writes and confirmed reads that await a response, by request id.
     attempts: BTreeMap<u64, WriteAttempt>,
-    /// Owners that left something unanswered, and until when they are passed over.
+    /// Owners that did not respond in time, and until when they are skipped.
     suspected: BTreeMap<NodeId, Micros>,
-    /// Owners that were polled and did not answer yet, and since when.
+    /// Owners that have not responded to a poll yet, and since when.
     polls: BTreeMap<NodeId, Micros>,
     poll_groups: PollGroups,
     observed_records: ObservedRecords,
     relayed_poll: RelayedPoll,
     disk_observations: DiskObservations,
-    /// The copying that this node does while the voter set changes.
+    /// The key copy that this node performs during a voter set change.
     copy: Option<SetCopy>,
     bootstrap_ticker: Ticker,
     is_wait_reported: bool,
@@ -157,7 +158,7 @@
             self.try_repair();
             self.transfer_keys();
         }
-        // A change that was begun goes on with each clock event.
+        // A change under way is continued on every tick.
         if self.control.replacement_ticker.due(now) || !self.control.set.joining.0.is_empty() {
             self.try_replacing();
         }
--- a/packages/node_protocol/src/control_store/bootstrap.rs
+++ b/packages/node_protocol/src/control_store/bootstrap.rs
@@ -1,4 +1,5 @@
-//! Founding the first voter set, once in a fleet's life: who may, when, and what the asked disks answer.
+//! Bootstrap of the first voter set, once in a fleet's life: which node may start it, when, and how the
+//! selected disks respond.
 
 use super::{DISK_BLANK, DISK_VOTING};
 use crate::node::Node;
@@ -7,9 +8,10 @@
 use serde_json::json;
 
 impl Node {
-    /// The one node that may found: the seed with the lowest address among those that carry a disk. Each
-    /// lower one must be heard, and carry none: a process never changes that, so no two nodes can be it.
-    /// Any rule by what a node sees of the disks lets two found two sets that share disks.
+    /// Only one node may bootstrap: the seed with the lowest address among those that have a disk. Every
+    /// seed with a lower address must have been contacted and have no disk; a process never changes that,
+    /// so two nodes cannot both qualify. Any rule based on which disks a node currently sees could let two
+    /// nodes bootstrap two sets that share disks.
     fn is_bootstrap_node(&self) -> bool {
         let own = self.settings.address;
         if self.settings.seeds.is_empty() {
@@ -25,8 +27,8 @@
             .any(|member| member.address == address && member.disk == 0 && member.disk_state == 0)
     }
 
-    /// Founds the first voter set, once: the founder's own disk and others that are blank, all live;
-    /// no member may have voted before, and at least half of the seeds must have been heard.
+    /// Bootstraps the first voter set, once, from this node's own disk and other blank disks, all live. No
+    /// member may have voted before, and at least half of the seeds must have been contacted.
     pub(super) fn try_bootstrap(&mut self) {
         let is_bootstrap_node = self.is_bootstrap_node();
         let Some(disk) = &self.control.disk else {
@@ -45,7 +47,7 @@
             || !self.settings.may_bootstrap
             || is_bootstrapped
             || disk.is_failed
-            || !self.may_be_first()
+            || !self.may_start_bootstrap()
         {
             return;
         }
@@ -53,29 +55,31 @@
         if bootstrap_disks.len() < self.settings.bootstrap_disks {
             return;
         }
-        // Its own disk takes the set first, and is asked in a message to itself: whatever happens to
-        // this process afterwards, it founds no other.
+        // This node's own disk stores the set first, by a message to itself, so that this node never
+        // bootstraps another set whatever happens to the process afterwards.
         bootstrap_disks.sort_unstable_by_key(|disk| (*disk != own_disk, *disk));
         bootstrap_disks.truncate(self.settings.bootstrap_disks);
         bootstrap_disks.sort_unstable();
         self.announce_bootstrap(&bootstrap_disks, &[own_disk]);
     }
 
-    /// Tells once, on a founding seed without a disk, that no seed can found.
+    /// Records once, on the bootstrap seed without a disk, that no seed can bootstrap.
     fn report_bootstrap_wait(&mut self, is_bootstrap_node: bool) {
         let own = self.settings.address;
-        let no_seed_can = is_bootstrap_node
+        let all_seeds_lack_disks = is_bootstrap_node
             && self.settings.seeds.iter().filter(|seed| **seed != own).all(|seed| self.lacks_disk(*seed));
-        let is_missing = no_seed_can && self.control.set.generation == 0 && !self.control.is_wait_reported;
-        if is_missing && self.members.live().len() > 1 {
+        let should_report =
+            all_seeds_lack_disks && self.control.set.generation == 0 && !self.control.is_wait_reported;
+        if should_report && self.members.live().len() > 1 {
             self.control.is_wait_reported = true;
             let reason = "a seed founds the state, and none has a data folder";
             self.decision_log.append("founding_waits", json!({"reason": reason}), self.now);
         }
     }
 
-    /// Enough seeds were heard, and no live member has a disk that ever voted or that fails.
-    fn may_be_first(&self) -> bool {
+    /// Whether at least half of the seeds were contacted and no live member has a disk that ever voted or
+    /// that is failing.
+    fn may_start_bootstrap(&self) -> bool {
         self.members.seeds_reached() * 2 >= self.members.seed_count()
             && self.members.live().iter().all(|member| member.disk_state < DISK_VOTING)
     }
@@ -85,16 +89,16 @@
         live.filter(|member| member.disk_state == DISK_BLANK).map(|member| member.disk).collect()
     }
 
-    /// A founding that was cut short is told again to the members of the set that are still blank.
+    /// Resends an interrupted bootstrap to the members of the set that are still blank.
     fn finish_bootstrap(&mut self, bootstrap_set: &VoterSet) {
         let mut blank_disks = self.blank_disks();
         blank_disks.retain(|disk| bootstrap_set.disks.0.contains(disk));
         self.announce_bootstrap(&bootstrap_set.disks.0, &blank_disks);
     }
 
-    fn announce_bootstrap(&mut self, bootstrap_disks: &[u64], received_disks: &[u64]) {
+    fn announce_bootstrap(&mut self, bootstrap_disks: &[u64], target_disks: &[u64]) {
         let set_digest = stable_hash(&VoterSet::bootstrap(bootstrap_disks).encode().0);
-        for disk in received_disks {
+        for disk in target_disks {
             if let Some(node) = self.node_of_disk(*disk) {
                 self.send(
                     node,
@@ -107,10 +111,10 @@
     pub(super) fn bootstrap(&mut self, from: NodeId, set_digest: u64, bootstrap_disks: &[u64]) {
         let bootstrap_set = ChosenSet::bootstrap(bootstrap_disks);
         let conflicts_with_known = self.control.set.generation > 0 && self.control.set != bootstrap_set;
-        let wanted_count = self.settings.bootstrap_disks;
+        let required_count = self.settings.bootstrap_disks;
         let Some(disk) = self.control.healthy_disk() else { return };
         let disk_id = disk.id;
-        let is_valid = bootstrap_disks.len() == wanted_count
+        let is_valid = bootstrap_disks.len() == required_count
             && bootstrap_disks.contains(&disk_id)
             && set_digest == stable_hash(&bootstrap_set.encode().0)
             && !conflicts_with_known;
--- a/packages/node_protocol/src/control_store/disk.rs
+++ b/packages/node_protocol/src/control_store/disk.rs
@@ -1,5 +1,5 @@
-//! The node's own disk: its registers, the groups of records on their way to it, the answers that wait
-//! for their sync, and the repair of a disk that failed.
+//! The node's own disk: its registers, the groups of records being written, the responses that wait for
+//! their sync, and the repair of a failed disk.
 
 use super::{ControlStore, DISK_BLANK, DISK_FAILED, DISK_SPARE, DISK_VOTING};
 use crate::Action;
@@ -10,25 +10,26 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// The file is rewritten whole once so many bytes were appended since the last rewrite.
+/// The file is rewritten in full once this many bytes have been appended since the last rewrite.
 const REWRITE_SLACK: usize = 4 * 1024 * 1024;
-/// A disk that failed is tried again, whole, each time after this.
+/// Pause between attempts to repair a failed disk by a full rewrite.
 const REPAIR_PAUSE: Micros = Micros::from_secs(1);
 
 #[derive(Debug)]
 pub(super) struct Disk {
     pub(super) id: u64,
     pub(super) registers: DiskRegisters,
-    /// It failed, or was not rewritten since the start: it answers nothing before a rewrite succeeded.
+    /// The disk failed, or has not been rewritten since the start. It serves no request until a rewrite has
+    /// succeeded.
     pub(super) is_failed: bool,
-    /// The decision stream was told that it failed.
+    /// Whether the failure has been recorded in the decision log.
     is_failure_reported: bool,
     next_token: u64,
     synced_token: u64,
-    /// What is answered once the group of records with this token is synced.
+    /// Responses to send once the group of records with this token is synced.
     responses: BTreeMap<u64, Vec<(NodeId, Message)>>,
     appended_bytes: usize,
-    /// The rewrite that would make a broken disk sound again, and when the next is tried.
+    /// The rewrite in progress that would repair a failed disk, and when the next attempt is due.
     repair_token: Option<u64>,
     repair_due: Micros,
 }
@@ -55,7 +56,7 @@
         token
     }
 
-    /// The answers that waited for what is synced by now.
+    /// Removes and returns the responses whose records are synced.
     fn ready_responses(&mut self) -> impl Iterator<Item = (NodeId, Message)> + use<> {
         let waiting_responses = self.responses.split_off(&(self.synced_token + 1));
         let ready_responses = std::mem::replace(&mut self.responses, waiting_responses);
@@ -64,7 +65,8 @@
 }
 
 impl ControlStore {
-    /// The version of a key that the own disk stored, whether or not a majority has it; zero without one.
+    /// The version of a key stored on the own disk, whether or not a majority has it; zero if there is
+    /// none.
     pub(crate) fn stored_version(&self, key: &str) -> u64 {
         let stored = self.disk.as_ref().and_then(|disk| disk.registers.stored(key));
         stored.map_or(0, |(_, version, _)| version)
@@ -92,13 +94,13 @@
         self.notify_outdated_owner(from, fleet_set);
     }
 
-    /// The owner that copies under a joint set asks which keys this disk knows.
+    /// Lists the keys that this disk knows, for the owner that copies them under a joint set.
     pub(super) fn keys_requested(&mut self, from: NodeId, fleet_set: u64) {
         let Some(disk) = self.control.healthy_disk() else { return };
         let Some(keys) = disk.registers.list_keys(fleet_set) else { return };
         let keys = List(keys.into_iter().map(Text).collect());
         let response = Message::KeysResponse { fleet_set, disk: disk.id, keys };
-        // What bars owners under the set before must be synced.
+        // Responds only after a sync: what bars owners under the previous set must be durable.
         self.write_then_response(Vec::new(), from, response);
     }
 
@@ -108,7 +110,8 @@
         let state = match (disk.is_failed, is_voting, disk.registers.chosen().generation) {
             (true, ..) => DISK_FAILED,
             (false, true, 1..) => DISK_VOTING,
-            // The damaged one may be the fleet's last copy: no state is founded beside it.
+            // The damaged disk may have been the fleet's last copy, so no new state is bootstrapped beside
+            // it.
             (false, false, 0) if self.control.replaces_damaged => DISK_SPARE,
             (false, _, 0) => DISK_BLANK,
             (false, false, _) => DISK_SPARE,
@@ -120,7 +123,7 @@
         });
     }
 
-    /// Answers only once the records, and all before them, are synced.
+    /// Responds only once these records, and all before them, are synced.
     pub(super) fn write_then_response(&mut self, records: Vec<Vec<u8>>, node: NodeId, response: Message) {
         let Some(disk) = self.control.healthy_disk() else { return };
         if records.is_empty() {
@@ -163,7 +166,7 @@
             return;
         }
         disk.synced_token = disk.synced_token.max(token);
-        // A founding set is gone by, and told, once it is synced here.
+        // A bootstrap set is adopted and published only once it is synced here.
         let is_bootstrapped =
             disk.registers.chosen().generation > 0 && self.members.own().disk_state == DISK_BLANK;
         for (node, response) in disk.ready_responses() {
@@ -174,7 +177,8 @@
         }
     }
 
-    /// A sync failed: what waited for it is never answered, and this node owns no keys until the repair.
+    /// Handles a failed sync: responses that waited for it are never sent, and this node owns no keys until
+    /// the disk is repaired.
     fn fail_disk(&mut self) {
         let Some(disk) = &mut self.control.disk else { return };
         disk.is_failed = true;
@@ -185,8 +189,8 @@
         self.report_disk_state();
     }
 
-    /// What became of a broken disk's repair. Records that were on their way when it failed do not
-    /// count, whatever is told of them: the repair holds them.
+    /// Handles the result of a repair. Results of writes that were in progress when the disk failed are
+    /// ignored, since the repair includes their records.
     fn repair_done(&mut self, token: u64, is_synced: bool) {
         let now = self.now;
         let Some(disk) = self.control.disk.as_mut().filter(|disk| disk.repair_token == Some(token)) else {
@@ -214,8 +218,8 @@
         }
     }
 
-    /// What a process before this one wrote may not be synced, nor is it known by any answer: the disk
-    /// says nothing until all of it stands in a new file.
+    /// Marks the disk as failed until it has been rewritten: what the previous process wrote may not be
+    /// synced, and no response tells whether it is.
     pub(crate) fn disk_unsynced(&mut self) {
         let now = self.now;
         let Some(disk) = &mut self.control.disk else { return };
@@ -225,8 +229,9 @@
         self.try_repair();
     }
 
-    /// A disk that failed, because it was full perhaps, is tried with the whole of its registers as a
-    /// new file. No answer was given for what it did not sync, so it is as good as before.
+    /// Retries a failed disk, for example one that was full, by writing all its registers to a new file. No
+    /// response was sent for records that were not synced, so after the rewrite the disk is as valid as
+    /// before.
     pub(super) fn try_repair(&mut self) {
         let now = self.now;
         let Some(disk) = &mut self.control.disk else { return };
@@ -240,8 +245,8 @@
         self.emit(Action::WriteDisk { token, records, is_rewrite: true });
     }
 
-    /// The node goes on as one without a disk. Its state keeps others from founding anew, and lets a spare
-    /// disk take its vote.
+    /// The node continues without a disk. The failed state that it reports keeps other nodes from
+    /// bootstrapping a new state, and lets a spare disk take over its vote.
     pub(crate) fn disk_unusable(&mut self, reason: String) {
         self.decision_log.append("disk_unusable", json!({"reason": reason}), self.now);
         self.control.disk = None;
@@ -252,7 +257,7 @@
         });
     }
 
-    /// A disk that was formatted after damage may be taken in by a majority, and founds nothing.
+    /// A disk that was formatted after damage may be added by a majority, but must not bootstrap.
     pub(crate) fn disk_quarantined(&mut self) {
         self.control.replaces_damaged = true;
         self.settings.may_bootstrap = false;
--- a/packages/node_protocol/src/control_store/key_owners.rs
+++ b/packages/node_protocol/src/control_store/key_owners.rs
@@ -6,12 +6,12 @@
 use peer_messages::{Address, List, MemberUpdate, Message, NodeId};
 use std::collections::BTreeSet;
 
-/// An operator gives a node up after about a second; with a quarter of it spent on the wire enough is
-/// left for everything else.
+/// Operators' clients time out after about a second; a transfer of a quarter of that leaves enough time for
+/// everything else.
 const MAX_TRANSFER_SECONDS: f64 = 0.25;
 
 impl Node {
-    /// Live members whose disks vote now.
+    /// Live members whose disks are voting.
     pub(super) fn voting_members(&self) -> Vec<MemberUpdate> {
         let voters = self.control.set.all();
         let live = self.members.live().into_iter();
@@ -24,7 +24,8 @@
         self.members.live().into_iter().find(|member| member.disk == disk).map(|member| member.node)
     }
 
-    /// The nodes that own keys: live voters, those in doubt only where there are no others.
+    /// The nodes that may own keys: live voters. Suspected or draining ones are included only if there are
+    /// no others.
     pub(crate) fn owner_candidates(&self) -> Vec<NodeId> {
         let voters = self.voting_members();
         let is_suspected = |member: &MemberUpdate| {
@@ -40,18 +41,19 @@
         }
     }
 
-    /// Whether this voter has a key, or is the one to have it by its own view. Of leader records, which every
-    /// node asks for all the time, that is the rendezvous choice: a voter asks the other owners
-    /// as every node does, and finds out by itself which of them are silent. Who asks and is not answered in
-    /// time goes to another voter, but does not make that one an owner: two that each serve a part of the
-    /// askers would take the keys from each other with every question, and the more of it the slower both are.
+    /// Whether this voter owns a key or should own it by its own view. For leader records, which every node
+    /// polls continuously, that is the rendezvous choice: a voter polls the other owners as every node does
+    /// and detects silent ones itself. A requester whose request times out tries another voter, but that
+    /// does not make this voter an owner: two voters that each served some of the requesters would take the
+    /// keys from each other with every request, and load would slow both down further.
     pub(super) fn should_own(&self, key: &str) -> bool {
         !is_leader_key(key)
             || self.control.owner.has(key)
             || Node::rendezvous_choice(key, self.owner_candidates().into_iter()) == Some(self.settings.node)
     }
 
-    /// Asks every voter for a direct answer: what relays and other members tell of it proves no way there.
+    /// Probes every voter directly: reports from relays and other members do not prove that this node can
+    /// reach it.
     pub(crate) fn probe_voters(&mut self) {
         let own = self.settings.node;
         let voters: Vec<NodeId> =
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Whether the given nodes, and this one, hold a majority of the voting disks.
+    /// Whether the given nodes and this one hold a majority of the voting disks.
     pub(crate) fn is_majority(&self, responding: &BTreeSet<NodeId>) -> bool {
         let own = self.settings.node;
         let voters = self.voting_members();
@@ -70,19 +72,21 @@
         self.control.set.quorum(&responding.map(|member| member.disk).collect())
     }
 
-    /// The node to ask about a key: the rendezvous choice among live voters, those in doubt last.
+    /// The node to send requests for a key to: the rendezvous choice among live voters, suspected ones
+    /// last.
     pub(crate) fn key_owner(&self, key: &str) -> Option<NodeId> {
         Node::rendezvous_choice(key, self.owner_candidates().into_iter())
     }
 
-    /// Only a node whose own disk votes and is sound owns keys. One that starts by an old set may own keys
-    /// under it for a while: it gets no quorum for them, and hears of the newer set from who refuses it.
+    /// Whether this node may own keys: its own disk must be voting and working. A node that starts with an
+    /// old set may own keys under it for a while; it gets no quorum for them, and learns the newer set from
+    /// the disks that refuse it.
     pub(super) fn owns_keys(&mut self) -> bool {
         let voters = self.control.set.all();
         self.control.healthy_disk().is_some_and(|disk| voters.contains(&disk.id))
     }
 
-    /// Keys whose rendezvous choice is another live voter are let go.
+    /// Releases keys whose rendezvous choice is another live voter.
     pub(super) fn transfer_keys(&mut self) {
         let voters: Vec<NodeId> = self
             .voting_members()
@@ -99,9 +103,9 @@
         });
     }
 
-    /// The peer where an operator had better send a body of so many bytes to, or read the whole
-    /// configuration from (`None`): the owner of its key, if this machine's link is too small for that.
-    /// A machine with a disk may be that owner itself, and sends nobody on.
+    /// The peer that an operator should use instead of this node to send a body of the given size, or to
+    /// read the whole configuration (`None`): the owner of its key, if this machine's link is too slow. A
+    /// machine with a disk may itself be that owner, and never redirects.
     /// Example: `node.redirect_target(Some(400_000))`.
     pub fn redirect_target(&self, bytes: Option<usize>) -> Option<Address> {
         let link_rate = self.settings.link_rate?;
--- a/packages/node_protocol/src/control_store/owner_responses.rs
+++ b/packages/node_protocol/src/control_store/owner_responses.rs
@@ -1,5 +1,5 @@
-//! What this node does as an owner of keys: it takes peers' writes, confirmed reads and polls, and hands
-//! its promises, stores and answers to the network.
+//! The work of this node as a key owner: it accepts writes, confirmed reads and polls from peers, and sends
+//! its promises, stores and responses.
 
 use super::VIA_GOSSIP;
 use crate::node::Node;
@@ -7,11 +7,11 @@
 use peer_messages::{Bytes, List, Message, NodeId, Text, WriteEntry, WriteOutcome};
 use std::collections::BTreeMap;
 
-/// In a poll's answer: the asked node does not know the mark, and wants the keys.
+/// In a poll's response: the node does not know the digest and needs the list of keys.
 const UNKNOWN_DIGEST: u8 = 0;
-/// In a poll's answer: the asked node has no vote that it knows of, and owns nothing.
+/// In a poll's response: the node knows of no vote of its own and owns no keys.
 pub(super) const OWNS_NO_KEYS: u8 = 2;
-/// Values up to this size are sent with every answer.
+/// Values up to this size are sent with every response.
 const SMALL_VALUE: usize = 16 * 1024;
 
 impl Node {
@@ -62,7 +62,7 @@
         self.send(from, response);
     }
 
-    /// Hands the owner's promises, stores and answers to the network.
+    /// Sends the key owner's promises, stores and responses.
     pub(crate) fn flush_control(&mut self) {
         let now = self.now;
         let mut response_groups: BTreeMap<NodeId, Vec<WriteOutcome>> = BTreeMap::new();
@@ -90,8 +90,9 @@
         }
     }
 
-    /// What a reader is answered: a large value that it lacks goes only to machines with a disk. The
-    /// others are told that it stands, and fetch it as news, which may be no more than a few changes.
+    /// The response for a reader. A large value that it lacks is sent only to machines with a disk; the
+    /// others are told that the value is in force and fetch it by gossip, which may transfer only a few
+    /// changes.
     fn outcome_for(&mut self, reader: NodeId, outcome: WriteOutcome) -> WriteOutcome {
         let is_large = outcome.outcome == WRITTEN && outcome.value.0.len() > SMALL_VALUE;
         let is_diskless =
--- a/packages/node_protocol/src/control_store/record_polls.rs
+++ b/packages/node_protocol/src/control_store/record_polls.rs
@@ -1,12 +1,12 @@
-//! Polls of the leader records: one group of functions for each owner of their keys, and how far each
-//! owner's changes were heard.
+//! Polls of the leader records: one group of functions for each owner of their keys, with the change number
+//! up to which each owner's changes were received.
 
 use crate::node::Node;
 use control_registers::{keys_digest, leader_key};
 use peer_messages::{LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord, Text};
 use std::collections::BTreeMap;
 
-/// The leader records that one owner is polled for, and how far its changes were heard.
+/// The leader records that one owner is polled for, and its last received change number.
 #[derive(Debug)]
 struct PollGroup {
     owner: NodeId,
@@ -15,7 +15,7 @@
     change: u64,
 }
 
-/// Which owner is polled for what, kept while the owners and the configuration stand.
+/// Which owner is polled for which functions; kept while the owners and the configuration stay the same.
 #[derive(Debug, Default)]
 pub(super) struct PollGroups {
     owners: Vec<NodeId>,
@@ -24,8 +24,8 @@
 }
 
 impl Node {
-    /// Polls the leader records of all functions: by one message to the zone's relay, or by one to each owner.
-    /// What changed since this node's last poll there is answered.
+    /// Polls the leader records of all functions, by one message to the zone's relay or one to each owner.
+    /// The response contains what changed since this node's last poll there.
     pub(crate) fn poll_records(&mut self) {
         if let Some(relay) = self.polled_relay() {
             self.poll_relay(relay);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Deals the functions out to their owners anew when the owners or the configuration changed.
+    /// Groups the functions by owner again when the owners or the configuration have changed.
     fn group_polls(&mut self) {
         let owners = self.owner_candidates();
         let generation = self.configuration.generation();
@@ -71,7 +71,7 @@
         self.control.poll_groups = PollGroups { owners, generation, groups };
     }
 
-    /// What an owner says changed; all else that it was asked for stands as it was.
+    /// Applies the changes that an owner reports; all other records in the poll are unchanged.
     pub(super) fn records_polled(
         &mut self,
         from: NodeId,
@@ -109,13 +109,13 @@
         group.change = group.change.max(change);
     }
 
-    /// The asked node owns nothing: another voter is asked until it does.
+    /// The polled node owns no keys: other voters are polled while it is suspected.
     pub(super) fn poll_refused(&mut self, from: NodeId) {
         self.control.polls.remove(&from);
         self.suspect_owner(from);
     }
 
-    /// The owner does not know the keys of a mark: they are listed.
+    /// The owner does not know the keys of a digest: sends them.
     pub(super) fn poll_unknown(&mut self, from: NodeId, keys_digest: u64) {
         self.control.polls.remove(&from);
         let mut groups = self.control.poll_groups.groups.iter();
--- a/packages/node_protocol/src/control_store/record_relay.rs
+++ b/packages/node_protocol/src/control_store/record_relay.rs
@@ -1,9 +1,10 @@
-//! Leader records over a zone's border: the zone's relay polls the owners, the other nodes of the zone poll
-//! the relay.
+//! Leader records across zones: the zone's relay polls the owners, and the other nodes of the zone poll the
+//! relay.
 //!
-//! A follower that hears of a renewal late only takes a lease for valid longer than it is: its own
-//! observation begins later, and a claim still has to find the very version that it observed. So a relay
-//! that is slow delays a takeover and never makes two leaders. Who gets no answer polls the owners itself.
+//! A follower that learns of a renewal late only treats a lease as valid for longer than it is: its own
+//! observation starts later, and a claim still requires the exact version that it observed. A slow relay
+//! therefore delays a takeover but never causes two leaders. A node whose relay does not respond polls the
+//! owners itself.
 
 use super::record_polls::keys_of;
 use crate::node::Node;
@@ -12,14 +13,14 @@
 use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, PolledRecord, RenewedRecord};
 use std::collections::BTreeMap;
 
-/// A node that does not relay by its own view is passed over for so long.
+/// How long a node that does not consider itself a relay is skipped.
 const RELAY_SUSPECT_SPAN: Micros = Micros::from_secs(1);
 
-/// An owner that this node itself heard within this time is not silent, whatever a relay says.
+/// An owner heard from directly within this time is not suspected, whatever a relay reports.
 const RECENT_CONTACT_SPAN: Micros = Micros::from_millis(600);
 
-/// A leader record as this node observed it, and the change numbers at which it last changed, and last
-/// changed otherwise than by a renewal.
+/// A leader record as observed by this node, with the change numbers of its last change and of its last
+/// change other than a renewal.
 #[derive(Debug)]
 struct ObservedRecord {
     version: u64,
@@ -28,7 +29,8 @@
     replaced_at: u64,
 }
 
-/// All leader records that this node observed, numbered by change, so that followers get what changed.
+/// All leader records that this node observed, numbered by change, so that followers receive only what
+/// changed.
 #[derive(Debug, Default)]
 pub(super) struct ObservedRecords {
     change_count: u64,
@@ -36,7 +38,7 @@
 }
 
 impl ObservedRecords {
-    /// A record was polled; an older version than the known one changes nothing.
+    /// Stores a polled record unless the known version is the same or newer.
     pub(super) fn observe(&mut self, function: &str, version: u64, value: &Bytes) {
         if self.records.get(function).is_some_and(|known| known.version >= version) {
             return;
@@ -47,7 +49,7 @@
         self.records.insert(function.to_owned(), observed);
     }
 
-    /// A known record was renewed.
+    /// Applies a renewal to a known record.
     pub(super) fn renewed(&mut self, function: &str, version: u64) {
         if let Some(known) = self.records.get_mut(function).filter(|known| known.version < version) {
             self.change_count += 1;
@@ -56,7 +58,7 @@
         }
     }
 
-    /// What changed of these functions since a change number; everything for zero.
+    /// What changed in these functions' records since a change number; all of them for zero.
     fn since(&self, functions: &[String], since: u64) -> (Vec<PolledRecord>, Vec<RenewedRecord>) {
         let (mut records, mut renewed) = (Vec::new(), Vec::new());
         for (place, function) in functions.iter().enumerate() {
@@ -76,20 +78,20 @@
     }
 }
 
-/// The configured functions in order, and how far one relay's changes of their records were heard.
+/// The configured functions in order, and the change number up to which the relay's changes were received.
 #[derive(Debug, Default)]
 pub(super) struct RelayedPoll {
     generation: u64,
     functions: Vec<String>,
     keys_digest: u64,
-    /// The relay that the change number is of.
+    /// The relay that issued the change number.
     relay: NodeId,
     change: u64,
     skipped_until: Micros,
 }
 
 impl Node {
-    /// The relay that this node polls in place of the owners, if it has one that answers.
+    /// The relay that this node polls instead of the owners, if it has one that responds.
     pub(crate) fn polled_relay(&self) -> Option<NodeId> {
         let relay = self.zones.relay().filter(|relay| *relay != self.settings.node)?;
         let is_suspected = self.control.suspected.get(&relay).is_some_and(|until| self.now < *until);
@@ -97,9 +99,9 @@
         (!is_suspected && !is_skipped && self.configuration.generation() > 0).then_some(relay)
     }
 
-    /// Asks the relay what changed since its last answer.
+    /// Requests what changed since the relay's last response.
     pub(super) fn poll_relay(&mut self, relay: NodeId) {
-        self.list_relayed_functions();
+        self.update_relayed_functions();
         let poll = &mut self.control.relayed_poll;
         if poll.relay != relay {
             (poll.relay, poll.change) = (relay, 0);
@@ -109,7 +111,7 @@
         self.send(relay, Message::RelayPoll { keys_digest, since });
     }
 
-    fn list_relayed_functions(&mut self) {
+    fn update_relayed_functions(&mut self) {
         let generation = self.configuration.generation();
         if self.control.relayed_poll.generation == generation {
             return;
@@ -122,9 +124,9 @@
         *poll = RelayedPoll { generation, functions, keys_digest, relay, change, skipped_until };
     }
 
-    /// A node of the zone polls here: it is answered only by a relay that polls the owners itself.
+    /// Handles a poll by a node of the zone. Only a relay that polls the owners itself returns records.
     pub(super) fn relay_poll_requested(&mut self, from: NodeId, keys_digest: u64, since: u64) {
-        self.list_relayed_functions();
+        self.update_relayed_functions();
         let is_relaying = self.zones.may_relay() && self.polled_relay().is_none();
         let response = if is_relaying && keys_digest == self.control.relayed_poll.keys_digest {
             let observed = &self.control.observed_records;
@@ -146,7 +148,7 @@
         suspected.map(|(owner, _)| *owner).collect()
     }
 
-    /// Owners that the relay found silent are passed over here as well: this node does not poll them itself.
+    /// Suspects owners that the relay reports as silent, since this node does not poll them itself.
     pub(super) fn suspect_reported_owners(&mut self, owners: List<NodeId>) {
         for owner in owners.0 {
             if !self.calls.has_received_since(owner, self.now - RECENT_CONTACT_SPAN) {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// What the relay says changed; all else stands as it was.
+    /// Applies the changes that the relay reports; all other records are unchanged.
     pub(super) fn relay_polled(
         &mut self,
         from: NodeId,
@@ -185,7 +187,7 @@
         poll.change = poll.change.max(change);
     }
 
-    /// The asked node does not relay: the owners are polled for a while, beginning now.
+    /// The polled node is not a relay: polls the owners instead, immediately and for a while.
     pub(super) fn relay_refused(&mut self, from: NodeId) {
         self.control.polls.remove(&from);
         self.control.relayed_poll.skipped_until = self.now + RELAY_SUSPECT_SPAN;
--- a/packages/node_protocol/src/control_store/record_relay/tests.rs
+++ b/packages/node_protocol/src/control_store/record_relay/tests.rs
@@ -10,18 +10,22 @@
     observed.observe("batch", 4, &Bytes(vec![1]));
     observed.observe("rush", 7, &Bytes(vec![2]));
     let (records, renewed) = observed.since(&functions(), 0);
-    assert_eq!((records.len(), renewed.len()), (2, 0), "whoever knows nothing is told everything");
+    assert_eq!((records.len(), renewed.len()), (2, 0), "a follower without records receives all of them");
     let received = observed.change_count;
     assert_eq!(observed.since(&functions(), received), (Vec::new(), Vec::new()));
     observed.renewed("rush", 8);
     observed.renewed("proof", 3);
     let (records, renewed) = observed.since(&functions(), received);
-    assert!(records.is_empty(), "a record that was never polled is not known by a renewal");
+    assert!(records.is_empty(), "a renewal of a record that was never polled is ignored");
     assert_eq!(renewed, [RenewedRecord { place: 2, version: 8 }]);
     observed.observe("rush", 9, &Bytes(vec![3]));
     observed.renewed("rush", 10);
     let (records, _) = observed.since(&functions(), received);
-    assert_eq!((records[0].version, &records[0].value), (10, &Bytes(vec![3])), "a new holder, renewed since");
+    assert_eq!(
+        (records[0].version, &records[0].value),
+        (10, &Bytes(vec![3])),
+        "a new holder and a later renewal"
+    );
 }
 
 #[test]
--- a/packages/node_protocol/src/control_store/requests.rs
+++ b/packages/node_protocol/src/control_store/requests.rs
@@ -1,5 +1,5 @@
-//! Conditional writes and confirmed reads that this node sent to the owners of keys: what each is for,
-//! where its answer goes, and what follows when the owner stays silent.
+//! Conditional writes and confirmed reads sent by this node to key owners: the purpose of each, where its
+//! response goes, and what happens when the owner does not respond.
 
 use super::{OWNER_TIMEOUT, VIA_GOSSIP};
 use crate::node::Node;
@@ -9,18 +9,20 @@
 use peer_messages::{Bytes, LeaderRecord, List, Message, NodeId, WriteEntry, WriteOutcome, value_digest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An operator that reads asks elsewhere after about a second.
-const OPERATOR_READ_TIMEOUT: Micros = Micros::from_millis(900);
-/// Any other write or read is given up after this.
+/// Timeout of operators' reads, whose clients try another node after about a second, and of usage reads and
+/// writes.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(900);
+/// Timeout of all other writes and reads.
 const DEFAULT_TIMEOUT: Micros = Micros::from_millis(2_500);
-/// An owner that was heard meanwhile is waited for longer: it is slow, and asking elsewhere makes it slower.
+/// An owner that sent anything in the meantime is given more time: it is slow, and sending the request
+/// elsewhere would slow it down further.
 const SLOW_OWNER_TIMEOUT: Micros = Micros::from_millis(2_400);
-/// A renewal has to stand within a lease, so it is not waited for as long.
+/// A renewal must take effect within a lease, so its timeout is shorter.
 const SLOW_LEADER_TIMEOUT: Micros = Micros::from_millis(1_200);
-/// For so long an owner that did not answer is passed over.
+/// How long an owner that did not respond is skipped.
 const OWNER_SUSPECT_SPAN: Micros = Micros::from_secs(2);
 
-/// What a write or confirmed read in flight is for.
+/// The purpose of a write or confirmed read in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum WritePurpose {
     Leader {
@@ -37,7 +39,7 @@
     DisksChange,
     UsageRead,
     UsageWrite,
-    /// The copying under the joint set of this generation.
+    /// The key copy under the joint set of this generation.
     DisksCopy {
         key: String,
         generation: u64,
@@ -60,15 +62,15 @@
         }
     }
 
-    /// How long its answer is awaited.
+    /// How long to wait for the response.
     fn timeout(&self, has_owner_responded: bool) -> Micros {
         match self {
-            // A renewal waits up to the owner's group time; another voter is tried after that.
+            // A renewal waits for up to the owner's batching interval; another voter is tried after that.
             WritePurpose::Leader { .. } if has_owner_responded => SLOW_LEADER_TIMEOUT,
             WritePurpose::Leader { .. } => OWNER_TIMEOUT,
             WritePurpose::ConfigurationRequested { .. }
             | WritePurpose::UsageRead
-            | WritePurpose::UsageWrite => OPERATOR_READ_TIMEOUT,
+            | WritePurpose::UsageWrite => REQUEST_TIMEOUT,
             _ => DEFAULT_TIMEOUT,
         }
     }
@@ -79,7 +81,7 @@
     pub(super) owner: NodeId,
     pub(super) purpose: WritePurpose,
     pub(super) sent_at: Micros,
-    /// Of the value that a reader had when it asked; zero for none and for writes.
+    /// Digest of the value that the reader had when it sent the request; zero for none and for writes.
     pub(super) known_digest: u64,
 }
 
@@ -110,14 +112,14 @@
         Some(request_id)
     }
 
-    /// The digest of the configuration's bytes as this node has them, zero for none. Of other keys the
-    /// values are small, and none is told.
+    /// The digest of the configuration's bytes at this node, zero for none. Values of other keys are small,
+    /// so no digest is sent for them.
     pub(super) fn known_digest(&self, key: &str) -> u64 {
         let body = self.gossip.body(key).filter(|_| key == CONFIGURATION_KEY);
         body.map_or(0, |body| value_digest(&body.0))
     }
 
-    /// Sends the election's writes, one message for each owner.
+    /// Sends the leader election's writes, one message for each owner.
     pub(crate) fn send_leader_writes(&mut self, writes: Vec<leader_election::RecordWrite>) {
         let mut groups: BTreeMap<NodeId, Vec<WriteEntry>> = BTreeMap::new();
         for write in writes {
@@ -162,7 +164,7 @@
             WritePurpose::ConfigurationRequested { request } => {
                 self.operator_read_answered(from, request, outcome);
             }
-            WritePurpose::DisksRead | WritePurpose::DisksChange => self.disks_answered(&outcome),
+            WritePurpose::DisksRead | WritePurpose::DisksChange => self.voter_set_answered(&outcome),
             WritePurpose::UsageRead => self.usage_read(&outcome),
             WritePurpose::UsageWrite => self.usage_written(&outcome),
             WritePurpose::DisksCopy { key, generation } => {
@@ -192,7 +194,7 @@
     fn operator_read_answered(&mut self, from: NodeId, request: u64, outcome: WriteOutcome) {
         let response = match outcome.outcome {
             WRITTEN => ConfigurationResponse::Stored(outcome.value.0),
-            // What came meanwhile is newer, and stands on a majority as well.
+            // A value that arrived in the meantime is newer, and is stored on a majority as well.
             AS_KNOWN => ConfigurationResponse::Stored(self.stored_configuration()),
             VIA_GOSSIP => self.configuration_elsewhere(from),
             _ => ConfigurationResponse::Unconfirmed,
@@ -200,8 +202,8 @@
         self.emit(Action::ConfigurationAnswered { request, response });
     }
 
-    /// The value of an answer that only says that this node's own value stands, where it is needed. A
-    /// value that changed here since the question is of no use: the question is put again.
+    /// Fills in the value, where it is needed, of a response that only confirms this node's own value. If
+    /// the value has changed here since the request, the outcome is unknown and the request is repeated.
     fn with_known_value(&mut self, outcome: WriteOutcome, attempt: &WriteAttempt) -> WriteOutcome {
         let needs_value =
             matches!(attempt.purpose, WritePurpose::ConfigurationCheck | WritePurpose::DisksCopy { .. });
@@ -219,7 +221,7 @@
         address.map_or(ConfigurationResponse::Unconfirmed, ConfigurationResponse::Elsewhere)
     }
 
-    /// A write or poll that its owner leaves unanswered: another voter is asked next time.
+    /// Expires writes and polls without a response; the next attempt goes to another voter.
     pub(super) fn check_attempts(&mut self) {
         self.suspect_silent_owners();
         let now = self.now;
@@ -245,7 +247,7 @@
         let silent_owners: BTreeSet<NodeId> = attempts
             .chain(polls)
             .filter(|(owner, sent_at)| {
-                // One that is heard is slow, not gone.
+                // An owner that sent anything since is slow, not gone.
                 let timeout = match self.calls.has_received_since(*owner, *sent_at) {
                     true => SLOW_OWNER_TIMEOUT,
                     false => OWNER_TIMEOUT,
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Another voter is asked for the keys of this one for a while.
+    /// Requests for this owner's keys go to another voter for a while.
     pub(super) fn suspect_owner(&mut self, owner: NodeId) {
         self.control.suspected.insert(owner, self.now + OWNER_SUSPECT_SPAN);
     }
--- a/packages/node_protocol/src/control_store/voter_changes.rs
+++ b/packages/node_protocol/src/control_store/voter_changes.rs
@@ -1,19 +1,20 @@
-//! Changes of the voter set: the votes of lost disks go to others by way of a joint set, under which every
-//! key is copied before the new set stands.
+//! Changes of the voter set: the votes of lost disks move to other disks by way of a joint set, under which
+//! every key is copied before the new set takes effect.
 
 use super::requests::{WriteAttempt, WritePurpose};
 use crate::node::Node;
 use control_registers::{ChosenSet, DIFFERS, DISKS_KEY, SetCopy, VoterSet, WRITTEN};
 use peer_messages::{Bytes, List, MemberUpdate, Message, NodeId, Text, WriteOutcome};
 
-/// So many keys are copied at a time while the voter set changes.
+/// How many keys are copied concurrently during a voter set change.
 const COPY_WINDOW: usize = 256;
 
 impl Node {
-    /// Gives the votes of lost disks to others: first the joint set, then a copy of every key under it,
-    /// then the new set. One change at a time, and each step rests on the chosen set. A joint set has one
-    /// successor, whoever goes on with it: it needs majorities of both sets, so while no more disks are
-    /// lost than either may lose it can be finished, also without the joining ones.
+    /// Moves the votes of lost disks to other disks: first the joint set, then a copy of every key under
+    /// it, then the new set. There is one change at a time, and each step builds on the chosen set. A joint
+    /// set has exactly one successor, whichever owner completes it. It needs majorities of both sets, so it
+    /// can be completed, even without the joining disks, as long as neither set has lost more disks than it
+    /// tolerates.
     pub(super) fn try_replacing(&mut self) {
         let now = self.now;
         let set = self.control.set.clone();
@@ -23,7 +24,7 @@
             return;
         }
         if self.has_proposal() {
-            self.read_disks();
+            self.read_voter_set();
         }
         let owner = self.key_owner(DISKS_KEY);
         if owner != Some(self.settings.node) || !self.owns_keys() {
@@ -36,11 +37,11 @@
         if !set.joining.0.is_empty() {
             self.continue_copy(&set);
         } else if let Some(joint_set) = set.begin_changes(&replacements) {
-            self.write_disks(&joint_set);
+            self.write_voter_set(&joint_set);
         }
     }
 
-    /// Tells the owner of the voter set's key what it was not told yet of the voters' machines.
+    /// Reports new observations about the voters' machines to the owner of the voter set's key.
     fn report_observations(&mut self, owner: Option<NodeId>, set: &VoterSet, live: &[MemberUpdate]) {
         let reported = self.control.disk_observations.unreported(set, live);
         if let Some(owner) = owner.filter(|_| !reported.is_empty()) {
@@ -48,15 +49,15 @@
         }
     }
 
-    /// The own disk stored a set that is not known to be chosen. Whoever wrote it may be gone: a confirmed
-    /// read makes the key's owner finish it, or bring what stands instead.
+    /// Whether the own disk stored a set that is not known to be chosen. Its writer may be gone: a
+    /// confirmed read makes the key's owner either complete it or return the set in force.
     fn has_proposal(&self) -> bool {
         self.control.disk.as_ref().is_some_and(|disk| disk.registers.proposed().is_some())
     }
 
-    /// A voter may go at any time without loss, since all that was answered for is synced on a quorum. While
-    /// a change is under way a planned stop waits for it, within its time: until then the change may need
-    /// this very disk.
+    /// Whether a planned stop must wait, within its time limit, for a voter set change that may need this
+    /// disk. Otherwise a voter may stop at any time without loss, since everything acknowledged is synced
+    /// on a quorum.
     pub(crate) fn must_stay_for_change(&self) -> bool {
         let is_voting =
             self.control.disk.as_ref().is_some_and(|disk| self.control.set.all().contains(&disk.id));
@@ -68,23 +69,23 @@
         purposes.any(|purpose| matches!(purpose, WritePurpose::DisksRead | WritePurpose::DisksChange))
     }
 
-    fn read_disks(&mut self) {
+    fn read_voter_set(&mut self) {
         if !self.is_set_requested() {
             self.send_write(DISKS_KEY, 0, Bytes::default(), WritePurpose::DisksRead);
         }
     }
 
-    /// Versions of the set's key are generations.
-    fn write_disks(&mut self, next_set: &VoterSet) {
+    /// Versions of the voter set's key are its generations.
+    fn write_voter_set(&mut self, next_set: &VoterSet) {
         if !self.is_set_requested() {
             let expected = self.control.set.generation;
             self.send_write(DISKS_KEY, expected, next_set.encode(), WritePurpose::DisksChange);
         }
     }
 
-    /// What an owner says to stand of the set's key was stored on a quorum, and is chosen. The answer to a
-    /// write that succeeded carries no value: the owner tells the set itself.
-    pub(super) fn disks_answered(&mut self, outcome: &WriteOutcome) {
+    /// Learns the set in an owner's response: it was stored on a quorum and is chosen. The response to a
+    /// successful write carries no value; the owner announces the set itself.
+    pub(super) fn voter_set_answered(&mut self, outcome: &WriteOutcome) {
         if ![WRITTEN, DIFFERS].contains(&outcome.outcome) {
             return;
         }
@@ -98,7 +99,7 @@
         let copy = self.control.copy.get_or_insert_with(|| SetCopy::new(joint_set.clone()));
         if copy.is_done() {
             if let Some(final_set) = joint_set.end_change() {
-                self.write_disks(&final_set);
+                self.write_voter_set(&final_set);
             }
             return;
         }
@@ -111,7 +112,8 @@
         self.copy_keys(due_keys, joint_set.generation);
     }
 
-    /// This node itself takes the keys: under the joint set each is stored anew on both majorities.
+    /// Sends this node, as the key owner, a confirmed read of every due key: the owner stores each value
+    /// again on majorities of both sets.
     fn copy_keys(&mut self, due_keys: Vec<String>, generation: u64) {
         let (own, now) = (self.settings.node, self.now);
         for key in due_keys {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// An answer for an earlier change does not count for this one.
+    /// Ignores responses that belong to an earlier change.
     pub(super) fn copy_answered(&mut self, key: &str, generation: u64, is_confirmed: bool) {
         let copy = self.control.copy.as_mut().filter(|copy| copy.generation() == generation);
         if let Some(copy) = copy {
--- a/packages/node_protocol/src/decision_log.rs
+++ b/packages/node_protocol/src/decision_log.rs
@@ -1,3 +1,5 @@
+//! The bounded in-memory log of a node's decisions, read by operators as the decision stream.
+
 use monotonic_clock::Micros;
 use peer_messages::{DecisionLine, NodeId};
 use serde_json::{Value, json};
@@ -5,7 +7,7 @@
 
 const DECISION_LOG_LIMIT: usize = 4_096;
 
-/// The node's journal of decisions in memory; views such as the counts by kind are folded from it.
+/// The node's decision log, in memory, with counts by kind of decision.
 ///
 /// Example: `decision_log.append("steward_taken", json!({"function": "proof"}), now)`.
 #[derive(Debug)]
@@ -17,7 +19,7 @@
 }
 
 impl DecisionLog {
-    /// An empty journal. Example: `DecisionLog::new(7).after(0, 10).is_empty()`.
+    /// An empty decision log. Example: `DecisionLog::new(7).after(0, 10).is_empty()`.
     pub fn new(node: NodeId) -> DecisionLog {
         DecisionLog { node, next_sequence: 1, lines: VecDeque::new(), counts: BTreeMap::new() }
     }
@@ -45,12 +47,12 @@
         }
     }
 
-    /// The lines behind a sequence, oldest first. Example: `decision_log.after(12, 100)`.
+    /// The lines after a sequence number, oldest first. Example: `decision_log.after(12, 100)`.
     pub fn after(&self, sequence: u64, most: usize) -> Vec<DecisionLine> {
         self.lines.iter().filter(|line| line.sequence > sequence).take(most).cloned().collect()
     }
 
-    /// How many decisions of each kind. Example: `decision_log.counts()["steward_taken"]`.
+    /// The number of decisions of each kind. Example: `decision_log.counts()["steward_taken"]`.
     pub fn counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.counts
     }
--- a/packages/node_protocol/src/platform_list.rs
+++ b/packages/node_protocol/src/platform_list.rs
@@ -1,5 +1,6 @@
-//! The platform's list: a few nodes ask the platform, all others pull what changed from one of them. Where
-//! zones have relays a zone's relay pulls it over the border, and the zone pulls it from the relay.
+//! The platform's list: a few nodes request it from the platform, and all others pull the changes from one
+//! of them. In a fleet with relays the zone's relay pulls it from outside the zone, and the zone's other
+//! nodes pull it from the relay.
 
 use crate::Action;
 use crate::node::Node;
@@ -8,22 +9,24 @@
 use peer_messages::{Address, InstanceEntry, List, Message, NodeId, Text, WorkerEntry, rendezvous_weight};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A lister that leaves a pull unanswered this long is passed over, for a while.
+/// A lister that does not respond to a pull within this time is skipped for a while.
 const LISTER_TIMEOUT: Micros = Micros::from_millis(600);
-/// Where nobody at all was heard since the pull, this node may be cut off and asks the platform.
+/// If no peer was heard from within this time after the pull, this node may be isolated and requests the
+/// list from the platform.
 const NO_CONTACT_TIMEOUT: Micros = Micros::from_millis(300);
 const LISTER_SUSPECT_SPAN: Micros = Micros::from_secs(2);
-/// After so many listers in a row that were silent or had no list, a node asks the platform itself.
+/// After this many listers in a row without a response or a list, a node requests the list from the
+/// platform itself.
 const MAX_FAILED_PULLS: usize = 2;
 const WAITING_LIMIT: usize = 512;
 const GONE_LIMIT: usize = 2_048;
 
-/// What the platform told this node itself, numbered, so that colleagues get what changed.
+/// The list that this node received, numbered by change, so that peers can pull only what changed.
 #[derive(Debug, Default)]
 struct ListChangeLog {
     sequence: u64,
     instances: BTreeMap<String, (u64, ListedInstance)>,
-    /// Cells that left the list, and the number up to which they are no longer remembered.
+    /// Instances that left the list, each with the change number at which it left.
     gone: VecDeque<(u64, String)>,
     forgotten_up_to: u64,
     workers: (u64, Vec<ListedWorker>),
@@ -54,7 +57,8 @@
         }
     }
 
-    /// What changed since a number; everything for zero, and for one that lies too far back.
+    /// The changes since a change number; the full list for zero and for numbers that are too old or
+    /// unknown.
     fn changes_since(&self, since: u64, now: Micros) -> Message {
         let is_full = since == 0 || since < self.forgotten_up_to || since > self.sequence;
         let base = if is_full { 0 } else { since };
@@ -93,7 +97,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PlatformListCache {
     change_log: ListChangeLog,
-    /// Colleagues that wait for this node's next list, and what they have.
+    /// Peers that wait for this node's next list, each with the change number that it has.
     waiting: BTreeMap<NodeId, u64>,
     copy: Option<ListCopy>,
     pull: Option<Pull>,
@@ -102,15 +106,16 @@
 }
 
 impl PlatformListCache {
-    /// A list that was pulled before a sleep is not waited for.
+    /// Discards a pull sent before this process was suspended.
     pub(crate) fn forget_pull(&mut self) {
         self.pull = None;
     }
 }
 
 impl Node {
-    /// Whom this node gets the list from: itself when it slept, hears nobody, or tried others in vain; the
-    /// zone's relay, unless this is the fleet's lister or the relay itself.
+    /// The node that this node gets the list from. That is itself if it was suspended, has no contact, or
+    /// failed with other listers; otherwise the zone's relay, unless this node is the fleet's lister or the
+    /// relay itself.
     pub(crate) fn lister(&self) -> NodeId {
         let own = self.settings.node;
         let lists = &self.leadership.lists;
@@ -123,8 +128,8 @@
         if fleet_lister == own { own } else { relay.unwrap_or(fleet_lister) }
     }
 
-    /// The node that asks the platform for all: machines with disks come first, then rendezvous. All nodes
-    /// with one view pick the same.
+    /// The node that requests the list from the platform for the fleet: machines with disks first, then by
+    /// rendezvous. All nodes with the same view choose the same one.
     fn fleet_lister(&self) -> NodeId {
         self.members
             .live()
@@ -139,10 +144,12 @@
         self.leadership.lists.suspected.get(&node).is_some_and(|until| self.now < *until)
     }
 
-    /// Until the next list of one that was just gotten from there. A pull is cheap and comes twice as often
-    /// as the platform is asked, a relay's four times, so that all ages together stay below two lists'.
+    /// The pause before the next list from a lister. Pulls are cheap and are sent twice as often as
+    /// requests to the platform, and a relay's pulls four times as often, so that the delays add up to less
+    /// than two list intervals.
     pub(crate) fn list_pause(&self, lister: NodeId) -> Micros {
-        // All nodes together stay below what the platform takes, also while each lists for itself.
+        // The fleet as a whole stays within the platform's rate, even while each node requests the list
+        // itself.
         let fleet_interval = Micros((1e6 / self.settings.lists_per_second) as u64);
         let min_interval = self.settings.list_every.max(fleet_interval);
         match lister == self.settings.node {
@@ -152,7 +159,7 @@
         }
     }
 
-    /// Gives up on a lister that is silent. Whether a pull is still open is returned.
+    /// Abandons a pull that timed out. Returns whether a pull is still open.
     pub(crate) fn check_pull(&mut self) -> bool {
         let now = self.now;
         let lists = &mut self.leadership.lists;
@@ -180,16 +187,16 @@
         self.send(lister, Message::ListRequest { since });
     }
 
-    /// A colleague pulls the list: it is answered from one that is young enough, or with the next.
+    /// Handles a peer's pull: responds from a list that is recent enough, or with the next one.
     pub(crate) fn list_requested(&mut self, from: NodeId, since: u64) {
         let now = self.now;
         let is_pulling = self.zones.may_relay() && self.lister() != self.settings.node;
-        // A list that was pulled here has some age already.
+        // A list that was pulled has some age on arrival.
         let list_every = self.settings.list_every;
-        let young_age = if is_pulling { Micros(list_every.0 * 2) } else { list_every };
+        let max_age = if is_pulling { Micros(list_every.0 * 2) } else { list_every };
         let lists = &mut self.leadership.lists;
-        let is_young = lists.change_log.listed_at.is_some_and(|listed_at| now < listed_at + young_age);
-        if is_young && !self.leadership.is_list_stale {
+        let is_recent = lists.change_log.listed_at.is_some_and(|listed_at| now < listed_at + max_age);
+        if is_recent && !self.leadership.is_list_stale {
             let response = lists.change_log.changes_since(since, now);
             self.send(from, response);
             return;
@@ -209,7 +216,8 @@
         self.emit(Action::List);
     }
 
-    /// A list that the platform gave, or that a relay pulled: kept for those who pull it here.
+    /// Stores a list received from the platform, or pulled by a relay, for the peers that pull it from this
+    /// node.
     pub(crate) fn note_list(
         &mut self,
         workers: &[ListedWorker],
@@ -226,7 +234,7 @@
         }
     }
 
-    /// The platform did not answer this node: those who wait go elsewhere.
+    /// The platform did not respond to this node: waiting peers are told to try another lister.
     pub(crate) fn note_list_failed(&mut self) {
         self.leadership.lists.failed_pulls = 0;
         let waiting = std::mem::take(&mut self.leadership.lists.waiting);
@@ -295,7 +303,8 @@
                     copy.workers = workers.0.into_iter().map(listed_worker).collect();
                 }
                 lists.failed_pulls = 0;
-                // The lister answered after this node asked: its list is at least as old as this.
+                // The lister responded after this node's request, so its list is at least as recent as this
+                // time.
                 let listed_at = pull.requested_at - Micros(age_micros);
                 let workers = copy.workers.clone();
                 let instances: Vec<ListedInstance> = copy.instances.values().cloned().collect();
--- a/packages/node_protocol/src/platform_list/tests.rs
+++ b/packages/node_protocol/src/platform_list/tests.rs
@@ -31,7 +31,7 @@
     Address::from(SocketAddr::from(([127, 0, 0, 1], port)))
 }
 
-/// Node 1, which has no disk, and knows node 2, which has one.
+/// Node 1, which has no disk and knows node 2, which has one.
 fn node_beside_a_disk() -> Node {
     let settings = NodeSettings {
         node: 1,
@@ -79,7 +79,8 @@
     node.handle(Event::Received(envelope), now)
 }
 
-/// Ticks until a moment and returns when the list was pulled, and when the platform was asked.
+/// Ticks until `to_millis` and returns when the list was pulled and when it was requested from the
+/// platform.
 fn tick(node: &mut Node, from_millis: u64, to_millis: u64) -> (Vec<u64>, Vec<u64>) {
     let (mut pulls, mut lists) = (Vec::new(), Vec::new());
     for millisecond in (from_millis..to_millis).step_by(20) {
@@ -110,7 +111,7 @@
     assert_eq!(
         response(&change_log, 9),
         (0, 1, 7, 1, vec!["a".to_owned(), "b".to_owned()], 0),
-        "another life"
+        "a change number of a previous incarnation"
     );
     change_log.apply(&[worker(500)], &[instance("a", false), instance("b", true)], Micros(3));
     assert_eq!(response(&change_log, 1), (1, 2, 4, 0, vec!["b".to_owned()], 0));
@@ -121,7 +122,7 @@
         (0..GONE_LIMIT + 1).map(|number| instance(&number.to_string(), false)).collect();
     change_log.apply(&[], &many, Micros(5));
     change_log.apply(&[], &[], Micros(6));
-    assert_eq!(response(&change_log, 3).0, 0, "cells that left are no longer remembered so far back");
+    assert_eq!(response(&change_log, 3).0, 0, "instances that left that long ago are no longer recorded");
     assert!(change_log.gone.len() <= GONE_LIMIT);
 }
 
@@ -143,7 +144,7 @@
     received(&mut node, response.clone(), Micros::from_millis(60));
     let requested_at = Micros::from_millis(pulls[0]);
     assert_eq!(node.leadership.listed_at, Some(requested_at - Micros(15_000)));
-    // An answer that nobody asked for changes nothing.
+    // A response without a pending request changes nothing.
     received(&mut node, response, Micros::from_millis(80));
     assert_eq!(node.leadership.listed_at, Some(requested_at - Micros(15_000)));
 }
@@ -173,7 +174,7 @@
     let actions = received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(80));
     assert!(
         !actions.iter().any(|action| matches!(action, Action::List)),
-        "one question to the platform at a time"
+        "only one platform request at a time"
     );
     let listed = Event::Listed { workers: vec![worker(500)], instances: vec![instance("a", false)] };
     let response = |actions: Vec<Action>| {
@@ -185,7 +186,7 @@
         })
     };
     assert_eq!(response(node.handle(listed, Micros::from_millis(90))), Some((0, 1)));
-    // From a young list the answer comes at once, without the platform.
+    // A recent list is returned immediately, without a request to the platform.
     assert_eq!(
         response(received(&mut node, Message::ListRequest { since: 0 }, Micros::from_millis(500))),
         Some((0, 1))
--- a/packages/node_protocol/src/policy.rs
+++ b/packages/node_protocol/src/policy.rs
@@ -1,31 +1,31 @@
-//! Policies that can be switched off one by one, to measure what each is worth.
+//! Policies that can be switched off one by one, to measure the effect of each.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A policy that no rule rests on: without it a fleet serves worse or costs more, and nothing else.
+/// An optional policy: without it a fleet serves worse or costs more, but stays correct.
 /// Example: `"relays".parse::<Policy>() == Ok(Policy::Relays)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Policy {
-    /// News, leader records and the list cross a zone's border through its relay.
+    /// Gossip, leader records and the platform's list cross zone borders through the zone's relay.
     Relays,
-    /// A call goes to a cell in its zone, and cells are started where calls come from.
+    /// A call is dispatched to an instance in its zone, and instances are started where calls arrive.
     LocalInstances,
-    /// Functions that nobody calls have longer leases, renewed less often.
+    /// Functions without calls have longer leases, renewed less often.
     IdleLeases,
-    /// Cells are kept ready for functions that nobody called yet.
+    /// Instances are kept ready for functions that have not been called yet.
     SpareInstances,
-    /// Memory goes to calls first, then to what keeps called functions quick.
+    /// Memory goes to calls first, then to keeping called functions responsive.
     DemandClasses,
-    /// Another node grants tickets while a function's leader does not answer.
+    /// A fallback node grants permits while a function's leader does not respond.
     FallbackSchedulers,
-    /// A function that takes much of a small machine goes to a larger one.
+    /// A function that takes a large share of a small machine's capacity moves to a larger one.
     LargeFunctions,
-    /// A node that stops names who takes over what it leads.
+    /// A stopping node names the successors for the functions that it leads.
     NamedSuccessors,
 }
 
-/// All policies with their names in settings.
+/// All policies with their names in the settings.
 const NAMES: [(Policy, &str); 8] = [
     (Policy::Relays, "relays"),
     (Policy::LocalInstances, "near_cells"),
@@ -37,7 +37,7 @@
     (Policy::NamedSuccessors, "named_successors"),
 ];
 
-/// A name that is no policy's. Example: `"relay".parse::<Policy>().is_err()`.
+/// The error for a name that is not a policy. Example: `"relay".parse::<Policy>().is_err()`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownPolicy(String);
 
--- a/packages/node_protocol/src/voter_replacement.rs
+++ b/packages/node_protocol/src/voter_replacement.rs
@@ -1,5 +1,5 @@
-//! Which voters are lost, and which live disks get their votes: what the owner of the voter set sees of
-//! the disk machines, and the swaps that follow from it.
+//! Selection of lost voters and of the live disks that replace them, from what the owner of the voter set
+//! observes of the machines with disks.
 
 use crate::control_store::{DISK_BLANK, DISK_SPARE};
 use control_registers::VoterSet;
@@ -7,25 +7,26 @@
 use peer_messages::{Address, MemberUpdate, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A voter that was suspected or gone for so long is lost, if a disk waits for its vote. Removal takes
-/// seconds; and a machine that restarts may be told as gone a moment before its new process is.
+/// A voter suspected or gone for this long counts as lost, if a disk is available to replace it. Removal
+/// from the membership takes seconds; and a restarting machine may be reported as gone a moment before its
+/// new process is known.
 const LOST_TIMEOUT: Micros = Micros::from_millis(800);
-/// A voter that this process never met may be about to be heard of.
+/// Timeout for a voter that this process has never seen, since an update about it may still be on its way.
 const UNKNOWN_VOTER_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// What this process saw of the voters' disks.
-/// Example: `sightings.update(&set, &live, now); sightings.swaps(&set, &live, timeout, now)`.
+/// What this process observed of the voters' disks.
+/// Example: `observations.update(&set, &live, now); observations.replacements(&set, &live, timeout, now)`.
 #[derive(Debug, Default)]
 pub(crate) struct DiskObservations {
     addresses: BTreeMap<u64, Address>,
     missing_since: BTreeMap<u64, Micros>,
-    /// What the owner of the set was told already: processes and their states.
+    /// What was reported to the owner of the set: nodes and their states.
     reported: BTreeSet<(NodeId, u8)>,
 }
 
 impl DiskObservations {
-    /// Notes where disks are and which voters' disks no member has that answers.
-    /// Example: `sightings.update(&set, &live, now)` before each question for swaps.
+    /// Records the disks' addresses and which voters' disks no responding member has.
+    /// Example: `observations.update(&set, &live, now)` before each call of `replacements`.
     pub(crate) fn update(&mut self, set: &VoterSet, live: &[MemberUpdate], now: Micros) {
         let disks = live.iter().filter(|member| member.disk != 0);
         let voters = set.all();
@@ -39,9 +40,9 @@
         }
     }
 
-    /// What the owner of the set should hear at once, each once: voters that do not answer, and blank
-    /// disks. By probes alone it would hear of them a second later.
-    /// Example: `sightings.unreported(&set, &live)` at each node that is not the owner.
+    /// Updates to send to the owner of the set immediately, each once: voters that do not respond, and
+    /// blank disks. By probes alone the owner would learn of them a second later.
+    /// Example: `observations.unreported(&set, &live)` at each node that is not the owner.
     pub(crate) fn unreported(&mut self, set: &VoterSet, live: &[MemberUpdate]) -> Vec<MemberUpdate> {
         let is_reportable = |member: &&MemberUpdate| {
             let is_voter = set.disks.0.contains(&member.disk);
@@ -53,10 +54,11 @@
         reportable.into_iter().filter(|member| !previous.contains(&(member.node, member.state))).collect()
     }
 
-    /// The voters that give their votes away now, each with the disk that gets it. A machine that is
-    /// back with another disk gets its own vote at once; the vote of one that is lost goes to a spare disk,
-    /// and that of one that lives with a failed disk after `failed_timeout`. None without a majority.
-    /// Example: `set.begin_changes(&sightings.swaps(&set, &live, timeout, now))`.
+    /// The voters to replace now, each with the disk that gets its vote. A machine that returns with
+    /// another disk gets its own vote back immediately. The vote of a lost machine goes to a spare disk,
+    /// and that of a live machine with a failed disk does so after `failed_timeout`. Empty without a
+    /// majority.
+    /// Example: `set.begin_changes(&observations.replacements(&set, &live, timeout, now))`.
     pub(crate) fn replacements(
         &self,
         set: &VoterSet,
@@ -70,7 +72,7 @@
         if (voters.len() - lost_voters.len()) * 2 <= voters.len() {
             return Vec::new();
         }
-        // The lowest first, so that owners that follow one another pick the same.
+        // Lowest id first, so that successive owners choose the same disks.
         let mut free_disks: BTreeMap<u64, Address> = live
             .iter()
             .filter(|member| [DISK_BLANK, DISK_SPARE].contains(&member.disk_state))
@@ -87,8 +89,9 @@
         let mut other_lost_voters = Vec::new();
         for lost in lost_voters {
             let address = self.addresses.get(&lost);
-            let own_disk = free_disks.iter().find(|(_, at)| address == Some(at)).map(|(disk, _)| *disk);
-            match own_disk {
+            let same_machine_disk =
+                free_disks.iter().find(|(_, at)| address == Some(at)).map(|(disk, _)| *disk);
+            match same_machine_disk {
                 Some(replacement) => {
                     free_disks.remove(&replacement);
                     replacements.push((lost, replacement));
@@ -96,7 +99,8 @@
                 None => other_lost_voters.push(lost),
             }
         }
-        // A disk at a voter's address is that machine's new one: it waits until its own voter counts as lost.
+        // A disk at a voter's address is that machine's new one: it is reserved until that machine's own
+        // voter counts as lost.
         let voter_addresses = self.addresses.iter().filter(|(disk, _)| voters.contains(disk));
         free_disks
             .retain(|_, address| !voter_addresses.clone().any(|(_, voter_address)| voter_address == address));
--- a/packages/node_protocol/src/voter_replacement/tests.rs
+++ b/packages/node_protocol/src/voter_replacement/tests.rs
@@ -22,7 +22,7 @@
     disks.iter().map(|disk| member(*disk as u8, *disk, DISK_VOTING)).collect()
 }
 
-/// What follows from these members after others were seen.
+/// The replacements for these members after an earlier observation of others.
 fn replacements_after(
     set: &VoterSet,
     before: &[MemberUpdate],
@@ -40,7 +40,7 @@
     let set = VoterSet::bootstrap(&[1, 2, 3]);
     let mut live = voters(&[1, 2]);
     live.extend([member(3, 90, DISK_BLANK), member(4, 4, DISK_SPARE)]);
-    // Its own machine's disk, not the lower spare one's.
+    // The disk of the returning machine is chosen although the spare disk has a lower id.
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), [(3, 90)]);
 }
 
@@ -52,21 +52,21 @@
     live.push(member(7, 90, DISK_BLANK));
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, Micros(0)), []);
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), [(3, 90)]);
-    // Suspected is enough: removal takes longer.
+    // A suspected voter counts as lost: removal from the membership takes longer.
     let suspected = MemberUpdate { state: membership::SUSPECTED, ..member(3, 3, DISK_VOTING) };
     let all = [live.clone(), vec![suspected]].concat();
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &all, LOST_TIMEOUT), [(3, 90)]);
-    // One that this process never met may only not have been heard of yet.
+    // A voter never seen by this process may be reported later, so a longer timeout applies.
     assert_eq!(replacements_after(&set, &voters(&[1, 2]), &live, LOST_TIMEOUT), []);
     assert_eq!(replacements_after(&set, &voters(&[1, 2]), &live, UNKNOWN_VOTER_TIMEOUT), [(3, 90)]);
-    // Neither a suspected nor a draining machine takes a vote.
+    // A suspected or draining machine gets no vote.
     live[2].state = membership::SUSPECTED;
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
     live[2] = MemberUpdate { draining: 1, ..member(7, 90, DISK_BLANK) };
     assert_eq!(replacements_after(&set, &voters(&[1, 2, 3]), &live, LOST_TIMEOUT), []);
 }
 
-/// The machine of voter 2 is back with disk 80 while its old process still counts as alive.
+/// The machine of voter 2 returned with disk 80 while its old process still counts as alive.
 #[test]
 fn a_disk_at_another_voters_address_is_kept_for_that_voter() {
     let set = VoterSet::bootstrap(&[1, 2, 3]);
@@ -110,7 +110,7 @@
     live.push(member(7, 90, DISK_BLANK));
     assert_eq!(observations.unreported(&set, &live), live[2..]);
     assert_eq!(observations.unreported(&set, &live), []);
-    // It answers again, and is suspected anew.
+    // The voter responds again and is suspected a second time.
     live[2].state = membership::ALIVE;
     assert_eq!(observations.unreported(&set, &live), []);
     live[2].state = membership::SUSPECTED;
--- a/packages/node_protocol/src/zones.rs
+++ b/packages/node_protocol/src/zones.rs
@@ -1,33 +1,35 @@
-//! Who is near whom: the live members by zone, and the nodes that carry things over a zone's border.
+//! The live members by zone, and the relays that carry gossip, leader records and the platform's list
+//! between zones.
 
 use gossip::Neighbours;
 use membership::ALIVE;
 use peer_messages::{Address, MemberUpdate, NodeId, rendezvous_weight};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to so many colleagues everybody speaks with everybody: relays would add a step and save little.
+/// Up to this many peers every node communicates with every other: relays would add a hop and save little.
 const SMALL_FLEET: usize = 16;
-/// A zone has so many relays: the first one carries, the next is known to be there when it goes.
+/// Relays per zone: the first one is active, the second is known in advance as its successor.
 const RELAYS: usize = 2;
 
-/// The live members by zone, derived anew whenever the members change.
-/// Example: `zones.is_local(node)`.
+/// The live members by zone, recomputed whenever the membership changes.
+/// Example: `zones.is_local_address(&address)`.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
-    /// The members' revision that this was derived from.
+    /// The membership revision that this was computed from.
     revision: u64,
     own: NodeId,
     own_zone: String,
     zone_of: BTreeMap<NodeId, String>,
     local_addresses: BTreeSet<Address>,
     zone_count: usize,
-    /// The relays of each zone, the first one first; none in a fleet that needs none.
+    /// The relays of each zone, the active one first; empty in a fleet that needs none.
     relays: BTreeMap<String, Vec<NodeId>>,
 }
 
 impl Zones {
-    /// Zones of the members at a revision, with relays where a fleet of this size may have some.
-    /// Example: `Zones::of(&own_news, &live, true, 7)`.
+    /// The zones of the members at a membership revision, with relays if a fleet of this size may have
+    /// them.
+    /// Example: `Zones::of(&own_member, &live, true, 7)`.
     pub(crate) fn of(
         own: &MemberUpdate,
         live: &[&MemberUpdate],
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Whether the members changed since. Example: `if zones.is_outdated(members.revision()) { .. }`.
+    /// Whether the membership has changed since. Example: `if zones.is_outdated(members.revision()) { ..
+    /// }`.
     pub(crate) fn is_outdated(&self, revision: u64) -> bool {
         self.revision != revision
     }
@@ -65,34 +68,35 @@
         self.zone_of.get(&node).map(String::as_str)
     }
 
-    /// How many zones there are. Example: `zones.count() == 4`.
+    /// The number of zones. Example: `zones.count() == 4`.
     pub(crate) fn count(&self) -> usize {
         self.zone_count
     }
 
-    /// How many live members this node's zone has. Example: `zones.local_count() == 23`.
+    /// The number of live members in this node's zone. Example: `zones.local_count() == 23`.
     pub(crate) fn local_count(&self) -> usize {
         self.local_addresses.len()
     }
 
     /// Whether a live member of this node's zone listens at an address.
-    /// Example: `zones.is_local_address(own_address)`.
+    /// Example: `zones.is_local_address(&own_address)`.
     pub(crate) fn is_local_address(&self, address: &Address) -> bool {
         self.local_addresses.contains(address)
     }
 
-    /// The node that carries things over the border of this node's zone, if the fleet has such nodes.
+    /// The active relay of this node's zone, if the fleet has relays.
     /// Example: `zones.relay() == Some(own)` at the relay itself.
     pub(crate) fn relay(&self) -> Option<NodeId> {
         self.relays.get(&self.own_zone)?.first().copied()
     }
 
-    /// Whether this node is a relay of its zone, the first or the next. Example: `zones.may_relay()`.
+    /// Whether this node is a relay of its zone, the active one or its successor. Example:
+    /// `zones.may_relay()`.
     pub(crate) fn may_relay(&self) -> bool {
         self.relays.get(&self.own_zone).is_some_and(|relays| relays.contains(&self.own))
     }
 
-    /// How news is passed on. Example: `gossip.set_neighbours(own, zones.neighbours())`.
+    /// The neighbours for gossip. Example: `gossip.set_neighbours(own, zones.neighbours())`.
     pub(crate) fn neighbours(&self) -> Neighbours {
         let peers = self.zone_of.iter().filter(|(node, _)| **node != self.own);
         if self.relays.is_empty() {
@@ -109,7 +113,8 @@
     }
 }
 
-/// The members that can carry most, by rendezvous among equals; those in doubt or leaving last.
+/// The members with the most processor capacity, by rendezvous among equals; suspected or draining ones
+/// last.
 fn relays_of(zone: &str, members: &[&MemberUpdate]) -> Vec<NodeId> {
     let mut ranked: Vec<&&MemberUpdate> = members.iter().collect();
     ranked.sort_by_key(|member| {
--- a/packages/node_protocol/src/zones/tests.rs
+++ b/packages/node_protocol/src/zones/tests.rs
@@ -36,8 +36,8 @@
     assert_eq!((neighbours.own_relays[0], neighbours.remote_relays.len()), (10, 1));
     assert_eq!(neighbours.remote_relays[0][0], 20);
     fleet[9].draining = 1;
-    let relay = zones(&fleet, 0).relay().expect("another relay");
-    assert!((1..10).contains(&relay), "a node that leaves relays no more: {relay}");
+    let relay = zones(&fleet, 0).relay().expect("a relay is chosen after the first one drains");
+    assert!((1..10).contains(&relay), "a draining node must not be chosen as relay: {relay}");
     assert_eq!(zones(&fleet, 5).relay(), Some(relay));
 }
 
@@ -45,7 +45,7 @@
 fn a_small_or_single_zone_fleet_has_no_relays() {
     let small = &fleet()[5..15];
     assert_eq!(zones(small, 0).relay(), None);
-    assert_eq!(zones(small, 0).neighbours().local.len(), 9, "everybody is near");
+    assert_eq!(zones(small, 0).neighbours().local.len(), 9, "all other nodes are local neighbours");
     let one_zone: Vec<MemberUpdate> = (1..=20).map(|node| member(node, "a", 120)).collect();
     assert_eq!(zones(&one_zone, 0).relay(), None);
 }
