--- a/packages/node_protocol/src/configuration_sync/current_generation.rs
+++ b/packages/node_protocol/src/configuration_sync/current_generation.rs
@@ -22,11 +22,11 @@
 const READ_INTERVAL_PER_MEMBER: Micros = Micros::from_millis(60);
 /// A newer generation that peers reported and that gossip has not delivered within this time is read from a
 /// majority. The read is repeated after the second interval plus the transfer time of the whole
-/// configuration over this machine's link.
+/// configuration over this machine's link, or at the usual interval if that is shorter.
 const GOSSIP_TIMEOUT: Micros = Micros::from_millis(2_000);
 const AWAITED_READ_INTERVAL: Micros = Micros::from_millis(1_000);
-/// A node that lost contact continues with the configuration known from itself and its peers after this
-/// time.
+/// A node that was suspended or out of contact continues after this time with the newest configuration that
+/// it has, its own or from peers, even if no majority confirmed it.
 const STALENESS_TIMEOUT: Micros = Micros::from_millis(2_000);
 
 impl ConfigurationSync {
@@ -75,8 +75,8 @@
         self.configuration.majority_version = self.configuration.majority_version.max(version);
     }
 
-    /// Called when this node has been without contact: confirms which generation is in force before its
-    /// calls continue.
+    /// Called after this process was suspended or out of contact: confirms which generation is in force
+    /// before its calls continue.
     pub(crate) fn suspect_configuration(&mut self) {
         if !self.configuration.confirmed {
             return;
--- a/packages/node_protocol/src/control_store/owner_responses.rs
+++ b/packages/node_protocol/src/control_store/owner_responses.rs
@@ -90,9 +90,9 @@
         }
     }
 
-    /// The response for a reader. A large value that it lacks is sent only to machines with a disk; the
-    /// others are told that the value is in force and fetch it by gossip, which may transfer only a few
-    /// changes.
+    /// The response for a reader. A large value that it lacks is sent only to machines with a disk. The
+    /// others receive only the outcome that the value is in force, and fetch it by gossip, which may
+    /// transfer only a few changes.
     fn outcome_for(&mut self, reader: NodeId, outcome: WriteOutcome) -> WriteOutcome {
         let is_large = outcome.outcome == WRITTEN && outcome.value.0.len() > SMALL_VALUE;
         let is_diskless =
--- a/packages/node_protocol/src/control_store/voter_changes.rs
+++ b/packages/node_protocol/src/control_store/voter_changes.rs
@@ -55,9 +55,9 @@
         self.control.disk.as_ref().is_some_and(|disk| disk.registers.proposed().is_some())
     }
 
-    /// Whether a planned stop must wait, within its time limit, for a voter set change that may need this
-    /// disk. Otherwise a voter may stop at any time without loss, since everything acknowledged is synced
-    /// on a quorum.
+    /// Whether a planned stop must wait, within its time limit, for a voter set change that may still need
+    /// this disk. Without a change a stop needs no wait: it loses nothing, since everything acknowledged is
+    /// synced on a quorum.
     pub(crate) fn must_stay_for_change(&self) -> bool {
         let is_voting =
             self.control.disk.as_ref().is_some_and(|disk| self.control.set.all().contains(&disk.id));
--- a/packages/node_protocol/src/platform_list.rs
+++ b/packages/node_protocol/src/platform_list.rs
@@ -234,7 +234,8 @@
         }
     }
 
-    /// The platform did not respond to this node: waiting peers are told to try another lister.
+    /// The platform did not respond to this node: notifies the waiting peers, which then try another
+    /// lister.
     pub(crate) fn note_list_failed(&mut self) {
         self.leadership.lists.failed_pulls = 0;
         let waiting = std::mem::take(&mut self.leadership.lists.waiting);
--- a/packages/node_protocol/src/zones.rs
+++ b/packages/node_protocol/src/zones.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether the membership has changed since. Example: `if zones.is_outdated(members.revision()) { ..
-    /// }`.
+    /// Whether the membership has changed since.
+    /// Example: `if zones.is_outdated(members.revision()) { .. }`.
     pub(crate) fn is_outdated(&self, revision: u64) -> bool {
         self.revision != revision
     }
@@ -90,8 +90,8 @@
         self.relays.get(&self.own_zone)?.first().copied()
     }
 
-    /// Whether this node is a relay of its zone, the active one or its successor. Example:
-    /// `zones.may_relay()`.
+    /// Whether this node is a relay of its zone, the active one or its successor.
+    /// Example: `zones.may_relay()`.
     pub(crate) fn may_relay(&self) -> bool {
         self.relays.get(&self.own_zone).is_some_and(|relays| relays.contains(&self.own))
     }
