--- a/packages/node_protocol/src/configuration_sync/batches.rs
+++ b/packages/node_protocol/src/configuration_sync/batches.rs
@@ -1,7 +1,7 @@
-//! Changes at the owner of the configuration's key: those that wait are applied in turn, written as one
-//! value, and answered together.
+//! Changes at the owner of the configuration's key: queued changes are applied in order, written as one
+//! value, and responded to together.
 
-use super::{CHANGE_QUEUE_LIMIT, CHANGE_SPAN, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
+use super::{CHANGE_QUEUE_LIMIT, CHANGE_TIMEOUT, RETRY_PAUSE, Requester, UNCONFIRMED, overloaded};
 use crate::control_store::WritePurpose;
 use crate::node::Node;
 use configuration_schema::{Change, ChangeOutcome, StoredConfiguration};
@@ -10,8 +10,8 @@
 use peer_messages::{Bytes, Message, NodeId, WriteOutcome};
 
 const BATCH_LIMIT: usize = 64;
-/// A batch whose writes met another value so often is answered as of unknown fate.
-const WRITE_LIMIT: u32 = 8;
+/// A batch is abandoned with an unknown outcome after this many writes that found a different value.
+const BATCH_WRITE_LIMIT: u32 = 8;
 
 #[derive(Debug)]
 pub(super) struct RequestedChange {
@@ -24,17 +24,18 @@
 #[derive(Debug)]
 pub(super) struct Batch {
     changes: Vec<RequestedChange>,
-    /// The version of the base that the outcomes rest on: the base may move on meanwhile.
+    /// The version of the base that the outcomes were computed on; the base may advance before the write
+    /// completes.
     base_version: u64,
     /// The next value, if any change was accepted on top of the base.
     next: StoredConfiguration,
     writes: u32,
-    /// Set while waiting to try again.
+    /// Set while a retry is pending.
     pub(super) retry_at: Option<Micros>,
 }
 
 impl Batch {
-    /// Applies the changes, in turn, on top of a base, and counts those that change it.
+    /// Applies the changes in order on top of a base and returns how many of them modify it.
     fn apply_changes(&mut self, base_version: u64, base: StoredConfiguration) -> u32 {
         self.next = base;
         self.base_version = base_version;
@@ -49,16 +50,16 @@
 }
 
 impl Node {
-    /// A peer passes a change on to this node.
+    /// Handles a change forwarded by a peer.
     pub(crate) fn change_forwarded(&mut self, from: NodeId, request_id: u64, change_bytes: &Bytes) {
         let Ok(change) = serde_json::from_slice::<Change>(&change_bytes.0) else { return };
-        self.await_turn(Requester { node: from, request_id }, change, self.now);
+        self.enqueue_change(Requester { node: from, request_id }, change, self.now);
     }
 
-    pub(super) fn await_turn(&mut self, requester: Requester, change: Change, requested_at: Micros) {
-        let is_known = |requested: &RequestedChange| requested.requester == requester;
-        let in_batch = self.configuration.batch.iter().flat_map(|batch| &batch.changes).any(is_known);
-        if in_batch || self.configuration.queue.iter().any(is_known) {
+    pub(super) fn enqueue_change(&mut self, requester: Requester, change: Change, requested_at: Micros) {
+        let is_same_request = |requested: &RequestedChange| requested.requester == requester;
+        let in_batch = self.configuration.batch.iter().flat_map(|batch| &batch.changes).any(is_same_request);
+        if in_batch || self.configuration.queue.iter().any(is_same_request) {
             return;
         }
         if self.configuration.queue.len() >= CHANGE_QUEUE_LIMIT {
@@ -76,7 +77,7 @@
         self.send(requester.node, Message::ChangeSettled { request_id: requester.request_id, outcome });
     }
 
-    /// Changes that wait are applied together, in turn, and written as one value.
+    /// Starts a batch of queued changes: they are applied in order and written as one value.
     fn begin_batch(&mut self) {
         if self.configuration.batch.is_some() || self.configuration.queue.is_empty() {
             return;
@@ -99,7 +100,7 @@
         batch.writes += 1;
         batch.retry_at = None;
         let accepted_count = batch.apply_changes(base_version, base_stored);
-        // With nothing to write the refusals still rest on a base that must be confirmed.
+        // With nothing to write, the refusals still rest on a base that must be confirmed.
         let sent = match accepted_count {
             0 => self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), WritePurpose::ConfigurationCheck),
             _ => {
@@ -112,13 +113,13 @@
         }
     }
 
-    /// The answer to the batch's write.
+    /// Handles the response to the batch's write.
     pub(crate) fn configuration_written(&mut self, outcome: WriteOutcome) {
         match outcome.outcome {
             WRITTEN => {
                 let Some(batch) = &self.configuration.batch else { return };
                 self.configuration.base = (outcome.version, batch.next.clone());
-                self.majority_reported(outcome.version);
+                self.record_majority_version(outcome.version);
                 self.end_batch();
             }
             DIFFERS => {
@@ -129,7 +130,8 @@
         }
     }
 
-    /// The answer to the check that a batch of refusals rests on the newest base.
+    /// Handles the response to the check that a batch without accepted changes was computed on the newest
+    /// base.
     pub(crate) fn configuration_checked(&mut self, outcome: WriteOutcome) {
         if outcome.outcome != WRITTEN {
             self.configuration_unanswered();
@@ -144,7 +146,8 @@
         }
     }
 
-    /// No answer, no majority, or an answer of unknown fate: tried again under the same change ids.
+    /// Handles a missing response, a missing majority or an unknown outcome: the batch is retried under the
+    /// same change ids.
     pub(crate) fn configuration_unanswered(&mut self) {
         self.retry_batch(RETRY_PAUSE);
     }
@@ -152,8 +155,8 @@
     fn retry_batch(&mut self, pause: Micros) {
         let now = self.now;
         let Some(batch) = &mut self.configuration.batch else { return };
-        let is_over = batch.changes.iter().any(|requested| now >= requested.requested_at + CHANGE_SPAN);
-        if (batch.writes >= WRITE_LIMIT && pause == Micros(0)) || is_over {
+        let is_expired = batch.changes.iter().any(|requested| now >= requested.requested_at + CHANGE_TIMEOUT);
+        if (batch.writes >= BATCH_WRITE_LIMIT && pause == Micros(0)) || is_expired {
             for requested in &mut batch.changes {
                 requested.outcome = Some(ChangeOutcome::Unknown { reason: UNCONFIRMED.to_owned() });
             }
