--- a/packages/node_protocol/src/call_admission.rs
+++ b/packages/node_protocol/src/call_admission.rs
@@ -1,4 +1,4 @@
-//! This node's own calls: asking stewards and deputies for tickets, and the tickets it holds.
+//! Permits for this node's own calls: requests to leaders and fallbacks, held permits, and relayed requests.
 
 use crate::node::{Node, PAUSE_A_MEMBER};
 use crate::permit_ledger::{PermitAdmission, PermitLedger};
@@ -15,23 +15,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A steward that leaves an ask unanswered this long is passed over for the deputy.
+/// A request that the leader leaves unanswered for this long goes to the fallback.
 const LEADER_TIMEOUT: Micros = Micros::from_millis(200);
-/// A waiting ask is told again this often, so that both sides know of each other.
-const KEEP_ALIVE: Micros = Micros::from_millis(500);
-/// Where nobody had a ticket to give the call asks again after this, and twice as long after each further try.
+/// A queued request is repeated at this interval, so that both sides know that the other still exists.
+const KEEP_ALIVE_INTERVAL: Micros = Micros::from_millis(500);
+/// The pause after an attempt without a permit; it doubles with each further attempt.
 const REQUEST_RETRY_PAUSE: Micros = Micros::from_millis(60);
-/// The longest such pause in a small fleet. In a large one it is as long as the fleet's other questions
-/// are apart, up to a bound: many nodes that ask often keep one that recovers busy.
+/// The maximum pause in a small fleet. In a large fleet the maximum grows with the number of members, up to a
+/// limit: frequent requests of many nodes would overload a node that is recovering.
 const REQUEST_RETRY_MAX: Micros = Micros::from_millis(120);
 const LARGE_FLEET_REQUEST_RETRY_MAX: Micros = Micros::from_millis(480);
-/// Whoever left asks unanswered and was not heard for so long is out of reach.
+/// A node that left requests unanswered and from which nothing was received for this long is out of reach.
 const OUT_OF_REACH_AFTER: Micros = Micros::from_secs(1);
-/// A leader that was told of is believed for so long before its record is seen.
+/// A reported leader is used for this long without its record having been seen.
 const REPORTED_LEADER_SPAN: Micros = Micros::from_secs(3);
-/// A node that left an ask unanswered, and of which nothing else was heard since, is passed over for
-/// so long: membership takes seconds to find many nodes gone at once, and calls do not have them.
-const SILENCE_REMEMBERED: Micros = Micros::from_secs(2);
+/// A node that left a request unanswered and has sent nothing since is avoided for this long. Membership takes
+/// seconds to detect that many nodes are gone at once, which is too long for the calls.
+const SILENCE_RETENTION: Micros = Micros::from_secs(2);
 
 #[derive(Debug)]
 struct CallRequest {
@@ -45,10 +45,10 @@
     requested_at: Micros,
     requested_fallback: bool,
     next_at: Micros,
-    tries: u32,
+    attempts: u32,
 }
 
-/// A leader that was told of before its record was seen.
+/// A leader that was reported by a message before its record was seen.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLeader {
     leader: NodeId,
@@ -58,14 +58,14 @@
 
 #[derive(Debug)]
 pub(crate) struct CallAdmission {
-    /// By call: a call has one ask at a time and the ask's number is the call's.
+    /// By call id, which is also the request id: a call has one request at a time.
     requests: BTreeMap<u64, CallRequest>,
     permits: PermitLedger,
     relay: RequestRelay,
-    /// Which node passed a ticket on, where it did not come from whoever granted it.
+    /// By permit id, the node that relayed a permit, if it did not come directly from its granter.
     relayed_by: BTreeMap<u64, NodeId>,
     reported_leaders: BTreeMap<String, ReportedLeader>,
-    /// When each node was last heard, and since when it is silent.
+    /// When a message of each node was last received, and since when the node is silent.
     received_at: BTreeMap<NodeId, Micros>,
     silent_since: BTreeMap<NodeId, Micros>,
 }
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Whatever a node says shows that it can be reached again.
+    /// Records a message of a node, which shows that the node is reachable.
     pub(crate) fn received_from(&mut self, node: NodeId, now: Micros) {
         self.received_at.insert(node, now);
         self.silent_since.remove(&node);
     }
 
-    /// Whether a node was heard since then.
+    /// Whether a message of a node was received since then.
     pub(crate) fn has_received_since(&self, node: NodeId, since: Micros) -> bool {
         self.received_at.get(&node).is_some_and(|received_at| *received_at > since)
     }
@@ -99,25 +99,25 @@
         self.silent_since.remove(&node);
     }
 
-    fn note_silence(&mut self, node: NodeId, requested_at: Micros, now: Micros) {
+    fn record_silence(&mut self, node: NodeId, requested_at: Micros, now: Micros) {
         if self.received_at.get(&node).is_none_or(|received_at| *received_at < requested_at) {
             self.silent_since.entry(node).or_insert(now);
         }
     }
 
     fn is_silent(&self, node: NodeId, now: Micros) -> bool {
-        self.silent_since.get(&node).is_some_and(|since| now < *since + SILENCE_REMEMBERED)
+        self.silent_since.get(&node).is_some_and(|since| now < *since + SILENCE_RETENTION)
     }
 
-    /// The tickets in use for a function, here and by nodes that this one relays for.
+    /// The permits in use for a function, by this node and by nodes that it relays for.
     pub(crate) fn held_for(&self, function: &str, now: Micros) -> Vec<HeldPermit> {
         let mut held = self.permits.held_for(function, now);
         held.extend(self.relay.held_for(function, now));
         held
     }
 
-    /// A node that leads a function under this epoch, as it said itself or as whoever gave it the term says.
-    pub(crate) fn note_leader(&mut self, function: &str, leader: NodeId, leader_epoch: u64, now: Micros) {
+    /// Records that a node leads a function under this epoch, as reported by itself or by its predecessor.
+    pub(crate) fn record_leader(&mut self, function: &str, leader: NodeId, leader_epoch: u64, now: Micros) {
         let known = self.reported_leaders.get(function);
         if known.is_none_or(|known| known.leader_epoch < leader_epoch) {
             let reported = ReportedLeader { leader, leader_epoch, reported_at: now };
@@ -130,7 +130,7 @@
     pub(crate) fn call_needs_permit(&mut self, call: u64, parameters: PermitParameters) {
         self.leadership.traffic_since.get_or_insert(self.now);
         let late_at = parameters.target_left.map_or(Micros(u64::MAX), |left| self.now + left);
-        let request_id = CallRequest {
+        let request = CallRequest {
             function: parameters.function,
             ends_at: self.now + parameters.time_left,
             dispatches: parameters.dispatches,
@@ -146,10 +146,10 @@
             requested_at: self.now,
             requested_fallback: false,
             next_at: self.now,
-            tries: 0,
+            attempts: 0,
         };
-        self.calls.requests.insert(call, request_id);
-        self.drive_request(call);
+        self.calls.requests.insert(call, request);
+        self.advance_request(call);
     }
 
     pub(crate) fn call_ends(&mut self, call: u64) {
@@ -160,8 +160,8 @@
         }
     }
 
-    /// One step for an ask: refuse it, or ask the steward, or the deputy where the steward is silent.
-    fn drive_request(&mut self, call: u64) {
+    /// Advances a request: refuses the call, or sends the request to the leader or, if it is silent, the fallback.
+    fn advance_request(&mut self, call: u64) {
         let now = self.now;
         let Some(request) = self.calls.requests.get_mut(&call) else { return };
         if now >= request.ends_at {
@@ -175,12 +175,12 @@
             request.next_at = now + REQUEST_RETRY_PAUSE;
             return;
         }
-        request.tries += 1;
-        let tries = request.tries;
+        request.attempts += 1;
+        let attempts = request.attempts;
         let function = request.function.clone();
         if let Some(requested) = request.requested.filter(|requested| *requested != self.settings.node) {
             let requested_at = request.requested_at;
-            self.calls.note_silence(requested, requested_at, now);
+            self.calls.record_silence(requested, requested_at, now);
         }
         if !self.configuration.current().functions.contains_key(&function) {
             self.refuse_call(call, RefusedAs::NoFunction, "function not configured", Micros::from_secs(1));
@@ -195,19 +195,19 @@
             self.leadership.election.call_waits(&function);
         }
         let Some(request) = self.calls.requests.get(&call) else { return };
-        // A steward that did not answer in time, and one that denies being it, make way for the
-        // deputy; each further try turns between the two.
+        // If the leader did not respond in time or denied being the leader, the fallback is asked; further
+        // attempts alternate between the two.
         let is_leader_turn = !(request.requested.is_some()
             && request.requested == reachable_leader
             && !request.requested_fallback);
         let (node, is_fallback) = match reachable_leader {
-            Some(leader_node) if is_leader_turn => (leader_node, false),
+            Some(leader) if is_leader_turn => (leader, false),
             _ => match self.fallback_of(&function, holder) {
-                Some(fallback_node) => (fallback_node, true),
+                Some(fallback) => (fallback, true),
                 None => match reachable_leader {
-                    Some(leader_node) => (leader_node, false),
+                    Some(leader) => (leader, false),
                     None => {
-                        self.put_off(call, self.request_retry_pause(tries));
+                        self.delay_retry(call, self.request_retry_pause(attempts));
                         return;
                     }
                 },
@@ -241,39 +241,39 @@
         self.send(node, message);
     }
 
-    /// Who leads a function: by its record, or by a newer word of a leader that the record does not show yet.
+    /// The leader of a function, by its record or by a report of a newer epoch that the record does not show yet.
     pub(crate) fn leader_of(&self, function: &str) -> Option<NodeId> {
-        let by_record = self.leadership.election.holder(function, self.now);
+        let recorded = self.leadership.election.holder(function, self.now);
         let reported = self.calls.reported_leaders.get(function);
         let reported = reported.filter(|reported| self.now < reported.reported_at + REPORTED_LEADER_SPAN);
-        match (by_record, reported) {
+        match (recorded, reported) {
             (Some((node, epoch)), Some(reported)) if epoch >= reported.leader_epoch => Some(node),
             (_, Some(reported)) => Some(reported.leader),
-            (by_record, None) => by_record.map(|(node, _)| node),
+            (recorded, None) => recorded.map(|(node, _)| node),
         }
     }
 
-    /// Until a call asks again that found nobody with a ticket to give.
-    fn request_retry_pause(&self, tries: u32) -> Micros {
+    /// The pause before the next attempt of a call that got no permit.
+    fn request_retry_pause(&self, attempts: u32) -> Micros {
         let fleet_pause = Micros(PAUSE_A_MEMBER.0 * self.member_count() as u64);
-        let longest = fleet_pause.clamp(REQUEST_RETRY_MAX, LARGE_FLEET_REQUEST_RETRY_MAX);
-        let doublings = tries.saturating_sub(2).min(8);
-        Micros(REQUEST_RETRY_PAUSE.0 << doublings).min(longest)
+        let max_pause = fleet_pause.clamp(REQUEST_RETRY_MAX, LARGE_FLEET_REQUEST_RETRY_MAX);
+        let doublings = attempts.saturating_sub(2).min(8);
+        Micros(REQUEST_RETRY_PAUSE.0 << doublings).min(max_pause)
     }
 
-    fn put_off(&mut self, call: u64, pause: Micros) {
+    fn delay_retry(&mut self, call: u64, pause: Micros) {
         let next_at = self.now + pause;
         if let Some(request) = self.calls.requests.get_mut(&call) {
             request.next_at = next_at;
         }
     }
 
-    /// The next node by rendezvous hash after the steward, of those that can be reached.
-    fn fallback_of(&self, function: &str, reachable_leader: Option<NodeId>) -> Option<NodeId> {
+    /// The reachable node with the highest rendezvous weight, the leader excluded.
+    fn fallback_of(&self, function: &str, leader: Option<NodeId>) -> Option<NodeId> {
         let reachable = self
             .serving_members()
             .into_iter()
-            .filter(|node| Some(*node) != reachable_leader && !self.calls.is_silent(*node, self.now));
+            .filter(|node| Some(*node) != leader && !self.calls.is_silent(*node, self.now));
         Node::rendezvous_choice(function, reachable)
     }
 
@@ -308,19 +308,20 @@
                     return;
                 }
                 match outcome {
-                    0 => self.put_off(request_id, KEEP_ALIVE),
+                    0 => self.delay_retry(request_id, KEEP_ALIVE_INTERVAL),
                     1 => {
                         let retry_after = Micros::from_millis(retry_after_millis.min(600_000));
                         self.refuse_call(request_id, RefusedAs::Rejected, &reason.0, retry_after);
                     }
                     _ => {
-                        // Not the steward, or a deputy without room: look again shortly.
-                        let tries = call_request.tries;
-                        let pause = if tries <= 1 { Micros(0) } else { self.request_retry_pause(tries) };
-                        self.put_off(request_id, pause);
+                        // Not the leader, or a fallback without a free instance: retried shortly.
+                        let attempts = call_request.attempts;
+                        let pause =
+                            if attempts <= 1 { Micros(0) } else { self.request_retry_pause(attempts) };
+                        self.delay_retry(request_id, pause);
                     }
                 }
-                // A steward that keeps an ask waiting is alive: it is asked again, not the deputy.
+                // A leader that queues the request is alive: the next attempt goes to it, not to the fallback.
                 if outcome == 0
                     && let Some(call_request) = self.calls.requests.get_mut(&request_id)
                 {
@@ -330,7 +331,7 @@
             Message::HeldPermitsRequest { functions } => {
                 let mut responses = Vec::new();
                 for HeldPermitsRequestEntry { function, leader_epoch } in functions.0 {
-                    self.calls.note_leader(&function.0, from, leader_epoch, self.now);
+                    self.calls.record_leader(&function.0, from, leader_epoch, self.now);
                     self.calls.permits.saw_epoch(&function.0, leader_epoch);
                     let permits = List(self.calls.held_for(&function.0, self.now));
                     responses.push(HeldPermitsResponseEntry { function, leader_epoch, permits });
@@ -347,14 +348,14 @@
         let request_ends_at = request.map(|request| request.ends_at);
         let is_barred = self.configuration.is_suspected() || self.is_barred(&permit);
         if permit.leader_epoch > 0 {
-            self.calls.note_leader(&permit.function.0, permit.granted_by, permit.leader_epoch, now);
+            self.calls.record_leader(&permit.function.0, permit.granted_by, permit.leader_epoch, now);
         }
         match self.calls.permits.admit(&permit, request_ends_at, is_barred, now) {
             PermitAdmission::Repeated => {}
             PermitAdmission::Returned { is_wanted } => {
                 self.send(from, Message::PermitReturn { permit, outcome: UNUSED, latency_micros: 0 });
                 if is_wanted {
-                    self.put_off(call, REQUEST_RETRY_PAUSE);
+                    self.delay_retry(call, REQUEST_RETRY_PAUSE);
                 }
             }
             PermitAdmission::Used => {
@@ -372,10 +373,10 @@
         self.calls.permits.done(permit.id);
         self.settle_usage(permit.id, outcome);
         let message = Message::PermitReturn { permit: permit.clone(), outcome, latency_micros: latency.0 };
-        // The steward of now may count a ticket that a deputy, or the steward before, granted.
-        let reachable_leader = self.leader_of(&permit.function.0);
-        if let Some(reachable_leader) = reachable_leader.filter(|node| *node != permit.granted_by) {
-            self.send(reachable_leader, message.clone());
+        // The current leader may count a permit that a fallback or an earlier leader granted.
+        let leader = self.leader_of(&permit.function.0);
+        if let Some(leader) = leader.filter(|node| *node != permit.granted_by) {
+            self.send(leader, message.clone());
         }
         if let Some(relay) = self.calls.relayed_by.remove(&permit.id) {
             self.send(relay, message.clone());
@@ -383,7 +384,7 @@
         self.send(permit.granted_by, message);
     }
 
-    /// Passes an ask on to the function's leader for a node that cannot reach it; `true` if it went.
+    /// Relays a request to the function's leader for a node that cannot reach it; `true` if it was sent.
     pub(crate) fn relay_request(&mut self, requester: NodeId, leader: NodeId, mut message: Message) -> bool {
         let now = self.now;
         let Message::PermitRequest { ref mut request_id, time_left_micros, ref mut fallback, .. } = message
@@ -397,74 +398,77 @@
         let before = self
             .calls
             .relay
-            .number_of(requester, *request_id)
-            .and_then(|number| self.calls.relay.get(number));
+            .relay_id_of(requester, *request_id)
+            .and_then(|relay_id| self.calls.relay.get(relay_id));
         let unanswered = before.filter(|relayed| relayed.leader == leader);
         let unanswered_since = unanswered.and_then(|relayed| relayed.unanswered_since);
         if let Some(requested_at) =
             unanswered_since.filter(|requested_at| now >= *requested_at + LEADER_TIMEOUT)
         {
-            self.calls.note_silence(leader, requested_at, now);
+            self.calls.record_silence(leader, requested_at, now);
         }
         if self.calls.is_silent(leader, now) {
             return false;
         }
         let ends_at = now + Micros(time_left_micros);
-        let Some(number) = self.calls.relay.pass_on(requester, *request_id, leader, ends_at, now) else {
+        let Some(relay_id) = self.calls.relay.register(requester, *request_id, leader, ends_at, now) else {
             return false;
         };
-        *request_id = number;
-        // Whoever is asked by a relay answers for itself: an ask is passed on once.
+        *request_id = relay_id;
+        // The recipient must not act as a fallback, so a request is relayed only once.
         *fallback = AS_LEADER;
         self.send(leader, message);
         true
     }
 
-    /// Whether a node left asks unanswered, and was not heard otherwise, for so long that it is likelier cut off
-    /// from this one than slow.
+    /// Whether a node left requests unanswered and sent nothing else for so long that it is more likely
+    /// partitioned from this node than slow.
     fn is_out_of_reach(&self, node: NodeId) -> bool {
         let is_silent = self.calls.is_silent(node, self.now);
         let received_at = self.calls.received_at.get(&node);
         is_silent && received_at.is_some_and(|received_at| self.now >= *received_at + OUT_OF_REACH_AFTER)
     }
 
-    /// Whether a node was heard within the time that an ask has for its answer.
+    /// Whether a message of a node was received within the response timeout of a request.
     pub(crate) fn has_received_recently(&self, node: NodeId) -> bool {
         let received_at = self.calls.received_at.get(&node);
         received_at.is_some_and(|received_at| self.now < *received_at + LEADER_TIMEOUT)
     }
 
-    fn relayed_grant(&mut self, from: NodeId, number: u64, permit: Permit) {
-        let ends_at = self.calls.relay.end_of(number);
-        let requester = self.calls.relay.answered(number, from);
+    fn relayed_grant(&mut self, from: NodeId, relay_id: u64, permit: Permit) {
+        let ends_at = self.calls.relay.end_of(relay_id);
+        let requester = self.calls.relay.answered(relay_id, from);
         let (Some(ends_at), Some((requester, request_id))) = (ends_at, requester) else {
             self.send(from, Message::PermitReturn { permit, outcome: UNUSED, latency_micros: 0 });
             return;
         };
-        self.calls.relay.note_permit(&permit, ends_at);
+        self.calls.relay.record_permit(&permit, ends_at);
         self.send(requester, Message::PermitGranted { request_id, permit });
     }
 
-    /// The call of a relayed ask is over.
+    /// Withdraws a relayed request whose call has ended.
     pub(crate) fn relayed_withdraw(&mut self, requester: NodeId, request_id: u64, function: &str) {
-        let number = self.calls.relay.number_of(requester, request_id);
-        let Some((number, relayed)) =
-            number.and_then(|number| Some((number, self.calls.relay.finish(number)?)))
+        let relay_id = self.calls.relay.relay_id_of(requester, request_id);
+        let Some((relay_id, relayed)) =
+            relay_id.and_then(|relay_id| Some((relay_id, self.calls.relay.finish(relay_id)?)))
         else {
             return;
         };
-        self.send(relayed.leader, Message::PermitWithdraw { request_id: number, function: function.into() });
+        self.send(
+            relayed.leader,
+            Message::PermitWithdraw { request_id: relay_id, function: function.into() },
+        );
     }
 
-    /// A ticket that went through this node is returned through it.
+    /// Sends the return of a relayed permit on to its granter.
     pub(crate) fn relayed_return(&mut self, permit: Permit, outcome: u8, latency_micros: u64) {
         let granted_by = permit.granted_by;
-        if granted_by != self.settings.node && self.calls.relay.accepts_return(&permit) {
+        if granted_by != self.settings.node && self.calls.relay.remove_permit(&permit) {
             self.send(granted_by, Message::PermitReturn { permit, outcome, latency_micros });
         }
     }
 
-    /// The cells that a steward told it knows to run.
+    /// The instances that a leader has published as running.
     pub(crate) fn known_ready(&self, function: &str) -> Vec<ReadyInstance> {
         let Some(body) = self.gossip.body(&format!("cells/{function}")) else { return Vec::new() };
         let Ok((_, ready_instances_update)) = ReadyInstancesUpdate::from_bytes((&body.0, 0)) else {
@@ -488,13 +492,13 @@
             .map(|(call, _)| *call)
             .collect();
         for call in due_calls {
-            self.drive_request(call);
+            self.advance_request(call);
         }
         self.calls.permits.expire(now);
         self.calls.relay.expire(now);
         let CallAdmission { relayed_by, permits, .. } = &mut self.calls;
         relayed_by.retain(|permit, _| permits.is_known(*permit));
         self.calls.reported_leaders.retain(|_, reported| now < reported.reported_at + REPORTED_LEADER_SPAN);
-        self.calls.silent_since.retain(|_, since| now < *since + SILENCE_REMEMBERED);
+        self.calls.silent_since.retain(|_, since| now < *since + SILENCE_RETENTION);
     }
 }
--- a/packages/node_protocol/src/function_leadership.rs
+++ b/packages/node_protocol/src/function_leadership.rs
@@ -1,4 +1,4 @@
-//! What this node does as steward and as deputy: terms, tickets, cells, the split of allowances.
+//! This node's work as leader and as fallback of functions: terms, permits, instances, the split of quotas.
 
 mod configured;
 mod handover;
@@ -23,114 +23,114 @@
     Address, Bytes, DemandUpdate, HeldPermitsRequestEntry, HeldPermitsResponseEntry, List, Message, NodeId,
     Permit, ReadyInstanceEntry, ReadyInstancesUpdate,
 };
-use platform_operations::{WaitingStart, WaitingStop};
+use platform_operations::{QueuedStart, QueuedStop};
 use quotas::Split;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::IpAddr;
 
 const START_QUEUE_LIMIT: usize = 2_048;
-/// The epoch of the first steward that a function ever has.
+/// The epoch of the first leader of a function.
 const FIRST_EPOCH: u64 = 1;
-/// After a failed list the next is asked for sooner.
-const LIST_AGAIN: Micros = Micros::from_millis(300);
+/// After a failed list the next one is requested sooner than usual.
+const LIST_RETRY_PAUSE: Micros = Micros::from_millis(300);
 const LIST_TIMEOUT: Micros = Micros::from_secs(3);
-/// Whoever did not tell which tickets it holds is asked again after this.
-const HELD_TIMEOUT: Micros = Micros::from_millis(300);
-const UNSETTLED_POLL: Micros = Micros::from_millis(100);
+/// A node that has not reported its held permits is asked again after this.
+const HELD_REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
+const UNSETTLED_POLL_INTERVAL: Micros = Micros::from_millis(100);
 const FRESH_LIST_AGE: Micros = Micros::from_millis(2_200);
-/// Between two functions that a node gives up for balance, and at least so long for each member: all of them may
-/// find the same node the lightest.
+/// The pause between two functions that a node transfers for balance, and its minimum for each member, since all
+/// members may pick the same least loaded node.
 const BALANCE_PAUSE: Micros = Micros::from_secs(2);
 const BALANCE_PAUSE_A_MEMBER: Micros = Micros::from_millis(150);
-/// Processor time that a steward spends on a call: the ask, the grant and the return, in thousandths of a
-/// core for one call a second (`local_fleet` takes 1.15 ms for a call's whole way).
-const CALL_COST: f64 = 0.2;
-/// A function that takes more than this part of the machine goes to a larger one, where there is one.
+/// The processor time of the leader for the request, grant and return of a call, in thousandths of a core for
+/// one call a second (the whole path of a call takes 1.15 ms in `local_fleet`).
+const CALL_COST_MILLICORES: f64 = 0.2;
+/// A function that needs more than this share of the machine is transferred to a larger machine, if there is one.
 const LARGE_SHARE: f64 = 0.33;
-/// A machine is larger where it has so many times the processor time.
-const LARGER: u32 = 2;
-/// Between two looks for functions that are too large for this machine, and for those that nobody calls.
+/// A machine counts as larger if it has this many times the processor time.
+const LARGER_MACHINE_FACTOR: u32 = 2;
+/// The interval of the checks for functions that are too large for this machine, and for idle functions.
 const LARGE_CHECK_INTERVAL: Micros = Micros::from_millis(250);
-/// For so long a newer configuration or a running call may still want a cell whose function is no more; and between
-/// two stops of such a cell.
+/// An orphaned instance is kept for this long, since a newer configuration or a running call may still need it;
+/// also the pause between two stops of the same instance.
 const ORPHAN_GRACE: Micros = Micros::from_secs(5);
-/// Until the first list is in, a new steward may not know of cells that run: it starts none.
-const ADOPTION_SPAN: Micros = Micros::from_millis(1_500);
+/// A new leader without a list starts no instances for this long, since it may not know of running ones.
+const FIRST_LIST_WAIT: Micros = Micros::from_millis(1_500);
 
-/// A cell of a function that is configured no more.
+/// An instance of a function that is no longer configured.
 #[derive(Debug)]
 struct Orphan {
     since: Micros,
-    /// When its stop was asked for last.
+    /// When its stop was last requested.
     stop_requested_at: Option<Micros>,
 }
 
 #[derive(Debug)]
 pub(crate) struct FunctionLeadership {
     pub(crate) election: Election,
-    /// The members whose capacities the election knows.
-    weighed_members: Vec<NodeId>,
-    works: BTreeMap<String, FunctionScheduler>,
+    /// The members whose capacities were given to the election.
+    capacity_members: Vec<NodeId>,
+    schedulers: BTreeMap<String, FunctionScheduler>,
     fallbacks: BTreeMap<String, FallbackScheduler>,
     next_fallback_permit: u64,
     placement: Placement,
     rate: StartRate,
-    starts: VecDeque<WaitingStart>,
-    /// Starts of functions that nobody called yet: they get what acts are left.
-    spare_starts: VecDeque<WaitingStart>,
+    queued_starts: VecDeque<QueuedStart>,
+    /// Starts of functions without calls so far: they get the operations that are left over.
+    queued_spare_starts: VecDeque<QueuedStart>,
     is_stop_turn: bool,
-    starts_out: BTreeMap<String, WaitingStart>,
-    /// The functions of cells whose stop was sent and not answered yet.
-    stops_out: BTreeMap<String, String>,
-    stops: VecDeque<WaitingStop>,
-    /// Functions that this node leads and does not start or stop cells of yet.
+    pending_starts: BTreeMap<String, QueuedStart>,
+    /// By instance, the function of each stop that was sent and has no response yet.
+    pending_stops: BTreeMap<String, String>,
+    queued_stops: VecDeque<QueuedStop>,
+    /// Bars starts and stops for functions that this node leads but may not operate on yet.
     action_guard: ActionGuard,
-    /// Memory is short as far as is known: a start found no room lately.
-    short_until: Micros,
-    /// When the platform was asked by this node itself, if its answer is still out.
+    /// Memory counts as short until then, since a start recently found no room.
+    memory_short_until: Micros,
+    /// When this node itself requested the platform's list, if the response is still pending.
     pub(crate) list_requested_at: Option<Micros>,
     pub(crate) list_due: Micros,
     pub(crate) lists: PlatformListCache,
     instances: Vec<ListedInstance>,
-    /// The hosts of those cells, as the front was told.
+    /// The hosts of these instances, as last sent to the gateway.
     instance_hosts: BTreeSet<IpAddr>,
     has_list: bool,
     poll_due: Micros,
     polled_at: Micros,
     held_requested_at: Micros,
-    unsettled_poll: Ticker,
-    /// As of the last look: going through all functions is not done at each clock event.
+    unsettled_poll_ticker: Ticker,
+    /// As of the last check: the check covers all functions and is too costly for each tick.
     is_unsettled: bool,
-    split_event: Ticker,
+    split_ticker: Ticker,
     split: Split,
-    work_event: Ticker,
-    held_event: Ticker,
-    /// When holders of tickets were last asked about a function.
+    scheduler_ticker: Ticker,
+    held_request_ticker: Ticker,
+    /// When the held permits of a function were last requested.
     held_requested: BTreeMap<String, Micros>,
     is_held_request_due: bool,
-    /// Cells of functions that are configured no more.
+    /// Instances of functions that are no longer configured.
     orphans: BTreeMap<String, Orphan>,
     demand_published: (Micros, DemandUpdate),
     instances_sequence: u64,
     no_room_reported: BTreeMap<String, Micros>,
     is_platform_silent: bool,
     pub(crate) is_list_stale: bool,
-    /// When the newest list was asked for, by whichever node asked.
+    /// When the newest list was requested, by this node or another.
     pub(crate) listed_at: Option<Micros>,
     balance_due: Micros,
-    large_check: Ticker,
-    idle_check: Ticker,
-    /// The strictest target of the lanes that lead to each function, in milliseconds.
+    large_check_ticker: Ticker,
+    idle_check_ticker: Ticker,
+    /// The strictest target of the routes to each function, in milliseconds.
     targets: FunctionTargets,
-    /// When this node first saw a call of whatever function.
+    /// When this node first received a call of any function.
     pub(crate) traffic_since: Option<Micros>,
-    /// The most nodes ever known at once: deputies share their extra dispatches.
-    most_nodes: usize,
-    /// Terms on their way from this node, and to it.
+    /// The highest number of members known at once; the fallbacks' retry budget is divided by it.
+    max_member_count: usize,
+    /// Terms that are being transferred from this node or to it.
     handovers: Handovers,
-    /// Deputies forgot their extra dispatches then, at this node's start or with their functions.
-    fallbacks_from: Micros,
+    /// When fallbacks last lost their retry counts: at this node's start or when functions were removed.
+    fallbacks_reset_at: Micros,
 }
 
 impl FunctionLeadership {
@@ -138,19 +138,19 @@
         FunctionLeadership {
             action_guard: ActionGuard::new(settings.lease, now),
             election: Election::new(own, settings),
-            weighed_members: Vec::new(),
-            works: BTreeMap::new(),
+            capacity_members: Vec::new(),
+            schedulers: BTreeMap::new(),
             fallbacks: BTreeMap::new(),
             next_fallback_permit: 0,
             placement: Placement::default(),
             rate: StartRate::new(),
-            starts: VecDeque::new(),
-            spare_starts: VecDeque::new(),
+            queued_starts: VecDeque::new(),
+            queued_spare_starts: VecDeque::new(),
             is_stop_turn: false,
-            starts_out: BTreeMap::new(),
-            stops_out: BTreeMap::new(),
-            stops: VecDeque::new(),
-            short_until: Micros(0),
+            pending_starts: BTreeMap::new(),
+            pending_stops: BTreeMap::new(),
+            queued_stops: VecDeque::new(),
+            memory_short_until: Micros(0),
             list_requested_at: None,
             list_due: Micros(0),
             lists: PlatformListCache::default(),
@@ -160,12 +160,12 @@
             poll_due: Micros(0),
             polled_at: Micros(0),
             held_requested_at: Micros(0),
-            unsettled_poll: Ticker::every(UNSETTLED_POLL),
+            unsettled_poll_ticker: Ticker::every(UNSETTLED_POLL_INTERVAL),
             is_unsettled: true,
-            split_event: Ticker::every(Micros::from_millis(100)),
+            split_ticker: Ticker::every(Micros::from_millis(100)),
             split: Split::default(),
-            work_event: Ticker::every(Micros::from_millis(40)),
-            held_event: Ticker::every(Micros::from_millis(100)),
+            scheduler_ticker: Ticker::every(Micros::from_millis(40)),
+            held_request_ticker: Ticker::every(Micros::from_millis(100)),
             held_requested: BTreeMap::new(),
             is_held_request_due: false,
             orphans: BTreeMap::new(),
@@ -176,13 +176,13 @@
             is_list_stale: false,
             listed_at: None,
             balance_due: Micros(0),
-            large_check: Ticker::every(LARGE_CHECK_INTERVAL),
-            idle_check: Ticker::every(LARGE_CHECK_INTERVAL),
+            large_check_ticker: Ticker::every(LARGE_CHECK_INTERVAL),
+            idle_check_ticker: Ticker::every(LARGE_CHECK_INTERVAL),
             targets: FunctionTargets::default(),
             traffic_since: None,
-            most_nodes: 1,
+            max_member_count: 1,
             handovers: Handovers::default(),
-            fallbacks_from: now,
+            fallbacks_reset_at: now,
         }
     }
 }
@@ -208,60 +208,64 @@
     pub(crate) fn tick_leaders(&mut self) {
         let now = self.now;
         let members = self.serving_members();
-        self.weigh_members(&members);
-        self.leadership.most_nodes = self.leadership.most_nodes.max(self.member_count());
-        let is_check_due = self.leadership.unsettled_poll.due(now);
+        self.update_capacities(&members);
+        self.leadership.max_member_count = self.leadership.max_member_count.max(self.member_count());
+        let is_check_due = self.leadership.unsettled_poll_ticker.due(now);
         let pause = Micros(PAUSE_A_MEMBER.0 * members.len() as u64);
         let (poll_every, poll_pause) = self.poll_pauses(members.len());
         if is_check_due {
             self.leadership.is_unsettled = self.leadership.election.is_unsettled(&members, now);
         }
         let is_unsettled = self.leadership.is_unsettled;
-        let is_poll_imminent = now >= self.leadership.polled_at + poll_pause;
-        if now >= self.leadership.poll_due || (is_unsettled && is_check_due && is_poll_imminent) {
+        let may_poll = now >= self.leadership.polled_at + poll_pause;
+        if now >= self.leadership.poll_due || (is_unsettled && is_check_due && may_poll) {
             self.leadership.polled_at = now;
             let jitter = Micros(self.rng.u64(..poll_every.0 / 10 + 1));
             self.leadership.poll_due = now + poll_every - jitter;
             self.poll_records();
         }
-        if self.leadership.idle_check.due(now) && self.is_on(Policy::IdleLeases) {
-            let works = self.leadership.works.iter().filter(|(_, work)| work.is_idle(now));
-            let idle = works.map(|(function, _)| function.clone()).collect();
+        if self.leadership.idle_check_ticker.due(now) && self.is_on(Policy::IdleLeases) {
+            let schedulers =
+                self.leadership.schedulers.iter().filter(|(_, scheduler)| scheduler.is_idle(now));
+            let idle = schedulers.map(|(function, _)| function.clone()).collect();
             self.leadership.election.set_idle_functions(idle);
         }
         let writes = self.leadership.election.tick(&members, now);
         self.send_leader_writes(writes);
         self.handle_term_changes();
         self.balance(&members, is_unsettled);
-        if self.leadership.large_check.due(now) && self.is_on(Policy::LargeFunctions) {
+        if self.leadership.large_check_ticker.due(now) && self.is_on(Policy::LargeFunctions) {
             self.transfer_large_functions();
         }
         self.request_list();
-        let is_held_local = now >= self.leadership.held_requested_at + pause.min(HELD_TIMEOUT);
-        if (self.leadership.held_event.due(now) || self.leadership.is_held_request_due) && is_held_local {
+        let may_request_held = now >= self.leadership.held_requested_at + pause.min(HELD_REQUEST_TIMEOUT);
+        if (self.leadership.held_request_ticker.due(now) || self.leadership.is_held_request_due)
+            && may_request_held
+        {
             self.leadership.held_requested_at = now;
             self.request_held_permits();
         }
         self.tick_handovers();
-        if self.leadership.split_event.due(now) {
+        if self.leadership.split_ticker.due(now) {
             self.split_quotas(&members);
         }
-        if self.leadership.work_event.due(now) && !self.leadership.is_list_stale {
-            let works = &mut self.leadership.works;
+        if self.leadership.scheduler_ticker.due(now) && !self.leadership.is_list_stale {
+            let schedulers = &mut self.leadership.schedulers;
             let election = &self.leadership.election;
             let traffic_since = self.leadership.traffic_since;
-            for (function, work) in works {
+            for (function, scheduler) in schedulers {
                 if election.term(function, now).is_some() {
-                    work.set_traffic_since(traffic_since);
-                    work.tick(now);
+                    scheduler.set_traffic_since(traffic_since);
+                    scheduler.tick(now);
                 }
             }
         }
     }
 
-    /// Between two polls of the leader records, and at the least between two while something is unheld: who
-    /// is asked meets so many askers, which is the nodes of a zone for a relay, and the relays for an owner. A
-    /// relay polls twice as often, since what it hears reaches others a poll later.
+    /// The interval between two polls of the leader records, and the minimum pause between two polls while a
+    /// function has no leader. The pause grows with the number of nodes that poll the same recipient: the nodes
+    /// of a zone for a relay, the relays for an owner. A relay polls twice as often, since other nodes see its
+    /// results only with their next poll.
     fn poll_pauses(&self, member_count: usize) -> (Micros, Micros) {
         let poll = self.settings.election.poll;
         let pause = |requesters: usize| Micros(PAUSE_A_MEMBER.0 * requesters as u64);
@@ -275,50 +279,57 @@
         }
     }
 
-    /// The gate counts functions, and one that is called very often may be more than a small machine can
-    /// carry, however few it holds: its lease would run out under the calls. It is given to a larger machine,
-    /// by rendezvous among those, so that several such functions spread. Where all machines are alike nothing
-    /// is given.
+    /// Transfers a function that is too large for this machine to a larger one. The election's gate counts only
+    /// functions, so a single function with many calls may overload a small machine, and its lease would expire
+    /// under the load. The recipient is the rendezvous choice among larger machines, which spreads several such
+    /// functions. If no machine is larger, nothing is transferred.
     fn transfer_large_functions(&mut self) {
         let now = self.now;
         if self.draining_since.is_some() || !self.settings.election.gate {
             return;
         }
         let own_processor = self.settings.processor_millis;
-        let most_rate = f64::from(own_processor) * LARGE_SHARE / CALL_COST;
-        let mut works = self.leadership.works.iter();
-        let Some(function) = works.find(|(_, work)| work.call_rate(now) > most_rate) else { return };
+        let max_call_rate = f64::from(own_processor) * LARGE_SHARE / CALL_COST_MILLICORES;
+        let mut schedulers = self.leadership.schedulers.iter();
+        let Some(function) = schedulers.find(|(_, scheduler)| scheduler.call_rate(now) > max_call_rate)
+        else {
+            return;
+        };
         let (function, rate) = (function.0.clone(), function.1.call_rate(now));
         let live = self.members.live().into_iter();
-        let larger = live.filter(|member| {
-            member.draining == 0 && member.state == 0 && member.processor / LARGER >= own_processor
+        let larger_machine = live.filter(|member| {
+            member.draining == 0
+                && member.state == 0
+                && member.processor / LARGER_MACHINE_FACTOR >= own_processor
         });
-        let Some(larger) = Node::rendezvous_choice(&function, larger.map(|member| member.node)) else {
+        let Some(larger_machine) =
+            Node::rendezvous_choice(&function, larger_machine.map(|member| member.node))
+        else {
             return;
         };
-        self.transfer_term(&function, larger);
+        self.transfer_term(&function, larger_machine);
         self.decision_log.append(
             "steward_given",
-            json!({"function": function, "to": format!("{larger:016x}"), "calls_per_second": rate.round()}),
+            json!({"function": function, "to": format!("{larger_machine:016x}"), "calls_per_second": rate.round()}),
             now,
         );
         self.handle_term_changes();
     }
 
-    /// Tells the election what the members' machines can carry, when there are others than before.
-    fn weigh_members(&mut self, members: &[NodeId]) {
-        if self.leadership.weighed_members == members {
+    /// Passes the capacities of the members' machines to the election when the members have changed.
+    fn update_capacities(&mut self, members: &[NodeId]) {
+        if self.leadership.capacity_members == members {
             return;
         }
-        self.leadership.weighed_members = members.to_vec();
+        self.leadership.capacity_members = members.to_vec();
         let live = self.members.live();
         let capacities = live.iter().map(|member| (member.node, member.processor)).collect();
         self.leadership.election.set_capacities(capacities);
     }
 
-    /// The gate balances takings only; after machines come back the others still hold more than their
-    /// share. So a node above the mean now and then gives one function that no call uses to the
-    /// lightest node, as long as that has at least two fewer.
+    /// Transfers functions for balance. The gate balances only new terms: after machines return, the others still
+    /// lead more than their share. A node above the mean therefore transfers an idle function to the least loaded
+    /// node from time to time, unless that node would then be more loaded than this one.
     fn balance(&mut self, members: &[NodeId], is_unsettled: bool) {
         let now = self.now;
         if is_unsettled || self.draining_since.is_some() || now < self.leadership.balance_due {
@@ -334,20 +345,22 @@
         let own_count = self.leadership.election.own_count();
         let total: usize = counts.values().sum();
         let election = &self.leadership.election;
-        let filled = |node: NodeId, count: usize| count as f64 / election.capacity(node);
+        let load = |node: NodeId, count: usize| count as f64 / election.capacity(node);
         let lightest = counts.iter().min_by(|(left, left_count), (right, right_count)| {
-            filled(**left, **left_count).total_cmp(&filled(**right, **right_count))
+            load(**left, **left_count).total_cmp(&load(**right, **right_count))
         });
         let Some((lightest, fewest)) = lightest else { return };
         let own = self.settings.node;
         let is_above_mean = own_count as f64 > election.fair_share(own, members, total.saturating_sub(1));
-        // Giving one away must leave the other no fuller than this node is then.
-        let is_worth_it = own_count > 0 && filled(*lightest, fewest + 1) <= filled(own, own_count - 1);
+        // After the transfer the recipient must not be more loaded than this node.
+        let is_worth_it = own_count > 0 && load(*lightest, fewest + 1) <= load(own, own_count - 1);
         if !is_above_mean || !is_worth_it {
             return;
         }
-        let works = &self.leadership.works;
-        let idle = works.iter().find(|(_, work)| work.open_count() == 0 && work.waiting_count() == 0);
+        let schedulers = &self.leadership.schedulers;
+        let idle = schedulers
+            .iter()
+            .find(|(_, scheduler)| scheduler.open_count() == 0 && scheduler.waiting_count() == 0);
         let Some(function) = idle.map(|(function, _)| function.clone()) else { return };
         let (lightest, fewest) = (*lightest, *fewest);
         self.transfer_term(&function, lightest);
@@ -359,7 +372,7 @@
         self.handle_term_changes();
     }
 
-    /// Names a successor for all that this node leads, and gives back what nobody can be named for.
+    /// Names a successor for each function that this node leads and releases those without a successor.
     pub(crate) fn release_leaders(&mut self) {
         let members = self.serving_members();
         if self.is_on(Policy::NamedSuccessors) {
@@ -396,7 +409,7 @@
                         (transferred_epoch, is_kept),
                         self.now,
                     );
-                    self.begin_work(&function, leader_epoch);
+                    self.start_scheduler(&function, leader_epoch);
                     self.accept_handover(&function, transferred_epoch);
                 }
                 TermChange::Lost { function, leader_epoch, why } => {
@@ -405,28 +418,28 @@
                         json!({"function": function, "steward_epoch": leader_epoch, "why": why}),
                         self.now,
                     );
-                    if let Some(work) = self.leadership.works.get_mut(&function) {
-                        work.defer_all();
+                    if let Some(scheduler) = self.leadership.schedulers.get_mut(&function) {
+                        scheduler.defer_all();
                     }
-                    self.flush_works();
-                    self.leadership.works.remove(&function);
-                    self.leadership.starts.retain(|start| start.function != function);
-                    self.leadership.spare_starts.retain(|start| start.function != function);
-                    self.leadership.stops.retain(|stop| stop.function != function);
+                    self.flush_schedulers();
+                    self.leadership.schedulers.remove(&function);
+                    self.leadership.queued_starts.retain(|start| start.function != function);
+                    self.leadership.queued_spare_starts.retain(|start| start.function != function);
+                    self.leadership.queued_stops.retain(|stop| stop.function != function);
                 }
             }
         }
     }
 
-    fn begin_work(&mut self, function: &str, leader_epoch: u64) {
+    fn start_scheduler(&mut self, function: &str, leader_epoch: u64) {
         let now = self.now;
         let configuration = self.configuration.current();
         let Some(settings) = configuration.functions.get(function) else { return };
-        // Before a function's first steward nobody started a cell of it, and nobody holds a ticket for one.
+        // Before the first leader of a function there are no instances of it and no permits for them.
         let is_first_leader = leader_epoch == FIRST_EPOCH;
         let peers = self.members.peers().filter(|_| !is_first_leader);
         let awaited_holders: Vec<NodeId> = peers.map(|member| member.node).collect();
-        let mut work = FunctionScheduler::new(
+        let mut scheduler = FunctionScheduler::new(
             function,
             self.settings.node,
             leader_epoch,
@@ -434,60 +447,60 @@
             awaited_holders,
             now,
         );
-        work.set_retry_limits(self.settings.retry_limits, now);
-        work.set_worker_zones(self.leadership.placement.zones());
+        scheduler.set_retry_limits(self.settings.retry_limits, now);
+        scheduler.set_worker_zones(self.leadership.placement.zones());
         let known_ready: Vec<String> =
             self.known_ready(function).into_iter().map(|instance| instance.id).collect();
         if self.leadership.has_list {
             let own_instances = instances_of(&self.leadership.instances, function);
-            work.listed(&own_instances, &known_ready, now, now);
+            scheduler.listed(&own_instances, &known_ready, now, now);
         } else {
-            work.hold_starts(now + ADOPTION_SPAN);
+            scheduler.hold_starts(now + FIRST_LIST_WAIT);
         }
         let own_held = self.calls.held_for(function, now);
         let held_permits =
             own_held.into_iter().map(|held| (held.permit, Micros(held.ends_in_micros))).collect();
-        work.record_held_permit(self.settings.node, held_permits, now);
-        self.leadership.works.insert(function.to_owned(), work);
-        // Asked with the next clock event, together with those of other functions taken by then.
+        scheduler.record_held_permit(self.settings.node, held_permits, now);
+        self.leadership.schedulers.insert(function.to_owned(), scheduler);
+        // Held permits are requested at the next tick, in one batch with other functions taken by then.
         self.leadership.held_requested.remove(function);
         self.leadership.is_held_request_due = true;
     }
 
-    /// Deputies beyond a cut worked on the same cells: a colleague that is back is asked at once which
-    /// tickets it holds.
+    /// Requests the held permits of a peer that has returned: during a partition, fallbacks on the other side
+    /// may have granted permits for the same instances.
     pub(crate) fn peer_returned(&mut self, node: NodeId) {
         let now = self.now;
-        for work in self.leadership.works.values_mut() {
-            work.peer_returned(node, now);
+        for scheduler in self.leadership.schedulers.values_mut() {
+            scheduler.peer_returned(node, now);
         }
         self.leadership.held_requested.clear();
         self.request_held_permits();
     }
 
-    /// Asks which tickets are held, one message for each node.
+    /// Requests the held permits, in one message for each node.
     fn request_held_permits(&mut self) {
         let now = self.now;
         let leadership = &mut self.leadership;
         leadership.is_held_request_due = false;
         let mut groups: BTreeMap<NodeId, Vec<HeldPermitsRequestEntry>> = BTreeMap::new();
-        for (function, work) in &leadership.works {
+        for (function, scheduler) in &leadership.schedulers {
             let requested_at = leadership.held_requested.get(function);
-            let is_due = requested_at.is_none_or(|requested_at| now >= *requested_at + HELD_TIMEOUT);
-            if !is_due || work.awaited_holders().is_empty() {
+            let is_due = requested_at.is_none_or(|requested_at| now >= *requested_at + HELD_REQUEST_TIMEOUT);
+            if !is_due || scheduler.awaited_holders().is_empty() {
                 continue;
             }
             leadership.held_requested.insert(function.clone(), now);
-            for node in work.awaited_holders() {
+            for node in scheduler.awaited_holders() {
                 let entry = HeldPermitsRequestEntry {
                     function: function.as_str().into(),
-                    leader_epoch: work.leader_epoch(),
+                    leader_epoch: scheduler.leader_epoch(),
                 };
                 groups.entry(*node).or_default().push(entry);
             }
         }
-        let works = &leadership.works;
-        leadership.held_requested.retain(|function, _| works.contains_key(function));
+        let schedulers = &leadership.schedulers;
+        leadership.held_requested.retain(|function, _| schedulers.contains_key(function));
         for (node, entries) in groups {
             self.send(node, Message::HeldPermitsRequest { functions: List(entries) });
         }
@@ -505,15 +518,15 @@
                     }
                     return;
                 }
-                if let Some(work) = self.leadership.works.get_mut(&permit.function.0) {
-                    work.returned(&permit, outcome, latency, now);
+                if let Some(scheduler) = self.leadership.schedulers.get_mut(&permit.function.0) {
+                    scheduler.returned(&permit, outcome, latency, now);
                 }
                 self.forward_return(&permit, outcome, latency_micros);
                 self.relayed_return(permit, outcome, latency_micros);
             }
             Message::PermitWithdraw { request_id, function } => {
-                if let Some(work) = self.leadership.works.get_mut(&function.0) {
-                    work.withdraw(from, request_id);
+                if let Some(scheduler) = self.leadership.schedulers.get_mut(&function.0) {
+                    scheduler.withdraw(from, request_id);
                 }
                 self.relayed_withdraw(from, request_id, &function.0);
             }
@@ -527,8 +540,8 @@
         }
     }
 
-    /// Takes an ask as the function's leader; else as its deputy, who passes it on or grants it; else says who
-    /// it is not.
+    /// Handles a permit request as the function's leader, else as its fallback, which grants or relays it; else
+    /// responds that this node is not the leader.
     fn handle_permit_request(&mut self, from: NodeId, message: Message) {
         let now = self.now;
         let Message::PermitRequest {
@@ -555,12 +568,12 @@
         }
         let zone = self.zones.zone_of(from).filter(|_| self.is_on(Policy::LocalInstances));
         let zone = zone.map_or(Zone::default(), Zone::named);
-        let work = self.leadership.works.get_mut(&function.0).filter(|_| is_leader);
-        if let Some(work) = work {
+        let scheduler = self.leadership.schedulers.get_mut(&function.0).filter(|_| is_leader);
+        if let Some(scheduler) = scheduler {
             let late_at = Micros(now.0.saturating_add(target_left_micros));
             let urgency = Urgency { late_at, rank, tenant, is_nested: nested == 1 };
             let details = RequestDetails { avoid: &avoid.0, urgency, zone };
-            work.request_with_details(from, request_id, time_left, u32::from(extra), details, now);
+            scheduler.request_with_details(from, request_id, time_left, u32::from(extra), details, now);
             return;
         }
         let leader = self.leader_of(&function.0);
@@ -574,8 +587,9 @@
         self.send(from, Message::PermitDeferred { request_id, outcome: 2, reason, retry_after_millis: 0 });
     }
 
-    /// The deputy grants by itself as far as it may; beyond that it passes the ask on to a leader that it has just
-    /// heard and the asker cannot reach. A leader that is only slow is not asked twice. `true` if one of these was done.
+    /// Grants a permit as fallback, as far as its limits allow. Otherwise relays the request if the requester
+    /// cannot reach the leader and this node has recently received a message of it; a leader that is only slow
+    /// gets no second request. `true` if the request was granted or relayed.
     fn handle_request_as_fallback(
         &mut self,
         from: NodeId,
@@ -600,8 +614,8 @@
 
     fn held_answered(&mut self, from: NodeId, response: HeldPermitsResponseEntry) {
         let now = self.now;
-        let Some(work) = self.leadership.works.get_mut(&response.function.0) else { return };
-        if work.leader_epoch() != response.leader_epoch || !work.awaited_holders().contains(&from) {
+        let Some(scheduler) = self.leadership.schedulers.get_mut(&response.function.0) else { return };
+        if scheduler.leader_epoch() != response.leader_epoch || !scheduler.awaited_holders().contains(&from) {
             return;
         }
         let held_permits = response
@@ -610,7 +624,7 @@
             .into_iter()
             .map(|held| (held.permit, Micros(held.ends_in_micros.min(120_000_000))))
             .collect();
-        work.record_held_permit(from, held_permits, now);
+        scheduler.record_held_permit(from, held_permits, now);
     }
 
     fn fallback_permit(
@@ -621,7 +635,7 @@
         time_left: Micros,
     ) -> Option<Permit> {
         let now = self.now;
-        // A deputy goes by the list alone: without a fresh one it may not know of cells that leave.
+        // A fallback depends on the list alone: without a fresh one it may not know of draining instances.
         if self.draining_since.is_some()
             || self.leadership.is_list_stale
             || !self.has_fresh_list()
@@ -644,7 +658,7 @@
             .collect();
         self.leadership.next_fallback_permit += 1;
         let permit_name = format!("{:x}/{}", self.settings.node, self.leadership.next_fallback_permit);
-        let request_id = FallbackRequest {
+        let request = FallbackRequest {
             permit_id: peer_messages::stable_hash(permit_name.as_bytes()),
             function,
             is_extra,
@@ -652,20 +666,20 @@
             ends_at: now + time_left + Micros::from_secs(1),
         };
         let own = self.settings.node;
-        let bound = self.settings.retry_limits;
-        let retry_share = bound.fallback_share(self.leadership.most_nodes);
-        let opens_at = self.leadership.fallbacks_from + bound.span();
+        let retry_limits = self.settings.retry_limits;
+        let retry_share = retry_limits.fallback_share(self.leadership.max_member_count);
+        let opens_at = self.leadership.fallbacks_reset_at + retry_limits.span();
         let fallback = self.leadership.fallbacks.entry(function.to_owned()).or_default();
-        fallback.set_retry_share(retry_share, bound.span(), opens_at);
-        fallback.grant(own, request_id, &instances, calls_at_once, now)
+        fallback.set_retry_share(retry_share, retry_limits.span(), opens_at);
+        fallback.grant(own, request, &instances, calls_at_once, now)
     }
 
-    /// Whether the platform was asked lately and answered.
+    /// Whether the newest list was requested recently.
     pub(crate) fn has_fresh_list(&self) -> bool {
         self.leadership.listed_at.is_some_and(|listed_at| self.now < listed_at + FRESH_LIST_AGE)
     }
 
-    /// A ticket for a cell that the list shows leaving, or whose address is another cell's by now.
+    /// Whether the list shows the permit's instance as draining, or its address in use by another instance.
     pub(crate) fn is_barred(&self, permit: &Permit) -> bool {
         let address = permit.address.socket();
         let instances = &self.leadership.instances;
@@ -675,12 +689,12 @@
         }
     }
 
-    /// Whether this node itself waits for the platform's list.
+    /// Whether this node's own list request to the platform is pending.
     pub(crate) fn is_platform_requested(&self) -> bool {
         self.leadership.list_requested_at.is_some_and(|requested_at| self.now < requested_at + LIST_TIMEOUT)
     }
 
-    /// Gets the list when it is due, from the platform or from the colleague that has it.
+    /// Requests the list when it is due, from the platform or from the peer that lists for the fleet.
     fn request_list(&mut self) {
         let now = self.now;
         if self.check_pull() || self.is_platform_requested() || now < self.leadership.list_due {
@@ -697,8 +711,8 @@
         }
     }
 
-    /// After a sleep nothing is granted before the platform was asked anew.
-    pub(crate) fn woke_up(&mut self) {
+    /// After a freeze no permits are granted until a new list request has completed.
+    pub(crate) fn resumed_after_freeze(&mut self) {
         self.leadership.list_requested_at = None;
         self.leadership.lists.forget_pull();
         self.leadership.list_due = self.now;
@@ -710,7 +724,7 @@
     pub(crate) fn list_failed(&mut self) {
         self.leadership.list_requested_at = None;
         self.leadership.is_list_stale = false;
-        self.leadership.list_due = self.now + LIST_AGAIN;
+        self.leadership.list_due = self.now + LIST_RETRY_PAUSE;
         if !self.leadership.is_platform_silent {
             self.leadership.is_platform_silent = true;
             self.decision_log.append("platform_silent", json!({}), self.now);
@@ -725,7 +739,7 @@
         self.update_list(workers, instances, requested_at);
     }
 
-    /// Goes by a list that was asked for at a time, by this node or by a colleague.
+    /// Applies a list that was requested at the given time by this node or by a peer.
     pub(crate) fn update_list(
         &mut self,
         workers: Vec<ListedWorker>,
@@ -740,7 +754,7 @@
         let mut used: BTreeMap<String, u64> = BTreeMap::new();
         let configuration = self.configuration.current();
         for instance in &mut instances {
-            // Where the platform does not tell it, a cell has the memory that its function is given.
+            // If the platform does not report an instance's memory, the function's configured memory is used.
             if instance.memory_mb == 0 {
                 instance.memory_mb =
                     configuration.functions.get(&instance.function).map_or(0, |f| f.instance_memory_mb);
@@ -751,28 +765,28 @@
         }
         self.leadership.placement.update_list(workers, used);
         for instance in &mut instances {
-            // A cell leaves with its worker.
+            // The instances of a draining worker are draining as well.
             instance.draining |= !self.leadership.placement.is_usable(&instance.worker);
         }
         self.leadership.instances = instances;
         self.leadership.has_list = true;
         self.emit_instance_hosts();
-        let functions: Vec<String> = self.leadership.works.keys().cloned().collect();
+        let functions: Vec<String> = self.leadership.schedulers.keys().cloned().collect();
         for function in functions {
             let known_ready: Vec<String> =
                 self.known_ready(&function).into_iter().map(|instance| instance.id).collect();
             let own_instances = instances_of(&self.leadership.instances, &function);
-            if let Some(work) = self.leadership.works.get_mut(&function) {
-                work.listed(&own_instances, &known_ready, requested_at, now);
+            if let Some(scheduler) = self.leadership.schedulers.get_mut(&function) {
+                scheduler.listed(&own_instances, &known_ready, requested_at, now);
                 let placement = &self.leadership.placement;
-                work.set_worker_zones(placement.zones());
-                work.evacuate_workers(|worker| placement.is_usable(worker), now);
+                scheduler.set_worker_zones(placement.zones());
+                scheduler.evacuate_workers(|worker| placement.is_usable(worker), now);
             }
         }
         self.stop_orphans();
     }
 
-    /// Tells the front from which hosts cells call, whenever the list shows others than before.
+    /// Sends the hosts of the instances to the gateway when the list shows a change.
     fn emit_instance_hosts(&mut self) {
         let hosts: BTreeSet<IpAddr> =
             self.leadership.instances.iter().map(|instance| instance.address.ip()).collect();
@@ -782,8 +796,8 @@
         }
     }
 
-    /// Cells of functions that are configured no more are stopped after a grace, by the node that the function's
-    /// rendezvous chooses, under a term that it claims for this and gives back when no such cell is left.
+    /// Stops the instances of functions that are no longer configured after a grace period. The rendezvous choice
+    /// for the function does this, under a term that it claims for the purpose and releases when none is left.
     fn stop_orphans(&mut self) {
         let now = self.now;
         let configuration = self.configuration.current();
@@ -812,8 +826,8 @@
                 orphan.stop_requested_at.is_some_and(|requested_at| now < requested_at + ORPHAN_GRACE);
             if is_led && !is_requested {
                 orphan.stop_requested_at = Some(now);
-                self.leadership.stops.retain(|stop| stop.instance != instance);
-                self.leadership.stops.push_back(WaitingStop {
+                self.leadership.queued_stops.retain(|stop| stop.instance != instance);
+                self.leadership.queued_stops.push_back(QueuedStop {
                     function: function.clone(),
                     instance,
                     since: now,
@@ -824,16 +838,16 @@
         self.leadership.election.set_orphaned_functions(orphaned_functions, now);
     }
 
-    /// Hands out the acts of all works and serves the platform's waitlists.
+    /// Carries out the actions of all schedulers and sends queued starts and stops to the platform.
     pub(crate) fn flush_leaders(&mut self) {
-        self.flush_works();
-        self.serve_platform();
+        self.flush_schedulers();
+        self.send_platform_operations();
     }
 
-    fn flush_works(&mut self) {
+    fn flush_schedulers(&mut self) {
         let mut all_actions = Vec::new();
-        for (function, work) in &mut self.leadership.works {
-            let actions = work.take_actions();
+        for (function, scheduler) in &mut self.leadership.schedulers {
+            let actions = scheduler.take_actions();
             if !actions.is_empty() {
                 all_actions.push((function.clone(), actions));
             }
@@ -848,7 +862,7 @@
     fn handle_scheduler_action(&mut self, function: &str, action: SchedulerAction) {
         match action {
             SchedulerAction::Grant { requester, request_id, permit, is_remote } => {
-                // Fencing: no ticket leaves after the term's end.
+                // Fencing: no permit is sent after the end of the term.
                 if self.leadership.election.term(function, self.now).is_none() {
                     return;
                 }
@@ -879,26 +893,27 @@
                 self.send(requester, message);
             }
             SchedulerAction::Start { start_id, zone, is_spare } => {
-                let starts = match is_spare {
-                    true => &mut self.leadership.spare_starts,
-                    false => &mut self.leadership.starts,
+                let queued_starts = match is_spare {
+                    true => &mut self.leadership.queued_spare_starts,
+                    false => &mut self.leadership.queued_starts,
                 };
-                if starts.len() >= START_QUEUE_LIMIT {
-                    if let Some(work) = self.leadership.works.get_mut(function) {
-                        work.started(&start_id, StartOutcome::NoRoom, self.now);
+                if queued_starts.len() >= START_QUEUE_LIMIT {
+                    if let Some(scheduler) = self.leadership.schedulers.get_mut(function) {
+                        scheduler.started(&start_id, StartOutcome::NoRoom, self.now);
                     }
                     return;
                 }
                 let function = function.to_owned();
                 let start =
-                    WaitingStart { function, start_id, worker: None, zone, tries: 0, sent_under: None };
-                starts.push_back(start);
+                    QueuedStart { function, start_id, worker: None, zone, attempts: 0, sent_epoch: None };
+                queued_starts.push_back(start);
             }
             SchedulerAction::Stop { instance } => {
-                let is_waiting = self.leadership.stops.iter().any(|waiting| waiting.instance == instance);
+                let is_waiting =
+                    self.leadership.queued_stops.iter().any(|waiting| waiting.instance == instance);
                 if !is_waiting {
-                    let stop = WaitingStop { function: function.to_owned(), instance, since: self.now };
-                    self.leadership.stops.push_back(stop);
+                    let stop = QueuedStop { function: function.to_owned(), instance, since: self.now };
+                    self.leadership.queued_stops.push_back(stop);
                 }
             }
             SchedulerAction::ReadyChanged => self.publish_ready_instances(function),
@@ -906,8 +921,8 @@
     }
 
     fn publish_ready_instances(&mut self, function: &str) {
-        let Some(work) = self.leadership.works.get(function) else { return };
-        let instances = work
+        let Some(scheduler) = self.leadership.schedulers.get(function) else { return };
+        let instances = scheduler
             .ready_instances()
             .into_iter()
             .map(|ready| ReadyInstanceEntry {
@@ -917,8 +932,8 @@
             .collect();
         let topic = format!("cells/{function}");
         self.leadership.instances_sequence += 1;
-        // The epoch leads, so a new steward's word always replaces an old one's.
-        let epoch_bits = work.leader_epoch() << 24;
+        // The epoch is in the high bits, so an update of a new leader always replaces one of an earlier leader.
+        let epoch_bits = scheduler.leader_epoch() << 24;
         let sequence = (self.gossip.sequence(&topic) + 1)
             .max(epoch_bits + self.leadership.instances_sequence % (1 << 24));
         let body = Bytes(ReadyInstancesUpdate { instances }.to_bytes().unwrap_or_default());
--- a/packages/node_protocol/src/lib.rs
+++ b/packages/node_protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! One node's whole protocol as a pure machine: an event and the time go in, acts come out.
+//! The protocol of one node as a deterministic state machine: events and the time go in, actions come out.
 //!
-//! The program's shell and the fleet simulator drive the very same [`Node`]; neither the clock, the
-//! network, the disk nor the platform is touched here.
+//! The protocol runtime of the program and the fleet simulator both drive [`Node`]. This package does no I/O:
+//! it uses no clock, network, disk or platform.
 
 mod call_admission;
 mod configuration_sync;
@@ -33,189 +33,189 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// What a node is told at its start. Example: see `fleet_simulator`.
+/// The settings of a node, given at its start. Example: see `fleet_simulator`.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Drawn anew by each process.
+    /// Chosen at random by each process at its start.
     pub node: NodeId,
-    /// Where colleagues reach it.
+    /// The address at which peers reach this node.
     pub address: Address,
-    /// Its zone.
+    /// The zone of this node.
     pub zone: String,
     /// Seed addresses.
     pub seeds: Vec<Address>,
-    /// How many disks found the first voter set.
+    /// The number of disks in the first voter set, which the bootstrap creates.
     pub bootstrap_disks: usize,
-    /// What cells, starts and late answers cost beside each other.
+    /// The relative costs of running instances, starts and late responses.
     pub costs: CostModel,
-    /// Whether this node may found the fleet's state, which happens once in the fleet's life.
+    /// Whether this node may bootstrap the fleet's state, which is done once for each fleet.
     pub may_bootstrap: bool,
-    /// Between two lists of the platform.
+    /// The interval between two lists requested from the platform.
     pub list_every: Micros,
-    /// Lists a second that the platform takes from the whole fleet.
+    /// The platform's limit on list requests per second from the whole fleet.
     pub lists_per_second: f64,
-    /// A voter whose machine lives, but whose disk failed for this long, is replaced by a spare disk.
+    /// A voter whose machine is up but whose disk has failed for this long is replaced by a spare disk.
     pub replace_disk_after: Micros,
-    /// Starts and stops a second that the platform takes from the whole fleet.
+    /// The platform's limit on starts and stops per second from the whole fleet.
     pub operations_per_second: f64,
-    /// What may be dispatched to a function beyond each call's first.
+    /// Limits on dispatches to a function beyond the first one of each call.
     pub retry_limits: RetryLimits,
-    /// Bytes a second that this machine's link carries, where that is known.
+    /// The bandwidth of this machine's network link in bytes per second, if known.
     pub link_rate: Option<f64>,
-    /// Processor time that this machine has, in thousandths of a core.
+    /// The processor time of this machine, in thousandths of a core.
     pub processor_millis: u32,
-    /// The election's times.
+    /// Timing of the leader election.
     pub election: ElectionSettings,
-    /// The probes' times.
+    /// Timing of the membership probes.
     pub probes: ProbeSettings,
-    /// Reports of usage to the platform, where it wants them.
+    /// Usage reporting to the platform; `None` if it is not required.
     pub usage: Option<UsageSettings>,
-    /// Policies that are switched off, to measure what they are worth.
+    /// Policies that are switched off, to measure their effect.
     pub switched_off: BTreeSet<Policy>,
-    /// Seeds every random choice.
+    /// The seed of all random choices.
     pub random_seed: u64,
 }
 
-/// How a start at the platform went.
+/// The result of a start operation at the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartResult {
-    /// The cell exists.
+    /// The instance exists.
     Started { instance: String, address: std::net::SocketAddr },
-    /// The worker has no room, or is draining or unknown.
+    /// The worker has too little free memory, is draining or is unknown.
     NoRoom,
-    /// Too many acts: back off.
+    /// The platform's rate limit was exceeded: back off.
     Throttled,
-    /// No answer: the same start id is sent again.
+    /// No response: the start is retried with the same start id.
     Unknown,
 }
 
-/// How a stop at the platform went.
+/// The result of a stop operation at the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopResult {
-    /// It is leaving or gone.
+    /// The instance is draining or gone.
     Stopped,
-    /// Too many acts: back off.
+    /// The platform's rate limit was exceeded: back off.
     Throttled,
-    /// No answer.
+    /// No response.
     Unknown,
 }
 
-/// How a report of usage at the platform went.
+/// The result of a usage report to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageResult {
-    /// It is accepted, or was before.
+    /// The report was accepted now or earlier.
     Accepted,
-    /// The platform saw a higher fence.
+    /// The platform has seen a higher fence.
     Fenced,
-    /// Too many acts: back off.
+    /// The platform's rate limit was exceeded: back off.
     Throttled,
-    /// No answer: it may have been accepted.
+    /// No response: the report may have been accepted.
     Unknown,
 }
 
-/// What a read of the configuration brought.
+/// The result of a confirmed read of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationResponse {
-    /// These bytes stand on a majority of the disks.
+    /// The bytes stored on a majority of the disks.
     Stored(Vec<u8>),
-    /// A newer value stands than this node has; the colleague at this address has it.
+    /// The stored value is newer than this node's; the peer at this address has it.
     Elsewhere(Address),
-    /// No majority answered in time.
+    /// No majority responded in time.
     Unconfirmed,
 }
 
-/// What happens to a node.
+/// An input to [`Node::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes.
+    /// Time has passed.
     Tick,
-    /// A colleague speaks.
+    /// A message from a peer.
     Received(Envelope),
-    /// A call on this node needs a ticket, after so many dispatches.
+    /// A call on this node needs a permit; the parameters include the number of dispatches so far.
     CallNeedsPermit { call: u64, parameters: PermitParameters },
-    /// The call is over; a ticket that still comes is returned unused.
+    /// The call has ended; a permit that arrives later is returned unused.
     CallEnds { call: u64 },
-    /// A dispatch under a ticket ended.
+    /// The dispatch under a permit has ended.
     PermitDone { permit: Permit, outcome: u8, latency: Micros },
-    /// The disk synced the records of a token, or failed.
+    /// The disk synced the records of this token, or failed to.
     DiskDone { token: u64, is_synced: bool },
-    /// The disk's records were read, and may not be synced: they are rewritten before the disk votes.
+    /// Records read from the disk may not be synced: they are rewritten before the disk votes.
     DiskUnsynced,
-    /// The data folder's disk cannot be used in this process's life; the reason is for the operator.
+    /// The disk of the data folder cannot be used until the process restarts; the reason is for the operator.
     DiskUnusable { reason: String },
-    /// The data folder holds a file that was set aside: its disk was formatted after damage.
+    /// The data folder holds a quarantined file: its disk was formatted after damage.
     DiskQuarantined,
-    /// The platform's list.
+    /// The platform's list of workers and instances.
     Listed { workers: Vec<ListedWorker>, instances: Vec<ListedInstance> },
-    /// The platform did not answer the list.
+    /// The list request to the platform failed.
     ListFailed,
-    /// A start was answered.
+    /// The result of a start.
     StartDone { start_id: String, result: StartResult },
-    /// A stop was answered.
+    /// The result of a stop.
     StopDone { instance: String, result: StopResult },
-    /// A report of usage was answered.
+    /// The result of a usage report.
     UsageReported { window: u64, fence: u64, result: UsageResult },
-    /// The machine's wall clock, in microseconds since the start of 1970; only windows of usage go by it.
+    /// The machine's wall clock, in microseconds since the Unix epoch; used only for usage windows.
     WallClock { unix: Micros },
-    /// An operator's change.
+    /// A change requested by an operator.
     ChangeRequested { request: u64, change: Change },
-    /// An operator reads the configuration as a majority of the disks confirms it.
+    /// An operator's read of the configuration, to be confirmed by a majority of the disks.
     ConfigurationRequested { request: u64 },
-    /// An operator reads the decision stream.
+    /// An operator's read of the decision stream.
     DecisionsRequested { request: u64, after: Vec<(NodeId, u64)>, most: u32 },
-    /// Finish: release leases, take no new work.
+    /// Drain this node: release its leases and accept no new work.
     Drain,
-    /// The settings file names other seeds.
+    /// The seeds in the settings file have changed.
     SeedsChanged { seeds: Vec<Address> },
 }
 
-/// Why a call gets no ticket.
+/// Why a call gets no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusedAs {
-    /// Its time is over.
+    /// The call's deadline has passed.
     NoTimeLeft,
-    /// The steward turned it down: waitlist full, no room, budget.
+    /// Rejected by the leader: queue full, no room for an instance, or retry budget exhausted.
     Rejected,
-    /// The function is no longer configured.
+    /// The function is not configured.
     NoFunction,
 }
 
-/// What a node wants done.
+/// An output of [`Node::handle`], to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send to a colleague; losing it is harmless.
+    /// Send a message to a peer; its loss is tolerated.
     Send { address: Address, to: NodeId, message: Message },
-    /// Append the records and sync; a rewrite replaces the whole file instead.
+    /// Append the records and sync; a rewrite replaces the whole file.
     WriteDisk { token: u64, records: Vec<Vec<u8>>, is_rewrite: bool },
-    /// Ask the platform for its list.
+    /// Request the platform's list.
     List,
-    /// Start a cell.
+    /// Start an instance.
     Start { start_id: String, function: String, worker: String, memory_mb: u64, leader_epoch: u64 },
-    /// Stop a cell.
+    /// Stop an instance.
     Stop { instance: String, leader_epoch: u64 },
-    /// Report a window's usage.
+    /// Report the usage of one window to the platform.
     ReportUsage { report: UsageWindow, fence: u64 },
-    /// The call may be dispatched once under this ticket.
+    /// The call may be dispatched once under this permit.
     CallGranted { call: u64, permit: Permit },
-    /// The call is refused: it did not run.
+    /// The call is refused without having run.
     CallRefused { call: u64, refused_as: RefusedAs, reason: String, retry_after: Micros },
-    /// A newer configuration holds here from now on.
+    /// A newer configuration is in force on this node.
     ConfigurationApplied {
         generation: u64,
         configuration: Arc<Configuration>,
-        /// What changed since the generation that this node had; empty where that is not known by item.
+        /// The changes since this node's previous generation; empty if they are not known item by item.
         deltas: Vec<ConfigurationDelta>,
     },
-    /// The hosts that cells run on, as the newest list has them: calls from there are made by running calls.
+    /// The hosts of the instances in the newest list: calls from these hosts are nested calls.
     InstanceHosts { hosts: BTreeSet<IpAddr> },
-    /// The operator's change has this outcome.
+    /// The outcome of an operator's change.
     ChangeAnswered { request: u64, change_id: String, outcome: ChangeOutcome },
-    /// The stored configuration, as a majority of the disks confirms it.
+    /// The result of a confirmed read of the configuration.
     ConfigurationAnswered { request: u64, response: ConfigurationResponse },
-    /// The decision lines after the cursor, and the cursor behind them.
+    /// The decision lines after the given cursor, and the cursor that follows them.
     DecisionsAnswered { request: u64, lines: Vec<DecisionLine>, cursor: Vec<(NodeId, u64)> },
-    /// The node knows the newest configuration and may take calls.
+    /// The node knows the newest configuration and may accept calls.
     Ready,
-    /// All leases are given back: the node may go once its calls are done.
+    /// All leases are released: the process may exit once its calls are done.
     Drained,
 }
--- a/packages/node_protocol/src/node.rs
+++ b/packages/node_protocol/src/node.rs
@@ -21,74 +21,75 @@
 /// Counts for metrics. Example: `node.status(now).counts.messages_received`.
 #[derive(Clone, Debug, Default)]
 pub struct NodeCounts {
-    /// Messages taken from colleagues.
+    /// Messages received from peers.
     pub messages_received: u64,
-    /// Messages meant for another process, dropped.
+    /// Messages addressed to another process, dropped.
     pub messages_misdirected: u64,
-    /// Messages handed to the network.
+    /// Messages sent to the network.
     pub messages_sent: u64,
-    /// Groups of records given to the disk to sync.
+    /// Groups of records submitted to the disk to sync.
     pub disk_groups: u64,
-    /// Tickets granted as steward.
+    /// Permits granted as leader.
     pub permits_granted: u64,
-    /// Of these, tickets for a cell in another zone than the asker's.
+    /// Of these, permits for an instance in another zone than the requester's.
     pub remote_permits: u64,
-    /// Tickets granted as deputy.
+    /// Permits granted as fallback.
     pub fallback_permits: u64,
-    /// Asks turned down as steward.
+    /// Requests rejected as leader.
     pub requests_refused: u64,
-    /// Windows of usage whose counts this node chose.
+    /// Usage windows whose counts this node decided.
     pub usage_decided: u64,
-    /// Reports of usage that the platform accepted from this node.
+    /// Usage reports that the platform accepted from this node.
     pub usage_reported: u64,
 }
 
-/// A page of a node's state. Example: `node.status(now).generation`.
+/// A snapshot of a node's state for operators and metrics. Example: `node.status(now).generation`.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
-    /// This process.
+    /// The id of this process.
     pub node: NodeId,
-    /// The configuration generation that holds here.
+    /// The configuration generation in force on this node.
     pub generation: u64,
     /// Whether the newest configuration is known.
     pub is_ready: bool,
-    /// Live members: id, address, zone, disk state.
+    /// The live members.
     pub members: Vec<MemberUpdate>,
-    /// Functions this node is steward of.
+    /// The functions that this node leads.
     pub held: Vec<String>,
-    /// Steward counts by node, by this node's observation.
+    /// The number of functions led by each node, as observed by this node.
     pub leader_counts: BTreeMap<NodeId, usize>,
-    /// Functions no live member holds, by this node's observation.
+    /// The number of functions without a live leader, as observed by this node.
     pub unheld: usize,
-    /// Voting disks.
+    /// The voting disks.
     pub voters: Vec<u64>,
-    /// Why this node's own disk cannot be used, and what to do; `None` if it can, or there is none.
+    /// Why this node's disk cannot be used and what to do; `None` if it is usable or there is none.
     pub disk_fault: Option<String>,
-    /// Keys this node owns.
+    /// The number of register keys that this node owns.
     pub owned_keys: usize,
-    /// How long ago a majority told this node which configuration stands; `None` before the first time.
+    /// The time since a majority last confirmed the configuration to this node; `None` before the first time.
     pub majority_read_age: Option<Micros>,
-    /// How long ago this node first heard of the next generation of the configuration that it does not hold
-    /// yet; `None` while it has heard of none.
+    /// The time since this node learned of a configuration generation newer than its own; `None` if it knows
+    /// of none.
     pub newer_awaited_for: Option<Micros>,
-    /// Gate refusals, lost races, gates passed over.
+    /// Gate refusals, lost races and gate bypasses of the leader election.
     pub election_counts: (u64, u64, u64),
-    /// Whether this node collects the counts of usage.
+    /// Whether this node is the usage collector.
     pub collects_usage: bool,
-    /// How long ago the newest window ended whose report was accepted from this node.
+    /// The time since the end of the newest window whose report was accepted from this node.
     pub usage_report_age: Option<Micros>,
-    /// Decisions by kind.
+    /// The number of decisions by kind.
     pub decisions: BTreeMap<&'static str, u64>,
-    /// Counts.
+    /// Counts for metrics.
     pub counts: NodeCounts,
 }
 
+/// A read of the decision stream that collects the lines of all live members.
 #[derive(Debug)]
-pub(crate) struct DecisionsGather {
+pub(crate) struct DecisionsQuery {
     request: u64,
     lines: Vec<DecisionLine>,
     cursor: BTreeMap<NodeId, u64>,
-    awaited_holders: BTreeSet<NodeId>,
+    awaited_nodes: BTreeSet<NodeId>,
     ends_at: Micros,
     most: usize,
 }
@@ -111,33 +112,33 @@
     pub(crate) now: Micros,
     pub(crate) draining_since: Option<Micros>,
     is_drained_reported: bool,
-    gathers: BTreeMap<u64, DecisionsGather>,
+    decisions_queries: BTreeMap<u64, DecisionsQuery>,
     next_request_id: u64,
     to_self: VecDeque<Message>,
     actions: Vec<Action>,
-    upkeep_event: Ticker,
+    upkeep_ticker: Ticker,
     ticked_at: Micros,
     pub(crate) received_at: Option<Micros>,
-    /// Processes that were members and are none now.
-    gone: BTreeSet<NodeId>,
+    /// Processes that were removed from the membership.
+    gone_members: BTreeSet<NodeId>,
 }
 
-/// What every node does to every owner or to all others is done less often in a large fleet: a pause is at
-/// least so long for each member, so that one node meets at most some 200 such messages a second.
+/// The minimum pause, for each member, between periodic messages that every node sends to an owner or to all
+/// others. It limits what one node receives to about 200 such messages a second, whatever the fleet's size.
 pub(crate) const PAUSE_A_MEMBER: Micros = Micros::from_millis(5);
-const GATHER_SPAN: Micros = Micros::from_millis(600);
-const DRAIN_SPAN: Micros = Micros::from_millis(2_000);
-/// A node whose clock events stay out this long was frozen.
-const FROZEN_SPAN: Micros = Micros::from_millis(800);
-/// A node that heard no colleague for so long was cut off: its own probes went unanswered in a row.
-const SILENT_SPAN: Micros = Micros::from_millis(1_200);
-/// Whoever waits for a newer generation for longer does not refuse calls by the one it has.
+const DECISIONS_QUERY_TIMEOUT: Micros = Micros::from_millis(600);
+const DRAIN_TIMEOUT: Micros = Micros::from_millis(2_000);
+/// A node without a tick for this long was frozen (its process or machine was suspended).
+const FREEZE_THRESHOLD: Micros = Micros::from_millis(800);
+/// A node that received nothing for this long was partitioned: several of its own probes went unanswered.
+const OUT_OF_CONTACT_AFTER: Micros = Micros::from_millis(1_200);
+/// A node that has waited longer than this for a known newer generation does not refuse calls by its own one.
 const NEWER_GENERATION_TIMEOUT: Micros = Micros::from_millis(2_500);
-const GATHER_LIMIT: usize = 32;
+const DECISIONS_QUERY_LIMIT: usize = 32;
 const GONE_LIMIT: usize = 256;
 
 impl Node {
-    /// A node at its start; with a disk it brings the disk's id and registers.
+    /// Creates a node; `disk` is the id and the registers of its disk, if it has one.
     /// Example: `Node::new(settings, None, Micros(0))`.
     pub fn new(settings: NodeSettings, disk: Option<(u64, DiskRegisters)>, now: Micros) -> Node {
         let own = MemberUpdate {
@@ -167,15 +168,15 @@
             now,
             draining_since: None,
             is_drained_reported: false,
-            gathers: BTreeMap::new(),
-            // Asks are told apart by process already; the start only keeps them from being small.
+            decisions_queries: BTreeMap::new(),
+            // Request ids need to be unique only within one process.
             next_request_id: 1,
             to_self: VecDeque::new(),
             actions: Vec::new(),
-            upkeep_event: Ticker::every(Micros::from_millis(20)),
+            upkeep_ticker: Ticker::every(Micros::from_millis(20)),
             ticked_at: now,
             received_at: None,
-            gone: BTreeSet::new(),
+            gone_members: BTreeSet::new(),
             settings,
         };
         if let Some(link_rate) = node.settings.link_rate {
@@ -185,19 +186,19 @@
         node
     }
 
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     /// Example: `for action in node.handle(Event::Tick, now) { carry_out(action) }`.
     pub fn handle(&mut self, event: Event, now: Micros) -> Vec<Action> {
         self.now = self.now.max(now);
-        if self.now > self.ticked_at + FROZEN_SPAN {
-            // This node slept: what it knew of cells and lanes may be long out of date. Whatever
-            // event comes first finds that out, not the next clock event.
+        if self.now > self.ticked_at + FREEZE_THRESHOLD {
+            // The process was suspended, so its view of instances and routes may be outdated. This is checked
+            // for every event, since another event may arrive before the next tick.
             self.ticked_at = self.now;
-            self.woke_up();
-            self.usage_woke_up();
+            self.resumed_after_freeze();
+            self.usage_resumed_after_freeze();
         }
         self.handle_event(event);
-        self.settle();
+        self.process_pending();
         std::mem::take(&mut self.actions)
     }
 
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Handles what the node says to itself and what its parts want sent, until nothing is left.
-    fn settle(&mut self) {
+    /// Handles the node's messages to itself and the pending output of its components until none is left.
+    fn process_pending(&mut self) {
         loop {
             self.flush_control();
             self.flush_leaders();
@@ -242,7 +243,7 @@
     }
 
     fn tick(&mut self) {
-        if !self.upkeep_event.due(self.now) {
+        if !self.upkeep_ticker.due(self.now) {
             return;
         }
         let now = self.now;
@@ -259,7 +260,7 @@
         self.tick_usage();
         self.tick_leaders();
         self.tick_calls();
-        self.tick_gathers();
+        self.tick_decisions_queries();
         self.tick_drain();
     }
 
@@ -280,9 +281,9 @@
         self.handle_message(envelope.from, envelope.from_address, envelope.message);
     }
 
-    /// Whether colleagues fell silent, all of them.
+    /// Whether nothing was received from any peer for `OUT_OF_CONTACT_AFTER`.
     pub(crate) fn is_out_of_contact(&self) -> bool {
-        self.received_at.is_some_and(|received_at| self.now > received_at + SILENT_SPAN)
+        self.received_at.is_some_and(|received_at| self.now > received_at + OUT_OF_CONTACT_AFTER)
     }
 
     fn handle_message(&mut self, from: NodeId, from_address: Address, message: Message) {
@@ -345,10 +346,9 @@
                 self.handle_usage_message(from, message)
             }
             Message::DecisionsRequest { request_id, after, most } => {
-                let after_own = after.0.iter().find(|keys_digest| keys_digest.node == self.settings.node);
-                let lines = self
-                    .decision_log
-                    .after(after_own.map_or(0, |keys_digest| keys_digest.sequence), most as usize);
+                let after_own = after.0.iter().find(|position| position.node == self.settings.node);
+                let lines =
+                    self.decision_log.after(after_own.map_or(0, |position| position.sequence), most as usize);
                 self.send(from, Message::DecisionsResponse { request_id, lines: List(lines) });
             }
             Message::DecisionsResponse { request_id, lines } => {
@@ -366,13 +366,13 @@
         }
     }
 
-    /// Whether a policy is followed here.
+    /// Whether a policy is switched on.
     pub(crate) fn is_on(&self, policy: Policy) -> bool {
         !self.settings.switched_off.contains(&policy)
     }
 
-    /// Derives anew what rests on the members, if they changed.
-    fn renew_zones(&mut self) {
+    /// Recomputes the zones and gossip neighbours if the members have changed.
+    fn update_zones(&mut self) {
         let revision = self.members.revision();
         if !self.zones.is_outdated(revision) {
             return;
@@ -382,14 +382,14 @@
         self.gossip.set_neighbours(self.settings.node, self.zones.neighbours());
     }
 
-    /// Whether a message to this address stays in this node's zone, for the count of bytes that do not.
-    /// An address of no live member is taken to be far. Example: `node.is_local_address(address)`.
+    /// Whether an address is in this node's zone; used to count the bytes sent to other zones. An address
+    /// that belongs to no live member counts as remote. Example: `node.is_local_address(address)`.
     pub fn is_local_address(&self, address: Address) -> bool {
         self.zones.is_local_address(&address)
     }
 
     fn handle_member_changes(&mut self) {
-        self.renew_zones();
+        self.update_zones();
         for change in self.members.take_changes() {
             let (kind, node) = match change {
                 MemberChange::Joined(node) => ("member_joined", node),
@@ -401,18 +401,18 @@
                 kind,
                 json!({
                     "member": format!("{node:016x}"),
-                    "address": address.map(|found| found.socket().to_string()),
+                    "address": address.map(|address| address.socket().to_string()),
                 }),
                 self.now,
             );
-            // A process that starts anew has another id: this one was beyond a cut, or asleep.
-            if kind == "member_joined" && self.gone.remove(&node) {
+            // A restarted process has a new id, so this one was partitioned or suspended.
+            if kind == "member_joined" && self.gone_members.remove(&node) {
                 self.peer_returned(node);
             }
             if kind == "member_gone" {
-                self.gone.insert(node);
-                if self.gone.len() > GONE_LIMIT {
-                    self.gone.pop_first();
+                self.gone_members.insert(node);
+                if self.gone_members.len() > GONE_LIMIT {
+                    self.gone_members.pop_first();
                 }
                 self.calls.forget(node);
                 let demand_topic = format!("demand/{node:016x}");
@@ -421,7 +421,7 @@
         }
     }
 
-    /// Sends to a live member, or to this node itself.
+    /// Sends a message to a live member or to this node itself.
     pub(crate) fn send(&mut self, node: NodeId, message: Message) {
         if node == self.settings.node {
             self.to_self.push_back(message);
@@ -432,7 +432,7 @@
         self.actions.push(Action::Send { address, to: node, message });
     }
 
-    /// Sends to whichever process listens at an address: probes find out who that is.
+    /// Sends a message to any process that listens at an address, for probes of unknown nodes.
     pub(crate) fn send_to_address(&mut self, address: Address, message: Message) {
         if address == self.settings.address {
             return;
@@ -450,12 +450,12 @@
         self.next_request_id
     }
 
-    /// Live members that are not draining: the paper's N, in order of id.
+    /// The live members that are not draining, ordered by id: N in the election paper.
     pub(crate) fn serving_members(&self) -> Vec<NodeId> {
         self.members.live().iter().filter(|member| member.draining == 0).map(|member| member.node).collect()
     }
 
-    /// The rendezvous choice among nodes.
+    /// The node with the highest rendezvous weight for a name.
     pub(crate) fn rendezvous_choice(name: &str, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
         nodes.max_by_key(|node| (rendezvous_weight(name, *node), *node))
     }
@@ -463,64 +463,64 @@
     fn decisions_requested(&mut self, request: u64, after: Vec<(NodeId, u64)>, most: u32) {
         let request_id = self.next_request_id();
         let most = most.min(2_000);
-        let marks: List<CursorPosition> = after
+        let positions: List<CursorPosition> = after
             .iter()
             .map(|(node, sequence)| CursorPosition { node: *node, sequence: *sequence })
             .collect();
-        if self.gathers.len() >= GATHER_LIMIT {
+        if self.decisions_queries.len() >= DECISIONS_QUERY_LIMIT {
             self.emit(Action::DecisionsAnswered { request, lines: Vec::new(), cursor: after });
             return;
         }
-        let everyone: BTreeSet<NodeId> = self.members.live().iter().map(|member| member.node).collect();
-        self.gathers.insert(
+        let nodes: BTreeSet<NodeId> = self.members.live().iter().map(|member| member.node).collect();
+        self.decisions_queries.insert(
             request_id,
-            DecisionsGather {
+            DecisionsQuery {
                 request,
                 lines: Vec::new(),
                 cursor: after.into_iter().collect(),
-                awaited_holders: everyone.clone(),
-                ends_at: self.now + GATHER_SPAN,
+                awaited_nodes: nodes.clone(),
+                ends_at: self.now + DECISIONS_QUERY_TIMEOUT,
                 most: most as usize,
             },
         );
-        for node in everyone {
-            self.send(node, Message::DecisionsRequest { request_id, after: marks.clone(), most });
+        for node in nodes {
+            self.send(node, Message::DecisionsRequest { request_id, after: positions.clone(), most });
         }
     }
 
     fn decisions_answered(&mut self, from: NodeId, request_id: u64, lines: Vec<DecisionLine>) {
-        let Some(gather) = self.gathers.get_mut(&request_id) else { return };
-        if gather.awaited_holders.remove(&from) {
-            gather.lines.extend(lines.into_iter().filter(|line| line.node == from));
+        let Some(query) = self.decisions_queries.get_mut(&request_id) else { return };
+        if query.awaited_nodes.remove(&from) {
+            query.lines.extend(lines.into_iter().filter(|line| line.node == from));
         }
-        if gather.awaited_holders.is_empty() {
-            self.end_gather(request_id);
+        if query.awaited_nodes.is_empty() {
+            self.finish_decisions_query(request_id);
         }
     }
 
-    fn end_gather(&mut self, request_id: u64) {
-        let Some(mut gather) = self.gathers.remove(&request_id) else { return };
-        gather.lines.truncate(gather.most);
-        for line in &gather.lines {
-            gather.cursor.insert(line.node, line.sequence);
+    fn finish_decisions_query(&mut self, request_id: u64) {
+        let Some(mut query) = self.decisions_queries.remove(&request_id) else { return };
+        query.lines.truncate(query.most);
+        for line in &query.lines {
+            query.cursor.insert(line.node, line.sequence);
         }
         self.emit(Action::DecisionsAnswered {
-            request: gather.request,
-            lines: gather.lines,
-            cursor: gather.cursor.into_iter().collect(),
+            request: query.request,
+            lines: query.lines,
+            cursor: query.cursor.into_iter().collect(),
         });
     }
 
-    fn tick_gathers(&mut self) {
+    fn tick_decisions_queries(&mut self) {
         let now = self.now;
         let expired_requests: Vec<u64> = self
-            .gathers
+            .decisions_queries
             .iter()
-            .filter(|(_, gather)| now >= gather.ends_at)
+            .filter(|(_, query)| now >= query.ends_at)
             .map(|(request_id, _)| *request_id)
             .collect();
         for request_id in expired_requests {
-            self.end_gather(request_id);
+            self.finish_decisions_query(request_id);
         }
     }
 
@@ -531,16 +531,16 @@
         self.draining_since = Some(self.now);
         self.members.update_own(|own| own.draining = 1);
         self.decision_log.append("draining", json!({}), self.now);
-        // A lone node has nobody to give its leases to: it stays steward until its calls are done.
+        // A node without serving peers cannot transfer its leases: it leads until its calls are done.
         if !self.serving_members().is_empty() {
             self.release_leaders();
         }
-        // Colleagues hear it at once, not at the next probe.
-        let reported =
+        // Announced to all peers at once instead of with the next probe.
+        let announcement =
             Message::Probe { sequence: 0, target: 0, members: List(vec![self.members.own().clone()]) };
         let addresses: Vec<Address> = self.members.peers().map(|member| member.address).collect();
         for address in addresses {
-            self.send_to_address(address, reported.clone());
+            self.send_to_address(address, announcement.clone());
         }
     }
 
@@ -548,14 +548,14 @@
         let Some(draining_since) = self.draining_since else { return };
         let is_alone = self.serving_members().is_empty();
         let is_done = self.leadership.election.is_empty() && !self.must_stay_for_change();
-        let is_over = is_alone || is_done || self.now >= draining_since + DRAIN_SPAN;
+        let is_over = is_alone || is_done || self.now >= draining_since + DRAIN_TIMEOUT;
         if is_over && !self.is_drained_reported {
             self.is_drained_reported = true;
             self.emit(Action::Drained);
         }
     }
 
-    /// The node's page of state. Example: `node.status(now).held.len()`.
+    /// A snapshot of the node's state. Example: `node.status(now).held.len()`.
     pub fn status(&self, now: Micros) -> NodeStatus {
         let members = self.serving_members();
         NodeStatus {
@@ -591,51 +591,51 @@
         }
     }
 
-    /// Whether this node does not know that its configuration is the newest: it was away, or has heard of a newer
-    /// generation for so long that calls would soon be judged by an outdated one.
-    /// Example: `gateway.set_routes_suspect(node.suspects_configuration())` with each clock event.
+    /// Whether this node's configuration may be outdated: the node was out of contact or suspended, or has waited
+    /// too long for a newer generation that it knows of.
+    /// Example: `gateway.set_routes_suspect(node.suspects_configuration())` at each tick.
     pub fn suspects_configuration(&self) -> bool {
         let awaited_since = self.gossip.awaited_since(control_registers::CONFIGURATION_KEY);
         self.configuration.is_suspected()
             || awaited_since.is_some_and(|since| self.now >= since + NEWER_GENERATION_TIMEOUT)
     }
 
-    /// Whether this node takes part in reports of usage. Example: `node.reports_usage()`.
+    /// Whether usage reporting is enabled. Example: `node.reports_usage()`.
     pub fn reports_usage(&self) -> bool {
         self.settings.usage.is_some()
     }
 
-    /// Counts since the node's start. Example: `node.counts().remote_permits`.
+    /// The counts since the node's start. Example: `node.counts().remote_permits`.
     pub fn counts(&self) -> &NodeCounts {
         &self.counts
     }
 
-    /// Own decisions behind a sequence, oldest first. Example: `node.decisions_after(0).len()`.
+    /// The decisions of this node after a sequence number, oldest first. Example: `node.decisions_after(0).len()`.
     pub fn decisions_after(&self, sequence: u64) -> Vec<DecisionLine> {
         self.decision_log.after(sequence, usize::MAX)
     }
 
-    /// Live members, this node included. Example: `node.member_count() == 10`.
+    /// The number of live members, including this node. Example: `node.member_count() == 10`.
     pub fn member_count(&self) -> usize {
         self.members.peers().count() + 1
     }
 
-    /// The voter set this node goes by. Example: `node.voters().generation == 0` before the founding.
+    /// The voter set that this node uses. Example: `node.voters().generation == 0` before the bootstrap.
     pub fn voters(&self) -> &VoterSet {
         self.control.voters()
     }
 
-    /// The node that this one asks about a key. Example: `node.owner_of("disks") == Some(7)`.
+    /// The node that this node takes for the owner of a key. Example: `node.owner_of("disks") == Some(7)`.
     pub fn owner_of(&self, key: &str) -> Option<NodeId> {
         self.key_owner(key)
     }
 
-    /// The configuration that holds here. Example: `node.current_configuration().routes.len()`.
+    /// The configuration in force on this node. Example: `node.current_configuration().routes.len()`.
     pub fn current_configuration(&self) -> Arc<configuration_schema::Configuration> {
         self.configuration.current()
     }
 
-    /// Whether this node may act as the function's steward now, and under which epoch.
+    /// The leader epoch under which this node may act as the function's leader now, if it may.
     /// Example: `node.term("proof", now)`.
     pub fn term(&self, function: &str, now: Micros) -> Option<u64> {
         self.leadership.election.term(function, now)
--- a/packages/node_protocol/src/permit_ledger.rs
+++ b/packages/node_protocol/src/permit_ledger.rs
@@ -1,50 +1,49 @@
-//! The tickets that a node holds: each is used for one dispatch, however often its grant arrives.
+//! The permits that a node holds. Each permit is used for one dispatch, even if its grant arrives repeatedly.
 
 use monotonic_clock::Micros;
 use peer_messages::{HeldPermit, Permit};
 use std::collections::BTreeMap;
 
-/// How long a ticket is known past the end of the call that it was granted to: a grant that arrives
-/// once more in that time is known as a repeat.
-const KNOWN_PAST_END: Micros = Micros::from_secs(1);
+/// A permit is remembered for this long after the end of its call, so that a duplicate grant is detected.
+const REPEAT_DETECTION_SPAN: Micros = Micros::from_secs(1);
 
-/// What becomes of a grant. Example: `PermitAdmission::Repeated` for the second arrival of one.
+/// The outcome of a received grant. Example: `PermitAdmission::Repeated` for a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PermitAdmission {
-    /// It is the call's, for one dispatch.
+    /// The call uses the permit for one dispatch.
     Used,
-    /// It goes back unused; `is_wanted` where the call still waits for another.
+    /// The permit is returned unused; `is_wanted` if the call still waits for another one.
     Returned { is_wanted: bool },
-    /// It was used before: nothing is done.
+    /// A duplicate of a grant that was used: ignored.
     Repeated,
 }
 
-/// A ticket that this node has, or had.
+/// A permit that this node holds or held.
 #[derive(Clone, Debug)]
-struct HeldHere {
+struct LedgerEntry {
     permit: Permit,
     ends_at: Micros,
     is_done: bool,
 }
 
-/// All tickets of a node, with the newest steward epoch seen for each function.
+/// All permits of a node and the newest leader epoch seen for each function.
 /// Example: `PermitLedger::default().admit(&permit, Some(ends_at), false, now)`.
 #[derive(Clone, Debug, Default)]
 pub struct PermitLedger {
-    held: BTreeMap<u64, HeldHere>,
+    entries: BTreeMap<u64, LedgerEntry>,
     newest_epochs: BTreeMap<String, u64>,
 }
 
 impl PermitLedger {
-    /// A steward of this epoch spoke: tickets of older ones are used no more.
+    /// Records a leader epoch; permits of older epochs are not used from now on.
     /// Example: `ledger.saw_epoch("proof", 4)`.
     pub fn saw_epoch(&mut self, function: &str, leader_epoch: u64) {
         let newest_epoch = self.newest_epochs.entry(function.to_owned()).or_default();
         *newest_epoch = leader_epoch.max(*newest_epoch);
     }
 
-    /// A grant arrived. `request_ends_at` is the end of the call that waits for it, if one does; `is_barred`
-    /// where the node may not use it now. A deputy's ticket, of epoch 0, is never stale.
+    /// Decides on a received grant. `request_ends_at` is the deadline of the call that waits for it, if any;
+    /// `is_barred` if the node must not use the permit now. A fallback's permit has epoch 0 and is never stale.
     /// Example: `ledger.admit(&permit, None, false, now) == PermitAdmission::Returned { is_wanted: false }`.
     pub fn admit(
         &mut self,
@@ -56,7 +55,7 @@
         let newest_epoch = self.newest_epochs.get(&permit.function.0).copied().unwrap_or(0);
         let is_stale = permit.leader_epoch != 0 && permit.leader_epoch < newest_epoch;
         self.saw_epoch(&permit.function.0, permit.leader_epoch);
-        if self.held.contains_key(&permit.id) {
+        if self.entries.contains_key(&permit.id) {
             return PermitAdmission::Repeated;
         }
         let Some(request_ends_at) = request_ends_at.filter(|ends_at| now < *ends_at) else {
@@ -65,34 +64,34 @@
         if is_stale || is_barred {
             return PermitAdmission::Returned { is_wanted: true };
         }
-        let ends_at = request_ends_at + KNOWN_PAST_END;
-        self.held.insert(permit.id, HeldHere { permit: permit.clone(), ends_at, is_done: false });
+        let ends_at = request_ends_at + REPEAT_DETECTION_SPAN;
+        self.entries.insert(permit.id, LedgerEntry { permit: permit.clone(), ends_at, is_done: false });
         PermitAdmission::Used
     }
 
-    /// Whether a ticket is still kept in mind. Example: `ledger.is_known(permit.id)`.
+    /// Whether the ledger still holds an entry for a permit. Example: `ledger.is_known(permit.id)`.
     pub fn is_known(&self, permit_id: u64) -> bool {
-        self.held.contains_key(&permit_id)
+        self.entries.contains_key(&permit_id)
     }
 
-    /// The ticket's dispatch is over. Example: `ledger.done(permit.id)`.
+    /// Records that the permit's dispatch has ended. Example: `ledger.done(permit.id)`.
     pub fn done(&mut self, permit_id: u64) {
-        if let Some(held) = self.held.get_mut(&permit_id) {
-            held.is_done = true;
+        if let Some(entry) = self.entries.get_mut(&permit_id) {
+            entry.is_done = true;
         }
     }
 
-    /// The tickets in use for a function. Example: `ledger.held_for("proof", now)`.
+    /// The permits in use for a function. Example: `ledger.held_for("proof", now)`.
     pub fn held_for(&self, function: &str, now: Micros) -> Vec<HeldPermit> {
-        self.held
+        self.entries
             .values()
-            .filter(|held| !held.is_done && held.permit.function.0 == function)
-            .map(|held| HeldPermit { permit: held.permit.clone(), ends_in_micros: (held.ends_at - now).0 })
+            .filter(|entry| !entry.is_done && entry.permit.function.0 == function)
+            .map(|entry| HeldPermit { permit: entry.permit.clone(), ends_in_micros: (entry.ends_at - now).0 })
             .collect()
     }
 
-    /// Forgets tickets whose calls are long over. Example: `ledger.expire(now)`.
+    /// Removes permits whose calls ended longer ago than the retention. Example: `ledger.expire(now)`.
     pub fn expire(&mut self, now: Micros) {
-        self.held.retain(|_, held| now < held.ends_at);
+        self.entries.retain(|_, entry| now < entry.ends_at);
     }
 }
--- a/packages/node_protocol/src/request_relay.rs
+++ b/packages/node_protocol/src/request_relay.rs
@@ -1,63 +1,64 @@
-//! Asks for tickets that this node passes on for nodes that cannot reach a function's leader.
+//! Permit requests that this node relays for nodes that cannot reach a function's leader.
 //!
-//! A node that is cut off from the leader asks the function's deputy. Where the deputy itself reaches the
-//! leader, the ask goes on to it under a number of the deputy's own, and what the leader answers goes back: the
-//! leader keeps counting every ticket, so no cell is handed more than it may run. The ticket's return takes the
-//! same way. A relay keeps nothing that must not be lost: an ask that is repeated is passed on again under its
-//! number, and a return that is lost is made up for by the end of the ticket, as on the direct way.
+//! A node that is partitioned from the leader sends its request to the function's fallback. If the fallback can
+//! reach the leader, it relays the request under a relay id of its own and sends the response back. The leader
+//! still counts every permit, so no instance gets more calls than it may run. The return of the permit takes the
+//! same path. The relay's state may be lost: a repeated request is relayed again under the same id, and a permit
+//! whose return is lost expires at the leader, as it does without a relay.
 
 use monotonic_clock::Micros;
 use peer_messages::{HeldPermit, NodeId, Permit};
 use std::collections::BTreeMap;
 
-/// Numbers from here on are those of relayed asks; a node's own calls stay below.
-const FIRST_NUMBER: u64 = 1 << 63;
-/// Asks and tickets kept in mind; what comes beyond that is not relayed.
-const RELAYED_MOST: usize = 4_096;
-/// A ticket is returned within its call's time, or a little later.
+/// Relay ids start here; the request ids of a node's own calls are lower.
+const FIRST_RELAY_ID: u64 = 1 << 63;
+/// The limit on tracked requests and on tracked permits; requests beyond it are not relayed.
+const RELAYED_LIMIT: usize = 4_096;
+/// A permit's return may arrive this long after the end of its call.
 const RETURN_SPAN: Micros = Micros::from_secs(1);
 
-/// An ask on its way between a node and the leader.
+/// A request that was relayed to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RelayedRequest {
-    /// Who wants the ticket, and under which number.
+    /// The node that requested the permit, and its own request id.
     pub(crate) requester: NodeId,
     pub(crate) request_id: u64,
-    /// The leader that was asked.
+    /// The leader that the request was sent to.
     pub(crate) leader: NodeId,
-    /// When it was asked last, if it has not answered since.
+    /// When the leader was first sent the request without a response since.
     pub(crate) unanswered_since: Option<Micros>,
     ends_at: Micros,
 }
 
-/// The asks and tickets that this node relays. Example: `RequestRelay::default().number_of(7, 12) == None`.
+/// The requests and permits that this node relays.
+/// Example: `RequestRelay::default().relay_id_of(7, 12) == None`.
 #[derive(Debug, Default)]
 pub(crate) struct RequestRelay {
-    by_number: BTreeMap<u64, RelayedRequest>,
-    numbers: BTreeMap<(NodeId, u64), u64>,
-    /// Tickets that went through here, by id, until they cannot be returned any more.
+    by_relay_id: BTreeMap<u64, RelayedRequest>,
+    relay_ids: BTreeMap<(NodeId, u64), u64>,
+    /// Relayed permits by id, until their return can no longer arrive.
     permits: BTreeMap<u64, (Permit, Micros)>,
-    next: u64,
+    last_relay_id: u64,
 }
 
-/// Whether an ask's number is one of a relay. Example: `is_relayed(12) == false`.
-pub(crate) fn is_relayed(number: u64) -> bool {
-    number >= FIRST_NUMBER
+/// Whether a request id is a relay id. Example: `is_relayed(12) == false`.
+pub(crate) fn is_relayed(relay_id: u64) -> bool {
+    relay_id >= FIRST_RELAY_ID
 }
 
 impl RequestRelay {
-    /// The number under which an ask was passed on before.
-    pub(crate) fn number_of(&self, requester: NodeId, request_id: u64) -> Option<u64> {
-        self.numbers.get(&(requester, request_id)).copied()
+    /// The relay id under which a request was relayed before.
+    pub(crate) fn relay_id_of(&self, requester: NodeId, request_id: u64) -> Option<u64> {
+        self.relay_ids.get(&(requester, request_id)).copied()
     }
 
-    /// The ask that was passed on under a number.
-    pub(crate) fn get(&self, number: u64) -> Option<&RelayedRequest> {
-        self.by_number.get(&number)
+    /// The request that was relayed under a relay id.
+    pub(crate) fn get(&self, relay_id: u64) -> Option<&RelayedRequest> {
+        self.by_relay_id.get(&relay_id)
     }
 
-    /// Notes that an ask goes to a leader now, and gives its number; none where too many are on their way.
-    pub(crate) fn pass_on(
+    /// Records that a request is sent to a leader now and returns its relay id; `None` if the relay is full.
+    pub(crate) fn register(
         &mut self,
         requester: NodeId,
         request_id: u64,
@@ -65,72 +66,72 @@
         ends_at: Micros,
         now: Micros,
     ) -> Option<u64> {
-        let number = match self.number_of(requester, request_id) {
-            Some(number) => number,
-            None if self.by_number.len() >= RELAYED_MOST => return None,
+        let relay_id = match self.relay_id_of(requester, request_id) {
+            Some(relay_id) => relay_id,
+            None if self.by_relay_id.len() >= RELAYED_LIMIT => return None,
             None => {
-                self.next += 1;
-                FIRST_NUMBER | self.next
+                self.last_relay_id += 1;
+                FIRST_RELAY_ID | self.last_relay_id
             }
         };
-        self.numbers.insert((requester, request_id), number);
+        self.relay_ids.insert((requester, request_id), relay_id);
         let unanswered_since = self
-            .by_number
-            .get(&number)
+            .by_relay_id
+            .get(&relay_id)
             .filter(|before| before.leader == leader)
             .and_then(|before| before.unanswered_since);
         let unanswered_since = Some(unanswered_since.unwrap_or(now));
-        self.by_number
-            .insert(number, RelayedRequest { requester, request_id, leader, unanswered_since, ends_at });
-        Some(number)
+        self.by_relay_id
+            .insert(relay_id, RelayedRequest { requester, request_id, leader, unanswered_since, ends_at });
+        Some(relay_id)
     }
 
-    /// The leader answered; gives who asked, under which number.
-    pub(crate) fn answered(&mut self, number: u64, leader: NodeId) -> Option<(NodeId, u64)> {
-        let relayed = self.by_number.get_mut(&number).filter(|relayed| relayed.leader == leader)?;
+    /// Records a response of the leader; returns the requester and its request id.
+    pub(crate) fn answered(&mut self, relay_id: u64, leader: NodeId) -> Option<(NodeId, u64)> {
+        let relayed = self.by_relay_id.get_mut(&relay_id).filter(|relayed| relayed.leader == leader)?;
         relayed.unanswered_since = None;
         Some((relayed.requester, relayed.request_id))
     }
 
-    /// The ask waits no more.
-    pub(crate) fn finish(&mut self, number: u64) -> Option<RelayedRequest> {
-        let relayed = self.by_number.remove(&number)?;
-        self.numbers.remove(&(relayed.requester, relayed.request_id));
+    /// Removes a request that is no longer waiting.
+    pub(crate) fn finish(&mut self, relay_id: u64) -> Option<RelayedRequest> {
+        let relayed = self.by_relay_id.remove(&relay_id)?;
+        self.relay_ids.remove(&(relayed.requester, relayed.request_id));
         Some(relayed)
     }
 
-    /// A ticket went through here: its return does too.
-    pub(crate) fn note_permit(&mut self, permit: &Permit, ends_at: Micros) {
-        if self.permits.len() < RELAYED_MOST {
+    /// Records a relayed permit, whose return is to be relayed as well.
+    pub(crate) fn record_permit(&mut self, permit: &Permit, ends_at: Micros) {
+        if self.permits.len() < RELAYED_LIMIT {
             self.permits.insert(permit.id, (permit.clone(), ends_at + RETURN_SPAN));
         }
     }
 
-    /// Whether a ticket that is returned here went through here.
-    pub(crate) fn accepts_return(&mut self, permit: &Permit) -> bool {
+    /// Removes a returned permit; `true` if this node had relayed it.
+    pub(crate) fn remove_permit(&mut self, permit: &Permit) -> bool {
         self.permits.remove(&permit.id).is_some()
     }
 
-    /// When the call of a relayed ask is over.
-    pub(crate) fn end_of(&self, number: u64) -> Option<Micros> {
-        self.by_number.get(&number).map(|relayed| relayed.ends_at)
+    /// When the call of a relayed request ends.
+    pub(crate) fn end_of(&self, relay_id: u64) -> Option<Micros> {
+        self.by_relay_id.get(&relay_id).map(|relayed| relayed.ends_at)
     }
 
-    /// Forgets what is over.
+    /// Removes expired requests and permits.
     pub(crate) fn expire(&mut self, now: Micros) {
-        let over: Vec<u64> = self
-            .by_number
+        let expired: Vec<u64> = self
+            .by_relay_id
             .iter()
             .filter(|(_, relayed)| now >= relayed.ends_at)
-            .map(|(number, _)| *number)
+            .map(|(relay_id, _)| *relay_id)
             .collect();
-        for number in over {
-            self.finish(number);
+        for relay_id in expired {
+            self.finish(relay_id);
         }
         self.permits.retain(|_, (_, ends_at)| now < *ends_at);
     }
 
-    /// The tickets for a function that went through here and did not come back yet.
+    /// The relayed permits of a function that have not been returned.
     pub(crate) fn held_for(&self, function: &str, now: Micros) -> impl Iterator<Item = HeldPermit> {
         let permits = self.permits.values().filter(move |(permit, _)| permit.function.0 == function);
         permits.map(move |(permit, ends_at)| HeldPermit {
--- a/packages/node_protocol/src/usage_reporting.rs
+++ b/packages/node_protocol/src/usage_reporting.rs
@@ -1,8 +1,9 @@
-//! Reports of usage to the platform: the counts of this node's own calls, their way to the collector, and the
-//! collector's rounds (`docs/duties.md`).
+//! Usage reporting to the platform: counting this node's calls, sending the counts to the collector, and the
+//! collector's periodic work (`docs/duties.md`).
 //!
-//! A window's counts are chosen by one conditional write of the key of usage; only what stands there is sent,
-//! so every repeat of a report is the same whoever sends it. There is no lease and no election of its own.
+//! The counts of a window are decided by one conditional write of the usage register. Only decided counts are
+//! reported, so all repeats of a report are identical, whichever node sends them. Usage reporting has no lease
+//! and no election of its own.
 
 use crate::control_store::WritePurpose;
 use crate::node::{Node, PAUSE_A_MEMBER};
@@ -20,46 +21,46 @@
     FleetClock, REPORTS_KEPT, UsageAggregator, UsageCounter, UsageDelta, UsageRegister, WindowLength,
 };
 
-/// The collector hears of changed counts this often, the node after it half as often.
+/// Changed counts are sent to the collector at this interval, and to the standby collector half as often.
 const UPDATE_INTERVAL: Micros = Micros::from_millis(500);
-const SECOND_COLLECTOR_INTERVAL: Micros = Micros::from_millis(1_000);
-/// Counts of a process that is gone are told on so often: nobody answers that.
+const STANDBY_UPDATE_INTERVAL: Micros = Micros::from_millis(1_000);
+/// Counts of a process that is gone are forwarded this many times, since forwarded counts are not acknowledged.
 const FORWARD_TIMES: u32 = 3;
-/// Also without a change, so that the collector knows that a node is through with a window.
+/// Sent even without changes, so that the collector knows that a node has completed a window.
 const HEARTBEAT_INTERVAL: Micros = Micros::from_millis(1_000);
-/// Nodes spread what they tell after the end of a window over this.
+/// The updates of all nodes after the end of a window are spread over this time.
 const UPDATE_JITTER_MILLIS: u64 = 250;
-/// A new collector first hears what everybody counted.
-const COLLECTOR_SETTLES: Micros = Micros::from_millis(1_000);
-/// A collector that hears too few clocks goes by its own after this.
+/// A new collector waits this long before its first decision, to receive the counts of all nodes.
+const COLLECTOR_WARM_UP: Micros = Micros::from_millis(1_000);
+/// A collector that receives too few clock readings uses its own clock after this time.
 const CLOCK_TIMEOUT: Micros = Micros::from_secs(4);
-/// Between two reads of the register.
-const READ_EVERY: Micros = Micros::from_millis(400);
-/// Between two sends of a report that was not accepted.
-const SEND_AGAIN: Micros = Micros::from_millis(700);
-/// A report whose answer was given up may still reach the platform this much later.
-const LATE_ARRIVAL: Micros = Micros::from_millis(1_500);
-/// The share of the delay after which a window is decided without those who are not through with it.
-const DECIDE_AT: f64 = 0.6;
-/// A process that is gone and was heard of so lately may be back with its counts.
+/// The pause between two reads of the register.
+const READ_INTERVAL: Micros = Micros::from_millis(400);
+/// The pause before a report that was not accepted is sent again.
+const SEND_RETRY_PAUSE: Micros = Micros::from_millis(700);
+/// A report whose response timed out may still reach the platform this much later.
+const LATE_ARRIVAL_MARGIN: Micros = Micros::from_millis(1_500);
+/// After this share of the delay a window is decided without the nodes that have not completed it.
+const DECIDE_AFTER_SHARE: f64 = 0.6;
+/// A process that is gone may return with its counts if an update of it was received within this time.
 const AWAITED_SPAN: Micros = Micros::from_secs(20);
-/// Counts that nobody asked for are dropped after this.
-const KEPT_SPAN: Micros = Micros::from_secs(60);
+/// Counts that were not used are dropped after this time.
+const COUNTS_RETENTION: Micros = Micros::from_secs(60);
 
-/// The bounds of reports of usage. Example: `UsageSettings { holder: "edge-1".into(), .. }`.
+/// The settings of usage reporting. Example: `UsageSettings { holder: "edge-1".into(), .. }`.
 #[derive(Clone, Debug)]
 pub struct UsageSettings {
-    /// The name that this node acts under, the same after a restart.
+    /// The name under which this node reports, which is the same after a restart.
     pub holder: String,
-    /// The length of a window.
+    /// The length of a usage window.
     pub window: Micros,
-    /// A report counts until so long after its window's end.
+    /// The platform accepts a report until this long after the end of its window.
     pub delay: Micros,
-    /// Within this span holders may not act in the order A, B, A.
+    /// Within this span the platform must not receive reports of two holders in the order A, B, A.
     pub lease: Micros,
 }
 
-/// A change of the register on its way.
+/// A pending write of the usage register.
 #[derive(Debug)]
 struct RegisterWrite {
     request_id: u64,
@@ -67,54 +68,54 @@
     decided: Vec<u64>,
 }
 
-/// What stands in the register, as a majority told it.
+/// The stored usage register, as confirmed by a majority.
 #[derive(Debug)]
 struct StoredRegister {
     version: u64,
     register: Option<UsageRegister>,
-    /// When this node first saw it so.
+    /// When this node first saw this version.
     seen_at: Micros,
 }
 
-/// What one node was told, by this one.
+/// The progress of the usage updates to one collector.
 #[derive(Debug, Default)]
 struct SentProgress {
-    held: u64,
+    acknowledged: u64,
     sent_at: Option<Micros>,
     sent_sequence: u64,
-    /// The window that was open when it was told.
+    /// The window that was open at the last update.
     open_window: u64,
 }
 
 #[derive(Debug)]
 pub(crate) struct UsageReporting {
     usage_counter: UsageCounter,
-    /// Where each ticket in use was counted.
+    /// The window and tenant under which each open permit was counted.
     counted: BTreeMap<u64, (u64, Arc<str>)>,
     clock: FleetClock,
     usage_aggregator: UsageAggregator,
     sent_progress: BTreeMap<NodeId, SentProgress>,
-    /// How often counts of a process that is gone were told on, and when last: by collector and process.
+    /// How often counts of a process that is gone were forwarded, and when last, by collector and process.
     forwarded: BTreeMap<(NodeId, NodeId), (u32, Micros)>,
     collector_since: Option<Micros>,
     stored_register: Option<StoredRegister>,
-    /// Under the highest fence that this node has heard of: who holds the register.
+    /// The highest known fence and the process that holds the register under it.
     known_holder: Option<(u64, NodeId)>,
     write: Option<RegisterWrite>,
     is_reading: bool,
     read_due: Micros,
-    /// The platform saw a higher fence than this one, which the register has for this node.
+    /// The fence of this node that the platform refused, having seen a higher one.
     refused_fence: u64,
     delivered_below: u64,
     newest_delivered: Option<u64>,
-    /// The window of a report whose answer is out.
-    sent: Option<u64>,
+    /// The window of the report that awaits its response.
+    sent_window: Option<u64>,
     send_due: Micros,
-    /// The last act under any fence, or this process's start: what the process before it did is not known.
-    acted_at: Micros,
-    /// After another holder stood in between, acts wait until here.
+    /// The last report under any fence, or this process's start, since earlier reports of this holder are not known.
+    last_operation_at: Micros,
+    /// Reports wait until then if another holder was in the register in between.
     barred_until: Micros,
-    event: Ticker,
+    ticker: Ticker,
 }
 
 impl UsageReporting {
@@ -135,11 +136,11 @@
             refused_fence: 0,
             delivered_below: 0,
             newest_delivered: None,
-            sent: None,
+            sent_window: None,
             send_due: Micros(0),
-            acted_at: now,
+            last_operation_at: now,
             barred_until: now,
-            event: Ticker::every(Micros::from_millis(60)),
+            ticker: Ticker::every(Micros::from_millis(60)),
         }
     }
 
@@ -147,8 +148,8 @@
         self.stored_register.as_ref()?.register.as_ref()
     }
 
-    /// Takes word of who holds the register; of two processes under one fence the later word counts.
-    fn note_holder(&mut self, fence: u64, process: NodeId) {
+    /// Records who holds the register; of two processes under one fence the one recorded later counts.
+    fn record_holder(&mut self, fence: u64, process: NodeId) {
         if process != 0 && self.known_holder.is_none_or(|(known, _)| known <= fence) {
             self.known_holder = Some((fence, process));
         }
@@ -158,16 +159,16 @@
         self.collector_since.is_some()
     }
 
-    /// Takes what stands; a sleep or another node's write may have made it another.
-    fn stands(&mut self, version: u64, register: Option<UsageRegister>, now: Micros) {
-        let is_seen = self.stored_register.as_ref().is_some_and(|seen| seen.version == version);
-        let seen_at = self.stored_register.as_ref().filter(|_| is_seen).map_or(now, |seen| seen.seen_at);
+    /// Sets the stored register; `seen_at` changes only with the version.
+    fn set_stored_register(&mut self, version: u64, register: Option<UsageRegister>, now: Micros) {
+        let is_known = self.stored_register.as_ref().is_some_and(|known| known.version == version);
+        let seen_at = self.stored_register.as_ref().filter(|_| is_known).map_or(now, |known| known.seen_at);
         self.stored_register = Some(StoredRegister { version, register, seen_at });
     }
 }
 
 impl Node {
-    /// The machine's wall clock, read by the shell.
+    /// Sets the machine's wall clock, as read by the protocol runtime.
     pub(crate) fn wall_clock_read(&mut self, unix: Micros) {
         self.usage.clock.set_own(unix, self.now);
     }
@@ -176,7 +177,7 @@
         self.settings.usage.as_ref().map(|usage| WindowLength(usage.window))
     }
 
-    /// A call of a tenant goes to its cell under this ticket.
+    /// Counts a call of a tenant that is dispatched under this permit.
     pub(crate) fn count_usage(&mut self, permit: u64, tenant: Option<Arc<str>>) {
         let now = self.now;
         let (Some(length), Some(tenant)) = (self.usage_length(), tenant) else { return };
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The dispatch under a ticket is over: one that did not run is taken back.
+    /// Settles the count of a permit whose dispatch has ended: a dispatch that did not run is not counted.
     pub(crate) fn settle_usage(&mut self, permit: u64, outcome: u8) {
         let Some((window, tenant)) = self.usage.counted.remove(&permit) else { return };
         if [NOT_RUN, REFUSED_BUSY, UNUSED].contains(&outcome) {
@@ -195,15 +196,15 @@
         }
     }
 
-    /// What this node knew of the register and of others' clocks may be long out of date.
-    pub(crate) fn usage_woke_up(&mut self) {
+    /// After a freeze the known register and the clocks of other nodes may be outdated.
+    pub(crate) fn usage_resumed_after_freeze(&mut self) {
         self.usage.stored_register = None;
         self.usage.collector_since = None;
         self.usage.clock.woke_up();
     }
 
-    /// The nodes that collect: the first acts, the second only keeps what it is told. Machines with disks come
-    /// first, then rendezvous; all nodes with one view pick the same.
+    /// The collector and the standby collector, which only stores the updates it receives. Machines with disks are
+    /// preferred, then the rendezvous order decides; nodes with the same membership view pick the same nodes.
     fn usage_collectors(&self) -> (Option<NodeId>, Option<NodeId>) {
         let mut choices: Vec<(bool, u64, NodeId)> = self
             .members
@@ -213,10 +214,10 @@
             .map(|member| (member.disk != 0, rendezvous_weight(USAGE_KEY, member.node), member.node))
             .collect();
         choices.sort_unstable();
-        // Whoever holds the register goes on as long as it serves: a hand-over costs a lease.
+        // The holder of the register stays the collector while it serves, since a handover costs a lease.
         let known_holder = self.usage.known_holder.map(|(_, process)| process);
-        if let Some(place) = choices.iter().position(|(.., node)| Some(*node) == known_holder) {
-            let holder = choices.remove(place);
+        if let Some(position) = choices.iter().position(|(.., node)| Some(*node) == known_holder) {
+            let holder = choices.remove(position);
             choices.push(holder);
         }
         let first = choices.pop().map(|(.., node)| node);
@@ -225,15 +226,15 @@
 
     pub(crate) fn tick_usage(&mut self) {
         let now = self.now;
-        if self.settings.usage.is_none() || !self.usage.event.due(now) {
+        if self.settings.usage.is_none() || !self.usage.ticker.due(now) {
             return;
         }
         let (first, second) = self.usage_collectors();
         self.send_usage_updates(first, UPDATE_INTERVAL);
-        self.send_usage_updates(second, SECOND_COLLECTOR_INTERVAL);
+        self.send_usage_updates(second, STANDBY_UPDATE_INTERVAL);
         self.forward_usage_of_gone([first, second]);
         self.usage.sent_progress.retain(|node, _| [first, second].contains(&Some(*node)));
-        let kept_since = now - KEPT_SPAN;
+        let kept_since = now - COUNTS_RETENTION;
         self.usage.usage_counter.forget_untouched(kept_since);
         let open_from = self.usage.usage_counter.open_from();
         self.usage.usage_aggregator.forget(open_from, kept_since);
@@ -246,45 +247,47 @@
         }
     }
 
-    /// Tells a collector what changed since it last answered.
+    /// Sends a collector the changes since its last acknowledgement.
     fn send_usage_updates(&mut self, collector: Option<NodeId>, every: Micros) {
         let now = self.now;
         let (Some(collector), Some(length)) = (collector, self.usage_length()) else { return };
         let clock = self.usage.clock.unix(now).unwrap_or_default();
         let open_window = length.number_at(clock);
         let least_pause = Micros(PAUSE_A_MEMBER.0 * self.member_count() as u64).max(every);
-        let spread = Micros::from_millis(self.settings.node % UPDATE_JITTER_MILLIS);
+        let jitter = Micros::from_millis(self.settings.node % UPDATE_JITTER_MILLIS);
         let usage = &mut self.usage;
         let progress = usage.sent_progress.entry(collector).or_default();
-        let is_window_over =
-            open_window > progress.open_window && clock >= length.end_of(open_window - 1) + spread;
+        let has_window_ended =
+            open_window > progress.open_window && clock >= length.end_of(open_window - 1) + jitter;
         let is_changed = usage.usage_counter.sequence() != progress.sent_sequence;
         let is_due = progress.sent_at.is_none_or(|sent_at| {
             now >= sent_at + least_pause.max(HEARTBEAT_INTERVAL)
                 || (is_changed && now >= sent_at + least_pause)
         });
-        if !is_due && !is_window_over {
+        if !is_due && !has_window_ended {
             return;
         }
         let sequence = usage.usage_counter.sequence();
         let message = Message::UsageUpdate {
             reporter: self.settings.node,
-            since: progress.held,
+            since: progress.acknowledged,
             sequence,
             wall_micros: usage.clock.own(now).map_or(0, |unix| unix.0),
             clock_micros: clock.0,
-            windows: usage.usage_counter.changed_since(progress.held),
+            windows: usage.usage_counter.changed_since(progress.acknowledged),
         };
         (progress.sent_at, progress.sent_sequence, progress.open_window) = (Some(now), sequence, open_window);
         self.send(collector, message);
     }
 
-    /// Tells the collectors what processes that are gone told this node: a new collector cannot ask them.
+    /// Forwards the counts of processes that are gone to the collectors, since a new collector cannot request them.
     fn forward_usage_of_gone(&mut self, collectors: [Option<NodeId>; 2]) {
         let now = self.now;
         let own = self.settings.node;
-        let held: Vec<NodeId> = self.usage.usage_aggregator.reporters().map(|(node, _)| node).collect();
-        let gone: Vec<NodeId> = held.into_iter().filter(|node| self.members.find(*node).is_none()).collect();
+        let acknowledged: Vec<NodeId> =
+            self.usage.usage_aggregator.reporters().map(|(node, _)| node).collect();
+        let gone: Vec<NodeId> =
+            acknowledged.into_iter().filter(|node| self.members.find(*node).is_none()).collect();
         self.usage.forwarded.retain(|(collector, reporter), _| {
             collectors.contains(&Some(*collector)) && gone.contains(reporter)
         });
@@ -318,7 +321,7 @@
                 if reporter != from =>
             {
                 let reported = UsageDelta { since, sequence, clock: Micros(clock_micros), windows };
-                // A live process tells its own counts; there is no wall clock of one that is gone.
+                // Live processes send their own counts; forwarded counts carry no wall clock.
                 if wall_micros == 0 && self.members.find(reporter).is_none() {
                     self.usage.usage_aggregator.apply(reporter, reported, now);
                 }
@@ -328,20 +331,20 @@
                     self.usage.clock.set_reported(from, Micros(wall_micros), now);
                 }
                 let reported = UsageDelta { since, sequence, clock: Micros(clock_micros), windows };
-                let held = self.usage.usage_aggregator.apply(from, reported, now);
+                let acknowledged = self.usage.usage_aggregator.apply(from, reported, now);
                 let is_collector = self.usage.collector_since.is_some();
                 let is_agreed = is_collector && self.usage.clock.is_agreed();
                 let clock_micros = self.usage.clock.unix(now).filter(|_| is_agreed).map_or(0, |unix| unix.0);
                 let register = self.usage.register().filter(|_| is_collector);
                 let next_window = register.map_or(0, |register| register.next_window);
                 let (fence, holder) = self.usage.known_holder.unwrap_or_default();
-                let sequence = held;
+                let sequence = acknowledged;
                 self.send(from, Message::UsageAck { sequence, next_window, clock_micros, holder, fence });
             }
             Message::UsageAck { sequence, next_window, clock_micros, holder, fence } => {
-                self.usage.note_holder(fence, holder);
+                self.usage.record_holder(fence, holder);
                 if let Some(progress) = self.usage.sent_progress.get_mut(&from) {
-                    progress.held = sequence;
+                    progress.acknowledged = sequence;
                 }
                 self.usage.usage_counter.decided_below(next_window);
                 if clock_micros > 0 && self.usage_collectors().0 == Some(from) {
@@ -352,7 +355,7 @@
         }
     }
 
-    /// One step of the collector: know what stands, decide the windows that are over, send what is decided.
+    /// One step of the collector: reads the register, decides ended windows, and sends decided reports.
     fn collect_usage(&mut self) {
         let now = self.now;
         let since = *self.usage.collector_since.get_or_insert(now);
@@ -368,7 +371,7 @@
         }
         let is_clock_known =
             self.usage.clock.is_agreed() || (now >= since + CLOCK_TIMEOUT && self.usage.clock.knows_fleet());
-        if is_clock_known && now >= since + COLLECTOR_SETTLES && self.usage.write.is_none() {
+        if is_clock_known && now >= since + COLLECTOR_WARM_UP && self.usage.write.is_none() {
             self.decide_usage(&members);
         }
         self.send_usage();
@@ -378,23 +381,23 @@
         if self.usage.is_reading || self.usage.write.is_some() {
             return;
         }
-        self.usage.read_due = self.now + READ_EVERY;
+        self.usage.read_due = self.now + READ_INTERVAL;
         let is_sent = self.send_write(USAGE_KEY, 0, Bytes::default(), WritePurpose::UsageRead).is_some();
         self.usage.is_reading = is_sent;
     }
 
-    /// Puts the windows that are over into the register, under this node's name.
+    /// Writes the counts of ended windows to the register with this node as the holder.
     fn decide_usage(&mut self, members: &[NodeId]) {
         let now = self.now;
         let (Some(settings), Some(length)) = (self.settings.usage.clone(), self.usage_length()) else {
             return;
         };
-        let (Some(unix), Some(standing)) = (self.usage.clock.unix(now), &self.usage.stored_register) else {
+        let (Some(unix), Some(stored)) = (self.usage.clock.unix(now), &self.usage.stored_register) else {
             return;
         };
-        let (version, own) = (standing.version, self.settings.node);
-        let Some(register) = &standing.register else {
-            // Windows that began before anything stood may have been reported by a fleet that lost its disks.
+        let (version, own) = (stored.version, self.settings.node);
+        let Some(register) = &stored.register else {
+            // Windows before the register's creation may have been reported by a fleet that has lost its disks.
             let first_window = length.number_at(unix);
             let value = UsageRegister::bootstrapped(&settings.holder, own, first_window, unix);
             self.write_usage(version, value, Vec::new());
@@ -405,22 +408,28 @@
             self.write_usage(version, value, Vec::new());
             return;
         }
-        let awaited = self.awaited_reporters(members);
-        let deciding_at = Micros((settings.delay.0 as f64 * DECIDE_AT) as u64);
-        let over_below = length.number_at(unix);
-        let oldest = over_below.saturating_sub(REPORTS_KEPT as u64).max(register.next_window);
+        let awaited_reporters = self.awaited_reporters(members);
+        let decision_delay = Micros((settings.delay.0 as f64 * DECIDE_AFTER_SHARE) as u64);
+        let ended_below = length.number_at(unix);
+        let oldest = ended_below.saturating_sub(REPORTS_KEPT as u64).max(register.next_window);
         let mut decided = Vec::new();
-        for window in oldest..over_below {
+        for window in oldest..ended_below {
             let ended_at = length.end_of(window);
-            if !self.usage.usage_aggregator.is_complete(&awaited, ended_at) && unix < ended_at + deciding_at {
+            if !self.usage.usage_aggregator.is_complete(&awaited_reporters, ended_at)
+                && unix < ended_at + decision_delay
+            {
                 break;
             }
             decided.push(UsageWindow { window, counts: self.usage.usage_aggregator.counts(window) });
         }
-        // What a holder that is gone decided and may not have sent is not kept until the next window is decided.
-        let left = register.undelivered(self.usage.delivered_below).filter(|_| register.process != own);
-        let is_left = left.is_some_and(|report| unix >= length.end_of(report.window) + deciding_at);
-        if (decided.is_empty() && !is_left) || !self.may_take_usage(register, standing.seen_at, &settings) {
+        // A report that a gone holder decided and may not have sent is not delayed until the next decision.
+        let undelivered =
+            register.undelivered(self.usage.delivered_below).filter(|_| register.process != own);
+        let is_handover_due =
+            undelivered.is_some_and(|report| unix >= length.end_of(report.window) + decision_delay);
+        if (decided.is_empty() && !is_handover_due)
+            || !self.may_take_over_usage(register, stored.seen_at, &settings)
+        {
             return;
         }
         let numbers = decided.iter().map(|report| report.window).collect();
@@ -428,21 +437,26 @@
         self.write_usage(version, value, numbers);
     }
 
-    /// Whose counts a decision waits for: the members', and those of processes that counted lately and may only
-    /// be beyond a cut. One whose place has another process has ended.
+    /// The nodes whose counts a decision waits for: the members, and processes with recent updates that may only be
+    /// partitioned. A process that was replaced by a newer one of the same node has ended.
     fn awaited_reporters(&self, members: &[NodeId]) -> Vec<NodeId> {
         let has_ended = |node: NodeId| members.iter().any(|member| is_previous_incarnation(*member, node));
-        let recently = self.now - AWAITED_SPAN;
+        let earliest = self.now - AWAITED_SPAN;
         let reporters = self.usage.usage_aggregator.reporters();
-        let away = reporters.filter(|(node, received_at)| {
-            *received_at >= recently && !members.contains(node) && !has_ended(*node)
+        let out_of_reach = reporters.filter(|(node, received_at)| {
+            *received_at >= earliest && !members.contains(node) && !has_ended(*node)
         });
-        members.iter().copied().chain(away.map(|(node, _)| node)).collect()
+        members.iter().copied().chain(out_of_reach.map(|(node, _)| node)).collect()
     }
 
-    /// Whether this node may act in the holder's place: it is the holder, the holder is gone, or did nothing
+    /// Whether this node may take over as holder: it is the holder, the holder is gone, or the holder did nothing
     /// for longer than the lease.
-    fn may_take_usage(&self, register: &UsageRegister, seen_at: Micros, settings: &UsageSettings) -> bool {
+    fn may_take_over_usage(
+        &self,
+        register: &UsageRegister,
+        seen_at: Micros,
+        settings: &UsageSettings,
+    ) -> bool {
         let own = self.settings.node;
         let is_own = register.process == own || is_previous_incarnation(own, register.process);
         let is_serving = self.members.find(register.process).is_some_and(|member| member.draining == 0);
@@ -455,16 +469,16 @@
         self.usage.write = request_id.map(|request_id| RegisterWrite { request_id, value, decided });
     }
 
-    /// A read of the register was answered.
+    /// Handles the response to a read of the register.
     pub(crate) fn usage_read(&mut self, outcome: &WriteOutcome) {
         self.usage.is_reading = false;
         if outcome.outcome == WRITTEN && self.usage.write.is_none() {
             let register = UsageRegister::decode(&outcome.value);
-            self.usage_stands(outcome.version, register);
+            self.apply_stored_register(outcome.version, register);
         }
     }
 
-    /// A write of the register was answered.
+    /// Handles the response to a write of the register.
     pub(crate) fn usage_written(&mut self, outcome: &WriteOutcome) {
         let Some(write) = self.usage.write.take_if(|write| write.request_id == outcome.request_id) else {
             return;
@@ -483,11 +497,11 @@
                     let details = json!({"holder": holder, "fence": fence});
                     self.decision_log.append("usage_holder", details, self.now);
                 }
-                self.usage_stands(outcome.version, Some(write.value));
+                self.apply_stored_register(outcome.version, Some(write.value));
             }
             DIFFERS => {
                 let register = UsageRegister::decode(&outcome.value);
-                self.usage_stands(outcome.version, register);
+                self.apply_stored_register(outcome.version, register);
             }
             _ => self.usage.stored_register = None,
         }
@@ -497,16 +511,16 @@
         self.usage.is_reading = false;
     }
 
-    /// Whether the write took effect is not known: what stands is read anew. There is one write at a time.
+    /// The write may have taken effect, so the register is read again. There is one write at a time.
     pub(crate) fn usage_write_unanswered(&mut self) {
         self.usage.write = None;
         self.usage.stored_register = None;
     }
 
-    fn usage_stands(&mut self, version: u64, register: Option<UsageRegister>) {
+    fn apply_stored_register(&mut self, version: u64, register: Option<UsageRegister>) {
         let now = self.now;
-        // What an owner that was deposed unnoticed answers may be older than what is known.
-        if self.usage.stored_register.as_ref().is_some_and(|seen| seen.version > version) {
+        // The response of an owner that does not know it was deposed may be older than the known version.
+        if self.usage.stored_register.as_ref().is_some_and(|known| known.version > version) {
             return;
         }
         let Some(settings) = &self.settings.usage else { return };
@@ -516,17 +530,17 @@
         if let Some(register) = &register
             && !is_own(Some(register))
         {
-            // Somebody else may act from now on: this node's next act comes a lease after its last.
-            self.usage.barred_until = self.usage.acted_at + settings.lease + LATE_ARRIVAL;
+            // Another holder may report from now on, so this node's next report waits a lease after its last one.
+            self.usage.barred_until = self.usage.last_operation_at + settings.lease + LATE_ARRIVAL_MARGIN;
         }
         if let Some(register) = &register {
-            self.usage.note_holder(register.fence, register.process);
+            self.usage.record_holder(register.fence, register.process);
             self.usage.usage_counter.decided_below(register.next_window);
         }
-        self.usage.stands(version, register, now);
+        self.usage.set_stored_register(version, register, now);
     }
 
-    /// Sends the oldest report that is not known to be accepted, if it is this node's turn to send.
+    /// Sends the oldest report that is not known to be accepted, if this node is the holder and may send now.
     fn send_usage(&mut self) {
         let now = self.now;
         let Some(settings) = &self.settings.usage else { return };
@@ -534,7 +548,7 @@
         let is_holder = register.holder.0 == settings.holder && register.process == self.settings.node;
         if !is_holder
             || register.fence == self.usage.refused_fence
-            || self.usage.sent.is_some()
+            || self.usage.sent_window.is_some()
             || now < self.usage.send_due.max(self.usage.barred_until)
         {
             return;
@@ -544,16 +558,16 @@
         if !self.spend_report_operation() {
             return;
         }
-        self.usage.sent = Some(report.window);
-        self.usage.acted_at = now;
+        self.usage.sent_window = Some(report.window);
+        self.usage.last_operation_at = now;
         self.emit(Action::ReportUsage { report, fence });
     }
 
-    /// The platform answered a report, or did not.
+    /// Handles the result of a report to the platform.
     pub(crate) fn usage_reported(&mut self, window: u64, fence: u64, result: UsageResult) {
         let now = self.now;
-        self.usage.sent = None;
-        self.usage.acted_at = now;
+        self.usage.sent_window = None;
+        self.usage.last_operation_at = now;
         match result {
             UsageResult::Accepted => {
                 self.operation_accepted();
@@ -569,13 +583,13 @@
             }
             UsageResult::Throttled => {
                 self.operation_throttled();
-                self.usage.send_due = now + SEND_AGAIN;
+                self.usage.send_due = now + SEND_RETRY_PAUSE;
             }
-            UsageResult::Unknown => self.usage.send_due = now + SEND_AGAIN,
+            UsageResult::Unknown => self.usage.send_due = now + SEND_RETRY_PAUSE,
         }
     }
 
-    /// How long ago the newest window ended that this node's reports were accepted for.
+    /// The time since the end of the newest window whose report was accepted from this node.
     pub(crate) fn usage_report_age(&self, now: Micros) -> Option<Micros> {
         let ended_at = self.usage_length()?.end_of(self.usage.newest_delivered?);
         self.usage.clock.unix(now).map(|unix| unix - ended_at)
