--- a/packages/node_protocol/src/call_admission.rs
+++ b/packages/node_protocol/src/call_admission.rs
@@ -285,12 +285,13 @@
     pub(crate) fn handle_call_message(&mut self, from: NodeId, message: Message) {
         match message {
             Message::PermitGranted { request_id, permit } if is_relayed(request_id) => {
-                self.relayed_grant(from, request_id, permit);
+                self.relay_grant(from, request_id, permit);
             }
             Message::PermitDeferred { request_id, outcome, reason, retry_after_millis }
                 if is_relayed(request_id) =>
             {
-                let Some((requester, own_request)) = self.calls.relay.answered(request_id, from) else {
+                let Some((requester, own_request_id)) = self.calls.relay.record_response(request_id, from)
+                else {
                     return;
                 };
                 if outcome != 0 {
@@ -298,7 +299,12 @@
                 }
                 self.send(
                     requester,
-                    Message::PermitDeferred { request_id: own_request, outcome, reason, retry_after_millis },
+                    Message::PermitDeferred {
+                        request_id: own_request_id,
+                        outcome,
+                        reason,
+                        retry_after_millis,
+                    },
                 );
             }
             Message::PermitGranted { request_id, permit } => self.permit_granted(from, request_id, permit),
@@ -435,9 +441,9 @@
         received_at.is_some_and(|received_at| self.now < *received_at + LEADER_TIMEOUT)
     }
 
-    fn relayed_grant(&mut self, from: NodeId, relay_id: u64, permit: Permit) {
+    fn relay_grant(&mut self, from: NodeId, relay_id: u64, permit: Permit) {
         let ends_at = self.calls.relay.end_of(relay_id);
-        let requester = self.calls.relay.answered(relay_id, from);
+        let requester = self.calls.relay.record_response(relay_id, from);
         let (Some(ends_at), Some((requester, request_id))) = (ends_at, requester) else {
             self.send(from, Message::PermitReturn { permit, outcome: UNUSED, latency_micros: 0 });
             return;
@@ -447,7 +453,7 @@
     }
 
     /// Withdraws a relayed request whose call has ended.
-    pub(crate) fn relayed_withdraw(&mut self, requester: NodeId, request_id: u64, function: &str) {
+    pub(crate) fn relay_withdraw(&mut self, requester: NodeId, request_id: u64, function: &str) {
         let relay_id = self.calls.relay.relay_id_of(requester, request_id);
         let Some((relay_id, relayed)) =
             relay_id.and_then(|relay_id| Some((relay_id, self.calls.relay.finish(relay_id)?)))
@@ -461,7 +467,7 @@
     }
 
     /// Sends the return of a relayed permit on to its granter.
-    pub(crate) fn relayed_return(&mut self, permit: Permit, outcome: u8, latency_micros: u64) {
+    pub(crate) fn relay_return(&mut self, permit: Permit, outcome: u8, latency_micros: u64) {
         let granted_by = permit.granted_by;
         if granted_by != self.settings.node && self.calls.relay.remove_permit(&permit) {
             self.send(granted_by, Message::PermitReturn { permit, outcome, latency_micros });
--- a/packages/node_protocol/src/function_leadership.rs
+++ b/packages/node_protocol/src/function_leadership.rs
@@ -353,8 +353,8 @@
         let own = self.settings.node;
         let is_above_mean = own_count as f64 > election.fair_share(own, members, total.saturating_sub(1));
         // After the transfer the recipient must not be more loaded than this node.
-        let is_worth_it = own_count > 0 && load(*lightest, fewest + 1) <= load(own, own_count - 1);
-        if !is_above_mean || !is_worth_it {
+        let improves_balance = own_count > 0 && load(*lightest, fewest + 1) <= load(own, own_count - 1);
+        if !is_above_mean || !improves_balance {
             return;
         }
         let schedulers = &self.leadership.schedulers;
@@ -522,18 +522,18 @@
                     scheduler.returned(&permit, outcome, latency, now);
                 }
                 self.forward_return(&permit, outcome, latency_micros);
-                self.relayed_return(permit, outcome, latency_micros);
+                self.relay_return(permit, outcome, latency_micros);
             }
             Message::PermitWithdraw { request_id, function } => {
                 if let Some(scheduler) = self.leadership.schedulers.get_mut(&function.0) {
                     scheduler.withdraw(from, request_id);
                 }
-                self.relayed_withdraw(from, request_id, &function.0);
+                self.relay_withdraw(from, request_id, &function.0);
             }
             Message::TermTransferred { .. } => self.term_transferred(from, message),
             Message::HeldPermitsResponse { functions } => {
                 for response in functions.0 {
-                    self.held_answered(from, response);
+                    self.held_permits_received(from, response);
                 }
             }
             _ => {}
@@ -612,7 +612,7 @@
         leader.is_some_and(|node| self.relay_request(from, node, message.clone()))
     }
 
-    fn held_answered(&mut self, from: NodeId, response: HeldPermitsResponseEntry) {
+    fn held_permits_received(&mut self, from: NodeId, response: HeldPermitsResponseEntry) {
         let now = self.now;
         let Some(scheduler) = self.leadership.schedulers.get_mut(&response.function.0) else { return };
         if scheduler.leader_epoch() != response.leader_epoch || !scheduler.awaited_holders().contains(&from) {
@@ -751,7 +751,7 @@
         if std::mem::take(&mut self.leadership.is_platform_silent) {
             self.decision_log.append("platform_answers", json!({}), now);
         }
-        let mut used: BTreeMap<String, u64> = BTreeMap::new();
+        let mut used_memory: BTreeMap<String, u64> = BTreeMap::new();
         let configuration = self.configuration.current();
         for instance in &mut instances {
             // If the platform does not report an instance's memory, the function's configured memory is used.
@@ -761,9 +761,9 @@
             }
         }
         for instance in &instances {
-            *used.entry(instance.worker.clone()).or_default() += instance.memory_mb;
+            *used_memory.entry(instance.worker.clone()).or_default() += instance.memory_mb;
         }
-        self.leadership.placement.update_list(workers, used);
+        self.leadership.placement.update_list(workers, used_memory);
         for instance in &mut instances {
             // The instances of a draining worker are draining as well.
             instance.draining |= !self.leadership.placement.is_usable(&instance.worker);
@@ -815,8 +815,8 @@
         let members = self.serving_members();
         let mut orphaned_functions = BTreeSet::new();
         for (instance, function) in instances {
-            let fresh = Orphan { since: now, stop_requested_at: None };
-            let orphan = self.leadership.orphans.entry(instance.clone()).or_insert(fresh);
+            let new_orphan = Orphan { since: now, stop_requested_at: None };
+            let orphan = self.leadership.orphans.entry(instance.clone()).or_insert(new_orphan);
             let chosen = Node::rendezvous_choice(&function, members.iter().copied());
             if chosen != Some(self.settings.node) || now < orphan.since + ORPHAN_GRACE {
                 continue;
--- a/packages/node_protocol/src/node.rs
+++ b/packages/node_protocol/src/node.rs
@@ -548,8 +548,8 @@
         let Some(draining_since) = self.draining_since else { return };
         let is_alone = self.serving_members().is_empty();
         let is_done = self.leadership.election.is_empty() && !self.must_stay_for_change();
-        let is_over = is_alone || is_done || self.now >= draining_since + DRAIN_TIMEOUT;
-        if is_over && !self.is_drained_reported {
+        let may_finish = is_alone || is_done || self.now >= draining_since + DRAIN_TIMEOUT;
+        if may_finish && !self.is_drained_reported {
             self.is_drained_reported = true;
             self.emit(Action::Drained);
         }
--- a/packages/node_protocol/src/request_relay.rs
+++ b/packages/node_protocol/src/request_relay.rs
@@ -87,7 +87,7 @@
     }
 
     /// Records a response of the leader; returns the requester and its request id.
-    pub(crate) fn answered(&mut self, relay_id: u64, leader: NodeId) -> Option<(NodeId, u64)> {
+    pub(crate) fn record_response(&mut self, relay_id: u64, leader: NodeId) -> Option<(NodeId, u64)> {
         let relayed = self.by_relay_id.get_mut(&relay_id).filter(|relayed| relayed.leader == leader)?;
         relayed.unanswered_since = None;
         Some((relayed.requester, relayed.request_id))
--- a/packages/node_protocol/src/request_relay/tests.rs
+++ b/packages/node_protocol/src/request_relay/tests.rs
@@ -15,38 +15,38 @@
         leader_epoch: 1,
         function: "proof".into(),
         instance: "c1".into(),
-        address: Address::from("10.0.0.1:80".parse::<std::net::SocketAddr>().expect("an address")),
+        address: Address::from("10.0.0.1:80".parse::<std::net::SocketAddr>().expect("valid socket address")),
     }
 }
 
 #[test]
 fn repeated_request_keeps_its_relay_id_and_the_start_of_its_wait() {
     let mut relay = RequestRelay::default();
-    let relay_id = relay.register(REQUESTER, 12, LEADER, at(4_000), at(100)).expect("room");
+    let relay_id = relay.register(REQUESTER, 12, LEADER, at(4_000), at(100)).expect("the relay is not full");
     assert!(is_relayed(relay_id));
     assert_eq!(relay.register(REQUESTER, 12, LEADER, at(4_000), at(300)), Some(relay_id));
     assert_eq!(relay.get(relay_id).and_then(|relayed| relayed.unanswered_since), Some(at(100)));
-    assert_eq!(relay.answered(relay_id, LEADER), Some((REQUESTER, 12)));
+    assert_eq!(relay.record_response(relay_id, LEADER), Some((REQUESTER, 12)));
     assert_eq!(relay.get(relay_id).and_then(|relayed| relayed.unanswered_since), None);
 }
 
 #[test]
 fn response_of_a_node_that_was_not_asked_is_ignored() {
     let mut relay = RequestRelay::default();
-    let relay_id = relay.register(REQUESTER, 12, LEADER, at(4_000), at(0)).expect("room");
-    assert_eq!(relay.answered(relay_id, LEADER + 1), None);
+    let relay_id = relay.register(REQUESTER, 12, LEADER, at(4_000), at(0)).expect("the relay is not full");
+    assert_eq!(relay.record_response(relay_id, LEADER + 1), None);
     relay.register(REQUESTER, 12, LEADER + 1, at(4_000), at(200));
-    assert_eq!(relay.answered(relay_id, LEADER), None);
-    assert_eq!(relay.answered(relay_id, LEADER + 1), Some((REQUESTER, 12)));
+    assert_eq!(relay.record_response(relay_id, LEADER), None);
+    assert_eq!(relay.record_response(relay_id, LEADER + 1), Some((REQUESTER, 12)));
 }
 
 #[test]
 fn same_request_id_of_two_nodes_gets_two_relay_ids() {
     let mut relay = RequestRelay::default();
-    let first = relay.register(REQUESTER, 12, LEADER, at(4_000), at(0)).expect("room");
-    let second = relay.register(REQUESTER + 1, 12, LEADER, at(4_000), at(0)).expect("room");
+    let first = relay.register(REQUESTER, 12, LEADER, at(4_000), at(0)).expect("the relay is not full");
+    let second = relay.register(REQUESTER + 1, 12, LEADER, at(4_000), at(0)).expect("the relay is not full");
     assert_ne!(first, second);
-    assert_eq!(relay.answered(second, LEADER), Some((REQUESTER + 1, 12)));
+    assert_eq!(relay.record_response(second, LEADER), Some((REQUESTER + 1, 12)));
 }
 
 #[test]
--- a/packages/node_protocol/src/usage_reporting.rs
+++ b/packages/node_protocol/src/usage_reporting.rs
@@ -44,7 +44,7 @@
 const DECIDE_AFTER_SHARE: f64 = 0.6;
 /// A process that is gone may return with its counts if an update of it was received within this time.
 const AWAITED_SPAN: Micros = Micros::from_secs(20);
-/// Counts that were not used are dropped after this time.
+/// Windows without new counts and reporters without updates are dropped after this time.
 const COUNTS_RETENTION: Micros = Micros::from_secs(60);
 
 /// The settings of usage reporting. Example: `UsageSettings { holder: "edge-1".into(), .. }`.
@@ -56,7 +56,7 @@
     pub window: Micros,
     /// The platform accepts a report until this long after the end of its window.
     pub delay: Micros,
-    /// Within this span the platform must not receive reports of two holders in the order A, B, A.
+    /// Within this span holders must not send reports in the order A, B, A.
     pub lease: Micros,
 }
 
@@ -234,13 +234,13 @@
         self.send_usage_updates(second, STANDBY_UPDATE_INTERVAL);
         self.forward_usage_of_gone([first, second]);
         self.usage.sent_progress.retain(|node, _| [first, second].contains(&Some(*node)));
-        let kept_since = now - COUNTS_RETENTION;
-        self.usage.usage_counter.forget_untouched(kept_since);
+        let retained_since = now - COUNTS_RETENTION;
+        self.usage.usage_counter.forget_untouched(retained_since);
         let open_from = self.usage.usage_counter.open_from();
-        self.usage.usage_aggregator.forget(open_from, kept_since);
+        self.usage.usage_aggregator.forget(open_from, retained_since);
         self.usage.counted.retain(|_, (window, _)| *window >= open_from);
         if first == Some(self.settings.node) {
-            self.collect_usage();
+            self.tick_collector();
         } else {
             self.usage.collector_since = None;
             self.usage.stored_register = None;
@@ -284,10 +284,9 @@
     fn forward_usage_of_gone(&mut self, collectors: [Option<NodeId>; 2]) {
         let now = self.now;
         let own = self.settings.node;
-        let acknowledged: Vec<NodeId> =
-            self.usage.usage_aggregator.reporters().map(|(node, _)| node).collect();
+        let reporters: Vec<NodeId> = self.usage.usage_aggregator.reporters().map(|(node, _)| node).collect();
         let gone: Vec<NodeId> =
-            acknowledged.into_iter().filter(|node| self.members.find(*node).is_none()).collect();
+            reporters.into_iter().filter(|node| self.members.find(*node).is_none()).collect();
         self.usage.forwarded.retain(|(collector, reporter), _| {
             collectors.contains(&Some(*collector)) && gone.contains(reporter)
         });
@@ -356,7 +355,7 @@
     }
 
     /// One step of the collector: reads the register, decides ended windows, and sends decided reports.
-    fn collect_usage(&mut self) {
+    fn tick_collector(&mut self) {
         let now = self.now;
         let since = *self.usage.collector_since.get_or_insert(now);
         let members: Vec<NodeId> = self.members.live().iter().map(|member| member.node).collect();
@@ -372,9 +371,9 @@
         let is_clock_known =
             self.usage.clock.is_agreed() || (now >= since + CLOCK_TIMEOUT && self.usage.clock.knows_fleet());
         if is_clock_known && now >= since + COLLECTOR_WARM_UP && self.usage.write.is_none() {
-            self.decide_usage(&members);
+            self.decide_ended_windows(&members);
         }
-        self.send_usage();
+        self.send_report();
     }
 
     fn read_usage(&mut self) {
@@ -387,7 +386,7 @@
     }
 
     /// Writes the counts of ended windows to the register with this node as the holder.
-    fn decide_usage(&mut self, members: &[NodeId]) {
+    fn decide_ended_windows(&mut self, members: &[NodeId]) {
         let now = self.now;
         let (Some(settings), Some(length)) = (self.settings.usage.clone(), self.usage_length()) else {
             return;
@@ -425,9 +424,9 @@
         // A report that a gone holder decided and may not have sent is not delayed until the next decision.
         let undelivered =
             register.undelivered(self.usage.delivered_below).filter(|_| register.process != own);
-        let is_handover_due =
+        let is_undelivered_due =
             undelivered.is_some_and(|report| unix >= length.end_of(report.window) + decision_delay);
-        if (decided.is_empty() && !is_handover_due)
+        if (decided.is_empty() && !is_undelivered_due)
             || !self.may_take_over_usage(register, stored.seen_at, &settings)
         {
             return;
@@ -443,10 +442,10 @@
         let has_ended = |node: NodeId| members.iter().any(|member| is_previous_incarnation(*member, node));
         let earliest = self.now - AWAITED_SPAN;
         let reporters = self.usage.usage_aggregator.reporters();
-        let out_of_reach = reporters.filter(|(node, received_at)| {
+        let partitioned = reporters.filter(|(node, received_at)| {
             *received_at >= earliest && !members.contains(node) && !has_ended(*node)
         });
-        members.iter().copied().chain(out_of_reach.map(|(node, _)| node)).collect()
+        members.iter().copied().chain(partitioned.map(|(node, _)| node)).collect()
     }
 
     /// Whether this node may take over as holder: it is the holder, the holder is gone, or the holder did nothing
@@ -541,7 +540,7 @@
     }
 
     /// Sends the oldest report that is not known to be accepted, if this node is the holder and may send now.
-    fn send_usage(&mut self) {
+    fn send_report(&mut self) {
         let now = self.now;
         let Some(settings) = &self.settings.usage else { return };
         let Some(register) = self.usage.register() else { return };
