--- a/packages/node_protocol/src/function_leadership.rs
+++ b/packages/node_protocol/src/function_leadership.rs
@@ -205,7 +205,7 @@
 }
 
 impl Node {
-    pub(crate) fn tick_leaders(&mut self) {
+    pub(crate) fn tick_leadership(&mut self) {
         let now = self.now;
         let members = self.serving_members();
         self.update_capacities(&members);
@@ -291,19 +291,20 @@
         let own_processor = self.settings.processor_millis;
         let max_call_rate = f64::from(own_processor) * LARGE_SHARE / CALL_COST_MILLICORES;
         let mut schedulers = self.leadership.schedulers.iter();
-        let Some(function) = schedulers.find(|(_, scheduler)| scheduler.call_rate(now) > max_call_rate)
+        let Some((function, scheduler)) =
+            schedulers.find(|(_, scheduler)| scheduler.call_rate(now) > max_call_rate)
         else {
             return;
         };
-        let (function, rate) = (function.0.clone(), function.1.call_rate(now));
+        let (function, rate) = (function.clone(), scheduler.call_rate(now));
         let live = self.members.live().into_iter();
-        let larger_machine = live.filter(|member| {
+        let larger_machines = live.filter(|member| {
             member.draining == 0
                 && member.state == 0
                 && member.processor / LARGER_MACHINE_FACTOR >= own_processor
         });
         let Some(larger_machine) =
-            Node::rendezvous_choice(&function, larger_machine.map(|member| member.node))
+            Node::rendezvous_choice(&function, larger_machines.map(|member| member.node))
         else {
             return;
         };
@@ -373,7 +374,7 @@
     }
 
     /// Names a successor for each function that this node leads and releases those without a successor.
-    pub(crate) fn release_leaders(&mut self) {
+    pub(crate) fn release_led_functions(&mut self) {
         let members = self.serving_members();
         if self.is_on(Policy::NamedSuccessors) {
             self.name_successors(&members);
@@ -839,7 +840,7 @@
     }
 
     /// Carries out the actions of all schedulers and sends queued starts and stops to the platform.
-    pub(crate) fn flush_leaders(&mut self) {
+    pub(crate) fn flush_leadership(&mut self) {
         self.flush_schedulers();
         self.send_platform_operations();
     }
--- a/packages/node_protocol/src/node.rs
+++ b/packages/node_protocol/src/node.rs
@@ -236,7 +236,7 @@
     fn process_pending(&mut self) {
         loop {
             self.flush_control();
-            self.flush_leaders();
+            self.flush_leadership();
             let Some(message) = self.to_self.pop_front() else { return };
             self.handle_message(self.settings.node, self.settings.address, message);
         }
@@ -258,7 +258,7 @@
         self.tick_control();
         self.tick_configuration();
         self.tick_usage();
-        self.tick_leaders();
+        self.tick_leadership();
         self.tick_calls();
         self.tick_decisions_queries();
         self.tick_drain();
@@ -533,7 +533,7 @@
         self.decision_log.append("draining", json!({}), self.now);
         // A node without serving peers cannot transfer its leases: it leads until its calls are done.
         if !self.serving_members().is_empty() {
-            self.release_leaders();
+            self.release_led_functions();
         }
         // Announced to all peers at once instead of with the next probe.
         let announcement =
