--- a/packages/leader_election/src/action_guard.rs
+++ b/packages/leader_election/src/action_guard.rs
@@ -1,11 +1,12 @@
-//! Keeps a node from acting for a function again while the platform may still count its acts from before
-//! another's term.
+//! Bars a node from sending operations for a function while the platform may still count operations that the
+//! node sent before another node's term.
 //!
-//! Terms follow each other within a lease where they are given away (a stop, balance, a large function). If a
-//! node gives a function to another, which acts, and gets it back at once, the platform sees the holders A, B, A
-//! within one lease. So a node that takes a function back holds its starts and stops until a lease has passed
-//! since its own last act, unless nobody else can have held the function in between. What a process that has just
-//! started takes over from others is held too: the process before it, which has the same name, may have acted.
+//! Terms follow each other within one lease if they are transferred (on a stop, for balance, for a large
+//! function). If a node transfers a function to another, which sends operations, and gets the function back
+//! at once, the platform sees the holders A, B, A within one lease. So a node that gets a function back
+//! delays starts and stops until a lease has passed since its own last operation, unless no other node can
+//! have led the function in between. A process that has just started is also barred for functions that it
+//! takes over from others: its previous incarnation, which has the same name, may have sent operations.
 
 use monotonic_clock::Micros;
 use std::collections::BTreeMap;
@@ -16,25 +17,25 @@
     at: Micros,
 }
 
-/// The last acts of this process by function, and the functions that it does not act for yet.
+/// The last operations of this process by function, and the functions that are still barred.
 /// Example: `ActionGuard::new(Micros::from_secs(3), now).is_barred("proof", now) == false`.
 #[derive(Debug)]
 pub struct ActionGuard {
     lease: Micros,
-    began_at: Micros,
-    /// Only those of the last lease.
+    started_at: Micros,
+    /// Only operations of the last lease.
     last_actions: BTreeMap<String, LastAction>,
-    held_until: BTreeMap<String, Micros>,
+    barred_until: BTreeMap<String, Micros>,
 }
 
 impl ActionGuard {
-    /// A process that begins now. Example: `ActionGuard::new(settings.lease, now)`.
+    /// The guard of a process that starts now. Example: `ActionGuard::new(settings.lease, now)`.
     pub fn new(lease: Micros, now: Micros) -> ActionGuard {
-        ActionGuard { lease, began_at: now, last_actions: BTreeMap::new(), held_until: BTreeMap::new() }
+        ActionGuard { lease, started_at: now, last_actions: BTreeMap::new(), barred_until: BTreeMap::new() }
     }
 
-    /// A term begins. Of the record that it was claimed on: the epoch, if it names this process, and whether it is
-    /// the first ever or names a process that was at this place before.
+    /// A term begins. The pair describes the record that the claim replaced: its epoch, if it names this
+    /// process, and whether it is the first record ever or names a previous incarnation of this node.
     /// Example: `guard.term_taken("proof", 12, (Some(9), false), now)`.
     pub fn term_taken(
         &mut self,
@@ -43,48 +44,49 @@
         (own_epoch_before, is_kept): (Option<u64>, bool),
         now: Micros,
     ) {
-        let began_at = self.began_at;
-        let quiet_since = match self.last_actions.get_mut(function) {
+        let started_at = self.started_at;
+        let last_action_at = match self.last_actions.get_mut(function) {
             Some(last) if own_epoch_before == Some(last.leader_epoch) => {
                 last.leader_epoch = leader_epoch;
                 return;
             }
             Some(last) => last.at,
             None if is_kept => return,
-            None => began_at,
+            None => started_at,
         };
-        let held_until = quiet_since + self.lease;
-        if now < held_until {
-            self.held_until.insert(function.to_owned(), held_until);
+        let barred_until = last_action_at + self.lease;
+        if now < barred_until {
+            self.barred_until.insert(function.to_owned(), barred_until);
         }
     }
 
-    /// A start or stop leaves for the platform. Example: `guard.operation_sent("proof", 12, now)`.
+    /// A start or stop is sent to the platform. Example: `guard.operation_sent("proof", 12, now)`.
     pub fn operation_sent(&mut self, function: &str, leader_epoch: u64, now: Micros) {
         let lease = self.lease;
         self.last_actions.retain(|_, last| now < last.at + lease);
         self.last_actions.insert(function.to_owned(), LastAction { leader_epoch, at: now });
     }
 
-    /// The platform answered a start or stop: it may have counted it as late as now.
+    /// The platform responded to a start or stop, which it may have counted as late as now.
     /// Example: `guard.operation_answered("proof", now)`.
     pub fn operation_answered(&mut self, function: &str, now: Micros) {
         if let Some(last) = self.last_actions.get_mut(function) {
             last.at = now;
         }
-        if let Some(held_until) = self.held_until.get_mut(function) {
-            *held_until = (*held_until).max(now + self.lease);
+        if let Some(barred_until) = self.barred_until.get_mut(function) {
+            *barred_until = (*barred_until).max(now + self.lease);
         }
     }
 
-    /// Whether starts and stops of the function have to wait. Example: `if guard.is_barred("proof", now) { .. }`.
+    /// Whether starts and stops of the function have to wait.
+    /// Example: `if guard.is_barred("proof", now) { .. }`.
     pub fn is_barred(&self, function: &str, now: Micros) -> bool {
-        !self.held_until.is_empty() && self.held_until.get(function).is_some_and(|until| now < *until)
+        !self.barred_until.is_empty() && self.barred_until.get(function).is_some_and(|until| now < *until)
     }
 
-    /// Forgets what is over. Example: `guard.tick(now)`.
+    /// Drops expired bars. Example: `guard.tick(now)`.
     pub fn tick(&mut self, now: Micros) {
-        self.held_until.retain(|_, until| now < *until);
+        self.barred_until.retain(|_, until| now < *until);
     }
 }
 
--- a/packages/leader_election/src/action_guard/tests.rs
+++ b/packages/leader_election/src/action_guard/tests.rs
@@ -6,48 +6,49 @@
     Micros::from_millis(millis)
 }
 
-/// A process that began long before these tests' times.
-fn old_guard() -> ActionGuard {
+/// The guard of a process that started long before the times in these tests.
+fn long_running_guard() -> ActionGuard {
     ActionGuard::new(LEASE, Micros(0))
 }
 
-/// Guards against: holders act in the order A, B, A within a lease after a term went there and back.
+/// Guards against: the platform sees operations of A, B, A within one lease after a term was transferred and
+/// returned.
 #[test]
-fn a_term_that_comes_back_is_not_acted_under_until_a_lease_after_the_last_action() {
-    let mut guard = old_guard();
+fn a_returned_term_is_barred_until_a_lease_after_the_last_operation() {
+    let mut guard = long_running_guard();
     guard.operation_sent("proof", 5, at(10_000));
-    // Another led under 8 and named this process.
+    // Another node led under epoch 8 and transferred the term to this process.
     guard.term_taken("proof", 9, (Some(8), false), at(10_700));
     assert!(guard.is_barred("proof", at(12_999)));
     assert!(!guard.is_barred("other", at(10_700)));
     assert!(!guard.is_barred("proof", at(13_000)));
 }
 
-/// Guards against: a term that somebody gave back to nobody counts as if nobody had held it.
+/// Guards against: a term that another node released counts as if no other node had led.
 #[test]
-fn a_term_from_nobody_is_held_too_after_an_action_of_an_older_one() {
-    let mut guard = old_guard();
+fn a_released_term_is_barred_after_an_operation_of_an_older_term() {
+    let mut guard = long_running_guard();
     guard.operation_sent("proof", 5, at(10_000));
     guard.term_taken("proof", 9, (None, false), at(11_000));
     assert!(guard.is_barred("proof", at(12_999)));
 }
 
-/// Guards against: a lapse in which nobody else led delays starts.
+/// Guards against: starts are delayed after a gap in which no other node led.
 #[test]
-fn a_term_that_nobody_else_had_in_between_goes_on_at_once() {
-    let mut guard = old_guard();
+fn a_term_that_no_other_node_led_in_between_is_not_barred() {
+    let mut guard = long_running_guard();
     guard.operation_sent("proof", 5, at(10_000));
     guard.term_taken("proof", 7, (Some(5), false), at(11_000));
     assert!(!guard.is_barred("proof", at(11_000)));
-    // And once more without an act in between.
+    // The same again, without an operation in between.
     guard.term_taken("proof", 11, (Some(7), false), at(11_500));
     assert!(!guard.is_barred("proof", at(11_500)));
 }
 
-/// Guards against: the platform counts a slow act after the hold was measured from its sending.
+/// Guards against: the bar ends a lease after an operation was sent, though the platform counted it later.
 #[test]
-fn a_response_moves_the_hold() {
-    let mut guard = old_guard();
+fn a_response_extends_the_bar() {
+    let mut guard = long_running_guard();
     guard.operation_sent("proof", 5, at(10_000));
     guard.term_taken("proof", 9, (Some(8), false), at(10_700));
     guard.operation_answered("proof", at(11_400));
@@ -55,9 +56,10 @@
     assert!(!guard.is_barred("proof", at(14_400)));
 }
 
-/// Guards against: a restarted process acts within a lease of its predecessor's acts, another's in between.
+/// Guards against: a restarted process sends operations within a lease of its previous incarnation's, with
+/// another node's operations in between.
 #[test]
-fn what_a_process_that_has_just_started_takes_from_others_is_held_and_what_it_keeps_is_not() {
+fn a_restarted_process_is_barred_for_functions_of_others_and_not_for_its_own() {
     let mut guard = ActionGuard::new(LEASE, at(10_000));
     guard.term_taken("given", 9, (Some(8), false), at(10_500));
     guard.term_taken("from nobody", 9, (None, false), at(10_500));
@@ -70,16 +72,16 @@
     assert!(!guard.is_barred("later", at(13_000)));
 }
 
-/// Guards against: the guard grows with every function that was ever acted for.
+/// Guards against: the guard keeps an entry for every function that it ever saw an operation for.
 #[test]
-fn operations_and_holds_that_are_over_are_forgotten() {
-    let mut guard = old_guard();
+fn expired_operations_and_bars_are_dropped() {
+    let mut guard = long_running_guard();
     for number in 0..1_000u64 {
         guard.operation_sent(&format!("function-{number}"), 5, at(10_000 + number * 100));
     }
     assert!(guard.last_actions.len() <= 31, "{}", guard.last_actions.len());
     guard.term_taken("function-999", 9, (Some(8), false), at(110_000));
-    assert_eq!(guard.held_until.len(), 1);
+    assert_eq!(guard.barred_until.len(), 1);
     guard.tick(at(120_000));
-    assert_eq!(guard.held_until.len(), 0);
+    assert_eq!(guard.barred_until.len(), 0);
 }
--- a/packages/leader_election/src/holder_index.rs
+++ b/packages/leader_election/src/holder_index.rs
@@ -1,10 +1,10 @@
-//! Which observer copies are open to a claim, kept up to date as records change, so that nothing has to go
-//! through all functions at each clock event.
+//! Index of the observer copies that are open to a claim, updated as records change, so that a tick does not
+//! have to go through all functions.
 //!
-//! A record is open when nobody holds it, when its lease ran out by own observation, and when it names
-//! this machine: this process, whose term may have ended, or one before it, which has surely ended. Renewals
-//! only move a lease's end further away, so the earliest end that was ever noted is a lower bound: before
-//! it no held record can have run out, and only from then on are all copies looked at again.
+//! A record is open if it has no holder, if its lease expired by own observation, or if it names this node:
+//! this process, whose term may have ended, or a previous incarnation, which has certainly ended. Renewals
+//! only postpone the end of a lease, so the earliest end recorded is a lower bound: before it no held record
+//! can have expired, and the copies need not be scanned.
 
 use crate::{ObserverCopy, lease_of};
 use monotonic_clock::Micros;
@@ -14,11 +14,11 @@
 #[derive(Debug)]
 pub(crate) struct HolderIndex {
     own: NodeId,
-    /// Functions whose records are open as of the last look.
+    /// Functions whose records are open as of the last refresh.
     open: BTreeSet<String>,
-    /// Other nodes by the records that name them and are not open.
+    /// For each other node the number of records that name it and are not open.
     held_by: BTreeMap<NodeId, usize>,
-    /// No held record runs out before this.
+    /// No held record expires before this.
     earliest_end: Micros,
 }
 
@@ -27,44 +27,49 @@
         HolderIndex { own, open: BTreeSet::new(), held_by: BTreeMap::new(), earliest_end: Micros(u64::MAX) }
     }
 
-    /// Functions open to a claim, as of the last look.
+    /// Functions open to a claim, as of the last refresh.
     pub(crate) fn open(&self) -> &BTreeSet<String> {
         &self.open
     }
 
-    /// The other nodes that hold anything, as of the last look.
+    /// The other nodes that hold any record, as of the last refresh.
     pub(crate) fn holders(&self) -> impl Iterator<Item = NodeId> {
         self.held_by.keys().copied()
     }
 
-    /// A record took another's place. Whether the new one ran out already is found at the next look.
-    pub(crate) fn changed(&mut self, function: &str, before: Option<&ObserverCopy>, copy: &ObserverCopy) {
+    /// A record was replaced. The next refresh finds out whether the new one has expired already.
+    pub(crate) fn record_changed(
+        &mut self,
+        function: &str,
+        previous: Option<&ObserverCopy>,
+        copy: &ObserverCopy,
+    ) {
         if !self.open.remove(function)
-            && let Some(holder) = before.and_then(|before| self.holder(before))
+            && let Some(holder) = previous.and_then(|previous| self.holder(previous))
         {
             self.release(holder);
         }
-        self.note(function, copy);
+        self.insert(function, copy);
     }
 
     /// A record was renewed by its holder, at the copy's time of observation.
-    pub(crate) fn renewed(&mut self, function: &str, copy: &ObserverCopy) {
+    pub(crate) fn record_renewed(&mut self, function: &str, copy: &ObserverCopy) {
         if !self.open.is_empty() && self.open.remove(function) {
-            self.note(function, copy);
+            self.insert(function, copy);
         }
     }
 
-    /// Goes through all copies again after some of them were dropped.
+    /// Builds the index anew after copies were dropped.
     pub(crate) fn rebuild(&mut self, copies: &BTreeMap<String, ObserverCopy>) {
         self.open.clear();
         self.held_by.clear();
         self.earliest_end = Micros(u64::MAX);
         for (function, copy) in copies {
-            self.note(function, copy);
+            self.insert(function, copy);
         }
     }
 
-    /// Finds the records whose leases ran out by now; costs nothing while none can have.
+    /// Finds the records whose leases have expired; returns at once while none can have.
     pub(crate) fn refresh(&mut self, copies: &BTreeMap<String, ObserverCopy>, now: Micros) {
         if now < self.earliest_end {
             return;
@@ -85,7 +90,7 @@
         }
     }
 
-    fn note(&mut self, function: &str, copy: &ObserverCopy) {
+    fn insert(&mut self, function: &str, copy: &ObserverCopy) {
         match self.holder(copy) {
             Some(holder) => {
                 *self.held_by.entry(holder).or_default() += 1;
@@ -106,11 +111,11 @@
         }
     }
 
-    /// The other machine's node that a record names.
+    /// The holder that a record names, unless it is this node or a previous incarnation of it.
     fn holder(&self, copy: &ObserverCopy) -> Option<NodeId> {
         let holder = copy.record.as_ref().map(|record| record.holder)?;
-        let is_own_machine = holder == self.own || is_previous_incarnation(self.own, holder);
-        (!is_own_machine).then_some(holder)
+        let is_own_node = holder == self.own || is_previous_incarnation(self.own, holder);
+        (!is_own_node).then_some(holder)
     }
 }
 
--- a/packages/leader_election/src/lib.rs
+++ b/packages/leader_election/src/lib.rs
@@ -1,13 +1,15 @@
-//! Who is steward of which function: the balanced leader distribution of Nguyen and Kim (Sensors
-//! 2021, 21, 869), as a pure machine of observations and times.
+//! Per-function leader election: the balanced leader distribution of Nguyen and Kim (Sensors
+//! 2021, 21, 869), as a pure state machine driven by observations and times.
 //!
-//! Kept: the leader record (holder, renew time, lease duration) claimed by a conditional write; the
-//! observer copy with the local time it was taken; candidacy after a whole lease without change by
-//! own observation; the gate `own <= (L_cluster + 1) / N`; renewal. Changed: the tally is folded
-//! from the leader records themselves, so tally and record can never part; N is weighted by what the
-//! members' machines can carry, which is the paper's N where all are alike; a steward epoch rides in
-//! the record and fences; and after several polls with nobody holding, the next by (own count,
-//! rendezvous weight) claims without the gate.
+//! As in the paper: the leader record (holder, renew time, lease duration) is claimed by a conditional
+//! write; each node keeps an observer copy with the local time of the observation; a node becomes a
+//! candidate after a whole lease without change by its own observation; the gate is
+//! `own <= (L_cluster + 1) / N`; leaders renew their records.
+//!
+//! Different from the paper: the leader counts are computed from the leader records, so counts and records
+//! cannot disagree; N is weighted by the capacity of the members' machines, which equals the paper's N if all
+//! machines are alike; the record carries a leader epoch that serves as a fence; and after several polls
+//! without a holder, the next node by (own count, rendezvous weight) claims without the gate.
 
 mod action_guard;
 mod holder_index;
@@ -20,20 +22,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 pub use successors::Successors;
 
-/// The election's times and limits. Example: `ElectionSettings::default().lease == Micros::from_secs(3)`.
+/// Times and limits of the election. Example: `ElectionSettings::default().lease == Micros::from_secs(3)`.
 #[derive(Clone, Debug)]
 pub struct ElectionSettings {
-    /// How long a record stands without renewal.
+    /// How long a record is valid without renewal.
     pub lease: Micros,
-    /// Between two polls of the records.
+    /// Interval between two polls of the records.
     pub poll: Micros,
-    /// Between two renewals.
+    /// Interval between two renewals.
     pub renewal: Micros,
-    /// Off only to measure what the gate does.
+    /// Disabled only to measure the effect of the gate.
     pub gate: bool,
-    /// Claims in flight at once, so that a herd does not race on one stale tally.
+    /// Limit of claims in flight; it bounds races between nodes that all act on the same stale leader counts.
     pub claims_at_once: usize,
-    /// Polls without a holder after which the gate is passed over.
+    /// Polls without a holder after which the gate is bypassed.
     pub polls_before_fallback: u32,
 }
 
@@ -50,24 +52,25 @@
     }
 }
 
-/// A conditional write of a leader record that the election wants.
+/// A conditional write of a leader record, requested by the election.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordWrite {
     /// The function.
     pub function: String,
-    /// The version that must stand for the write to count.
+    /// The write succeeds only if the register is at this version.
     pub expected: u64,
-    /// What to write.
+    /// The new record.
     pub record: LeaderRecord,
-    /// Claims and releases are hasty; renewals wait for company.
+    /// Claims and releases are flushed at once; renewals may wait to be sent in one batch.
     pub urgent: bool,
 }
 
-/// What became of a steward's term, for the decision stream.
+/// The beginning or end of a leader's term, for the decision stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TermChange {
-    /// This node is steward now; `past_gate` when the fallback was used. `transferred_epoch` is the epoch of the term that
-    /// was given to this process, if it was; `is_kept` when nobody led before, or a process at this place.
+    /// This node is the leader now. `past_gate`: the gate was bypassed. `transferred_epoch`: the epoch of the
+    /// record that already named this process, if it did. `is_kept`: the function had no leader before, or a
+    /// previous incarnation of this node led it.
     Taken {
         function: String,
         leader_epoch: u64,
@@ -76,7 +79,7 @@
         transferred_epoch: Option<u64>,
         is_kept: bool,
     },
-    /// This node is steward no more.
+    /// This node is no longer the leader.
     Lost { function: String, leader_epoch: u64, why: &'static str },
 }
 
@@ -86,13 +89,15 @@
     record: Option<LeaderRecord>,
     observed_at: Micros,
     idle_polls: u32,
-    /// Hastened polls do not count as further ones: the fallback waits out whole intervals.
+    /// When an idle poll was counted last. Polls that come sooner than the poll interval are not counted, so
+    /// the fallback waits for whole intervals.
     idle_poll_at: Micros,
 }
 
 impl ObserverCopy {
-    /// A poll shows the same version: polls without a holder are counted, whole intervals apart.
-    fn stays(&mut self, poll: Micros, now: Micros) {
+    /// Handles a poll that shows the same version. Polls without a holder are counted at most once per
+    /// interval.
+    fn record_unchanged_poll(&mut self, poll: Micros, now: Micros) {
         let is_held = self.record.as_ref().is_some_and(|held| now < self.observed_at + lease_of(held));
         if is_held {
             self.idle_polls = 0;
@@ -119,20 +124,21 @@
     record: LeaderRecord,
     /// When the last acknowledged write was sent: the term ends a lease after that.
     acknowledged_sent_at: Micros,
-    /// When the open write was sent last, for the patience with its answer.
+    /// When the open write was sent last, for its timeout.
     renewal_sent_at: Option<Micros>,
-    /// When the open write was sent first: if it stands, it may stand since then.
+    /// When the open write was sent first: it may have been stored at any time since then.
     first_sent_at: Option<Micros>,
-    /// The shortest lease among the writes that were sent since then: any of them may stand.
+    /// The shortest lease among the writes sent since then: any of them may have been stored.
     open_lease: Option<Micros>,
     renewal_due: Micros,
-    /// The term is being given to this node, zero for nobody; no act is done under it any more.
+    /// The node that the term is being transferred to, zero for none. Once set, no operation is sent under
+    /// the term.
     transferred_to: Option<NodeId>,
 }
 
 impl Term {
-    /// When the term ends: a lease after the last acknowledged write was sent, and no later than a lease
-    /// after the open write was, if that one names a shorter lease and may stand already.
+    /// When the term ends: a lease after the last acknowledged write was sent, or earlier if an open write
+    /// with a shorter lease may already have been stored.
     fn ends_at(&self) -> Micros {
         let acknowledged_end = self.acknowledged_sent_at + lease_of(&self.record);
         match (self.first_sent_at, self.open_lease) {
@@ -142,26 +148,28 @@
     }
 }
 
-/// One node's part in all elections. Example: `Election::new(7, ElectionSettings::default())`.
+/// One node's view of, and participation in, all elections.
+/// Example: `Election::new(7, ElectionSettings::default())`.
 #[derive(Debug)]
 pub struct Election {
     own: NodeId,
     settings: ElectionSettings,
     functions: BTreeSet<String>,
-    /// Functions that are configured no more and whose cells this node has to stop, under a term as ever.
+    /// Functions that are no longer configured and whose instances this node must stop, which needs a term
+    /// too.
     orphaned_functions: BTreeSet<String>,
-    /// What machines can carry beside each other; one that is not named counts as [`USUAL_CAPACITY`].
+    /// Relative capacity of the members' machines; [`DEFAULT_CAPACITY`] for machines not listed.
     capacities: BTreeMap<NodeId, u32>,
     copies: BTreeMap<String, ObserverCopy>,
     holder_index: HolderIndex,
     claims: BTreeMap<String, Claim>,
     claim_count: u64,
     terms: BTreeMap<String, Term>,
-    /// Held functions that nobody calls: their leases are longer, and renewed less often.
+    /// Held functions without calls: their leases are longer and renewed less often.
     idle: BTreeSet<String>,
     called: BTreeSet<String>,
     draining: bool,
-    /// Claims are looked for when something speaks for one, and now and then for leases that ran out.
+    /// When to check for expired leases next. Other reasons to claim set `is_claim_wanted`.
     claim_due: Micros,
     is_claim_wanted: bool,
     changes: Vec<TermChange>,
@@ -170,24 +178,25 @@
     gate_bypasses: u64,
 }
 
-/// A whole core, in thousandths.
-const USUAL_CAPACITY: u32 = 1_000;
-/// Claims in flight at once for what this machine held before.
-const CLAIMS_BACK: usize = 64;
-/// The holder in a record that is given back.
-const NOBODY: NodeId = 0;
-/// Where nobody calls a function its lease is so many times as long, and renewed so many times less often.
-const IDLE_TIMES: u64 = 2;
-/// An unanswered write is sent anew after this.
+/// One core, in thousandths.
+const DEFAULT_CAPACITY: u32 = 1_000;
+/// Limit of claims in flight for functions whose records name this node or a previous incarnation of it.
+const RECLAIMS_AT_ONCE: usize = 64;
+/// The holder in a released record.
+const NO_HOLDER: NodeId = 0;
+/// Factor on lease and renewal interval of functions without calls.
+const IDLE_FACTOR: u64 = 2;
+/// A write without a response is sent again after this time.
 const WRITE_TIMEOUT: Micros = Micros::from_millis(1_200);
-/// Between two looks for claims that nothing speaks for: going through all functions costs more than
-/// a small machine has at each clock event.
-const CLAIM_PAUSE: Micros = Micros::from_millis(80);
-/// Candidates behind a closed gate that are looked at in one go.
+/// Interval between two checks for expired leases: going through all functions at each tick costs more than
+/// a small machine can spare.
+const CLAIM_INTERVAL: Micros = Micros::from_millis(80);
+/// Limit of functions behind a closed gate that are checked for the fallback in one tick.
 const FALLBACK_CHECKS: usize = 64;
 
 impl Election {
-    /// A follower of everything. Example: `Election::new(7, settings).own_count() == 0`.
+    /// A node that leads nothing and has no observations yet.
+    /// Example: `Election::new(7, settings).own_count() == 0`.
     pub fn new(own: NodeId, settings: ElectionSettings) -> Election {
         Election {
             own,
@@ -212,18 +221,18 @@
         }
     }
 
-    /// The functions of the current configuration. Example: `election.set_functions(names)`.
+    /// Sets the functions of the current configuration. Example: `election.set_functions(names)`.
     pub fn set_functions(&mut self, functions: BTreeSet<String>) {
         self.functions = functions;
         self.is_claim_wanted = true;
-        self.lead_again();
+        self.release_reconfigured();
         let (functions, orphaned_functions) = (&self.functions, &self.orphaned_functions);
         self.copies
             .retain(|function, _| functions.contains(function) || orphaned_functions.contains(function));
         self.holder_index.rebuild(&self.copies);
     }
 
-    /// The functions that a change of the configuration brought and took out: costs what changed.
+    /// Applies the functions that a configuration change added and removed; the cost is that of the change.
     /// Example: `election.change_functions(["new".to_owned()].into(), &BTreeSet::new())`.
     pub fn change_functions(&mut self, added: BTreeSet<String>, removed: &BTreeSet<String>) {
         if added.is_empty() && removed.is_empty() {
@@ -231,7 +240,7 @@
         }
         self.functions.extend(added);
         self.is_claim_wanted = true;
-        self.lead_again();
+        self.release_reconfigured();
         for function in removed {
             self.functions.remove(function);
             self.copies.remove(function);
@@ -241,17 +250,18 @@
         }
     }
 
-    /// The functions that are configured no more and whose cells this node has to stop. Their terms are claimed past
-    /// the gate and given back to nobody once they are named no more. Their records are not polled: a claim that
-    /// finds another version learns of the one that stands.
+    /// Sets the functions that are no longer configured and whose instances this node must stop. Their terms
+    /// are claimed without the gate and released once the function is no longer listed here. Their records
+    /// are not polled: a claim that fails on another version returns the current record.
     /// Example: `election.set_orphaned_functions(["gone".to_owned()].into(), now)`.
     pub fn set_orphaned_functions(&mut self, mut orphaned_functions: BTreeSet<String>, now: Micros) {
         orphaned_functions.retain(|function| !self.functions.contains(function));
         if orphaned_functions == self.orphaned_functions {
             return;
         }
-        let over: Vec<String> = self.orphaned_functions.difference(&orphaned_functions).cloned().collect();
-        for function in &over {
+        let finished: Vec<String> =
+            self.orphaned_functions.difference(&orphaned_functions).cloned().collect();
+        for function in &finished {
             self.copies.remove(function);
         }
         self.orphaned_functions = orphaned_functions;
@@ -264,34 +274,36 @@
         self.holder_index.rebuild(&self.copies);
     }
 
-    /// Leftovers that are configured again get a leader as every function does.
-    fn lead_again(&mut self) {
-        let again: Vec<String> = self.orphaned_functions.intersection(&self.functions).cloned().collect();
-        for function in again {
+    /// Releases orphaned functions that are configured again, so that they get a leader by the usual
+    /// election.
+    fn release_reconfigured(&mut self) {
+        let reconfigured: Vec<String> =
+            self.orphaned_functions.intersection(&self.functions).cloned().collect();
+        for function in reconfigured {
             self.orphaned_functions.remove(&function);
-            self.transfer_to(NOBODY, &function);
+            self.transfer_to(NO_HOLDER, &function);
         }
     }
 
-    /// What the members can carry beside each other: the gate weighs a node's count by its machine.
+    /// Sets the relative capacity of the members' machines, by which the gate weighs leader counts.
     /// Example: `election.set_capacities([(7, 260), (9, 62)].into())`.
     pub fn set_capacities(&mut self, capacities: BTreeMap<NodeId, u32>) {
         self.capacities = capacities;
     }
 
-    /// What a node can carry. Example: `election.capacity(7) == 260.0`.
+    /// The capacity of a node's machine. Example: `election.capacity(7) == 260.0`.
     pub fn capacity(&self, node: NodeId) -> f64 {
-        f64::from(self.capacities.get(&node).copied().unwrap_or(USUAL_CAPACITY).max(1))
+        f64::from(self.capacities.get(&node).copied().unwrap_or(DEFAULT_CAPACITY).max(1))
     }
 
-    /// The share of all leaders that a node should have at the most: the paper's `M`, by capacity.
+    /// The largest share of all leaders that a node should have: the paper's `M`, weighted by capacity.
     /// Example: with equal machines `election.fair_share(7, &members, 29) == 30.0 / 3.0`.
     pub fn fair_share(&self, node: NodeId, members: &[NodeId], cluster_count: usize) -> f64 {
         let fleet: f64 = members.iter().map(|member| self.capacity(*member)).sum();
         (cluster_count as f64 + 1.0) * self.capacity(node) / fleet.max(1.0)
     }
 
-    /// Takes a polled record; an unchanged one leaves the observer copy's time alone.
+    /// Handles a polled record; an unchanged one does not change the time of the observer copy.
     /// Example: `election.observe("proof", 4, Some(record), now)`.
     pub fn observe(&mut self, function: &str, version: u64, record: Option<LeaderRecord>, now: Micros) {
         if !self.functions.contains(function) && !self.orphaned_functions.contains(function) {
@@ -299,21 +311,21 @@
         }
         let record = record.filter(|leader_record| leader_record.holder != 0);
         match self.copies.get_mut(function) {
-            // The owner's answers may arrive out of order: a copy never goes back.
+            // The key owner's responses may arrive out of order: a copy never returns to an older version.
             Some(copy) if copy.version > version => {}
-            Some(copy) if copy.version == version => copy.stays(self.settings.poll, now),
+            Some(copy) if copy.version == version => copy.record_unchanged_poll(self.settings.poll, now),
             _ => {
                 let is_free = record.as_ref().is_none_or(|held| held.holder == self.own);
                 self.is_claim_wanted |= is_free;
                 let copy =
                     ObserverCopy { version, record, observed_at: now, idle_polls: 0, idle_poll_at: now };
-                self.holder_index.changed(function, self.copies.get(function), &copy);
+                self.holder_index.record_changed(function, self.copies.get(function), &copy);
                 self.copies.insert(function.to_owned(), copy);
             }
         }
     }
 
-    /// The record was only renewed, as its key's owner says who knows that this node has the record.
+    /// Handles a report of the key's owner that the record, which this node already has, was only renewed.
     /// Example: `election.renewed("proof", 5, now)`.
     pub fn renewed(&mut self, function: &str, version: u64, now: Micros) {
         if let Some(copy) = self.copies.get_mut(function)
@@ -322,23 +334,23 @@
             copy.version = version;
             copy.observed_at = now;
             copy.idle_polls = 0;
-            self.holder_index.renewed(function, copy);
+            self.holder_index.record_renewed(function, copy);
         }
     }
 
-    /// A poll was answered: what the answer did not name stands unchanged, and the observer copies keep
-    /// their times. Only polls of records without a holder are counted, so only those are gone through.
+    /// Handles a poll response: records that it does not list are unchanged, and their observer copies keep
+    /// their times. Polls are counted only for records without a holder, so only those are visited.
     /// Example: `election.confirmed(|function| polled.contains(function), now)`.
     pub fn confirmed(&mut self, is_polled: impl Fn(&str) -> bool, now: Micros) {
         self.holder_index.refresh(&self.copies, now);
         for function in self.holder_index.open() {
             if let Some(copy) = self.copies.get_mut(function).filter(|_| is_polled(function)) {
-                copy.stays(self.settings.poll, now);
+                copy.record_unchanged_poll(self.settings.poll, now);
             }
         }
     }
 
-    /// A call waits on this function and nobody holds it: the election is tried at once.
+    /// A call waits for this function, which has no leader: a claim is tried at the next tick.
     /// Example: `election.call_waits("proof")`.
     pub fn call_waits(&mut self, function: &str) {
         if self.functions.contains(function) && !self.called.contains(function) {
@@ -347,9 +359,9 @@
         }
     }
 
-    /// Whether a poll should come soon rather than at the next interval: something is unheld, or held
-    /// by a node that is no serving member any more and may just have given it back. `members` are in
-    /// order of id. Example: `if election.is_unsettled(&members, now) { poll_event.hasten() }`.
+    /// Whether to poll soon rather than at the next interval: some function has no leader, or its leader is
+    /// not a serving member and may just have released it. `members` are sorted by id.
+    /// Example: `if election.is_unsettled(&members, now) { poll_event.hasten() }`.
     pub fn is_unsettled(&mut self, members: &[NodeId], now: Micros) -> bool {
         self.holder_index.refresh(&self.copies, now);
         let is_unpolled = self.copies.len() < self.functions.len() + self.orphaned_functions.len();
@@ -363,7 +375,7 @@
             || self.holder_index.holders().any(|holder| members.binary_search(&holder).is_err())
     }
 
-    /// Who holds the function by this node's observation, with the steward epoch.
+    /// The holder of the function by this node's observation, with the leader epoch.
     /// Example: `election.holder("proof", now) == Some((7, 12))`.
     pub fn holder(&self, function: &str, now: Micros) -> Option<(NodeId, u64)> {
         if let Some(leader_epoch) = self.term(function, now) {
@@ -371,33 +383,33 @@
         }
         let copy = self.copies.get(function)?;
         let record = copy.record.as_ref()?;
-        let is_over = now >= copy.observed_at + lease_of(record);
-        if record.holder == self.own || is_over || is_previous_incarnation(self.own, record.holder) {
+        let is_expired = now >= copy.observed_at + lease_of(record);
+        if record.holder == self.own || is_expired || is_previous_incarnation(self.own, record.holder) {
             return None;
         }
         Some((record.holder, record.leader_epoch))
     }
 
-    /// The epoch under which this node may act as steward now. The term ends one lease after the
-    /// last acknowledged write was *sent*, which is before any follower's observation can run out.
+    /// The epoch under which this node may act as the leader now. The term ends one lease after the last
+    /// acknowledged write was *sent*, which is before the lease can expire by any follower's observation.
     /// Example: `let Some(epoch) = election.term("proof", now) else { return };`.
     pub fn term(&self, function: &str, now: Micros) -> Option<u64> {
         let term = self.terms.get(function)?;
-        let stands = term.transferred_to.is_none() && now < term.ends_at();
-        stands.then_some(term.record.leader_epoch)
+        let is_active = term.transferred_to.is_none() && now < term.ends_at();
+        is_active.then_some(term.record.leader_epoch)
     }
 
-    /// Functions this node is steward of now. Example: `election.held(now).len()`.
+    /// Functions that this node leads now. Example: `election.held(now).len()`.
     pub fn held(&self, now: Micros) -> Vec<String> {
         self.terms.keys().filter(|function| self.term(function, now).is_some()).cloned().collect()
     }
 
-    /// Own count: terms and claims in flight. Example: `election.own_count() <= 16`.
+    /// The paper's own count: terms and claims in flight. Example: `election.own_count() <= 16`.
     pub fn own_count(&self) -> usize {
         self.terms.len() + self.claims.len()
     }
 
-    /// Leaders counted by holder, folded from the records: the paper's tally.
+    /// Leader counts by holder, computed from the records.
     /// Example: `election.leader_counts(&members, now)[&7]`.
     pub fn leader_counts(&self, members: &[NodeId], now: Micros) -> BTreeMap<NodeId, usize> {
         let mut counts: BTreeMap<NodeId, usize> = members.iter().map(|node| (*node, 0)).collect();
@@ -418,31 +430,32 @@
         counts
     }
 
-    /// Counts for measuring: gate refusals, lost races, gates passed over.
+    /// Counters for measurements: gate refusals, lost races, gate bypasses.
     /// Example: `let (refused, lost, passed) = election.counts();`.
     pub fn counts(&self) -> (u64, u64, u64) {
         (self.gate_refusals, self.lost_races, self.gate_bypasses)
     }
 
-    /// Whether a record names this process, or one that ran at its place before.
-    fn is_named(&self, copy: &ObserverCopy) -> bool {
+    /// Whether a record names this process or a previous incarnation of this node.
+    fn names_own_node(&self, copy: &ObserverCopy) -> bool {
         let holder = copy.record.as_ref().map(|record| record.holder);
         holder.is_some_and(|holder| holder == self.own || is_previous_incarnation(self.own, holder))
     }
 
-    /// Stops claiming and gives every term that is not given to a node already back to nobody; the writes come
-    /// with the next tick. Example: `election.release_all(); let writes = election.tick(&members, now);`.
+    /// Stops claiming and releases every term that is not being transferred already; the next tick returns
+    /// the writes.
+    /// Example: `election.release_all(); let writes = election.tick(&members, now);`.
     pub fn release_all(&mut self) {
         self.draining = true;
         let held: Vec<String> = self.terms.keys().cloned().collect();
         for function in held {
-            self.transfer_to(NOBODY, &function);
+            self.transfer_to(NO_HOLDER, &function);
         }
     }
 
-    /// Gives one term to another node, which claims it as soon as it sees itself named; if it never
-    /// does, the lease runs out for everybody as ever. Nothing is done under the term from now on;
-    /// the write comes with a tick, after a renewal that is still open was answered.
+    /// Transfers one term to another node, which claims it as soon as it observes the record that names it;
+    /// if it never does, the lease expires as usual. No operation is sent under the term from now on. A tick
+    /// returns the write, once the response to a renewal that is still open has arrived.
     /// Example: `election.transfer_to(9, "proof")`.
     pub fn transfer_to(&mut self, node: NodeId, function: &str) {
         let Some(term) = self.terms.get_mut(function) else { return };
@@ -457,13 +470,14 @@
         });
     }
 
-    /// Whether all releases were answered. Example: `if election.is_empty() { exit }`.
+    /// Whether there are no terms and no claims left, as after all releases were acknowledged.
+    /// Example: `if election.is_empty() { exit }`.
     pub fn is_empty(&self) -> bool {
         self.terms.is_empty() && self.claims.is_empty()
     }
 
-    /// The writes that are due: renewals of what is held, then claims that pass the gate.
-    /// `members` are the nodes believed alive and not draining: the paper's N.
+    /// Returns the writes that are due: renewals of held terms, then claims that pass the gate.
+    /// `members` are the nodes believed to be alive and not draining: the paper's N.
     /// Example: `for write in election.tick(&members, now) { send(write) }`.
     pub fn tick(&mut self, members: &[NodeId], now: Micros) -> Vec<RecordWrite> {
         let mut writes = Vec::new();
@@ -471,7 +485,7 @@
         self.renew(now, &mut writes);
         if !self.draining && (self.is_claim_wanted || now >= self.claim_due) {
             self.is_claim_wanted = false;
-            self.claim_due = now + CLAIM_PAUSE;
+            self.claim_due = now + CLAIM_INTERVAL;
             self.claim(members, now, &mut writes);
         }
         writes
@@ -486,28 +500,29 @@
         let (functions, orphaned_functions) = (&self.functions, &self.orphaned_functions);
         let changes = &mut self.changes;
         self.terms.retain(|function, term| {
-            let is_over = now >= term.ends_at();
-            let is_led = functions.contains(function) || orphaned_functions.contains(function);
-            let is_unknown = !is_led && term.transferred_to.is_none();
-            // It is given back: if the function comes again soon, nobody has to wait out the lease.
-            if is_unknown {
-                term.transferred_to = Some(NOBODY);
+            let is_expired = now >= term.ends_at();
+            let needs_leader = functions.contains(function) || orphaned_functions.contains(function);
+            let is_unneeded = !needs_leader && term.transferred_to.is_none();
+            // Released rather than left to expire: if the function is configured again soon, no candidate has
+            // to wait for the lease to end.
+            if is_unneeded {
+                term.transferred_to = Some(NO_HOLDER);
             }
-            if is_over && !is_unknown && term.transferred_to.is_none() {
+            if is_expired && !is_unneeded && term.transferred_to.is_none() {
                 changes.push(TermChange::Lost {
                     function: function.clone(),
                     leader_epoch: term.record.leader_epoch,
                     why: "lease ran out",
                 });
             }
-            if is_unknown {
+            if is_unneeded {
                 changes.push(TermChange::Lost {
                     function: function.clone(),
                     leader_epoch: term.record.leader_epoch,
                     why: "function no longer configured",
                 });
             }
-            !is_over
+            !is_expired
         });
         let called = &mut self.called;
         let is_claim_wanted = &mut self.is_claim_wanted;
@@ -521,28 +536,28 @@
         });
     }
 
-    /// Tells which of the held functions nobody calls now. Example: `election.set_idle_functions(idle_functions)`.
+    /// Sets which held functions have no calls now. Example: `election.set_idle_functions(idle_functions)`.
     pub fn set_idle_functions(&mut self, idle: BTreeSet<String>) {
         self.idle = idle;
     }
 
     fn renew(&mut self, now: Micros, writes: &mut Vec<RecordWrite>) {
         for (function, term) in &mut self.terms {
-            let is_waiting = term.renewal_sent_at.is_some_and(|sent_at| now < sent_at + WRITE_TIMEOUT);
-            if is_waiting || (term.transferred_to.is_none() && now < term.renewal_due) {
+            let is_write_open = term.renewal_sent_at.is_some_and(|sent_at| now < sent_at + WRITE_TIMEOUT);
+            if is_write_open || (term.transferred_to.is_none() && now < term.renewal_due) {
                 continue;
             }
             term.renewal_sent_at = Some(now);
             term.first_sent_at.get_or_insert(now);
             let is_idle = term.transferred_to.is_none() && self.idle.contains(function);
-            let times = if is_idle { IDLE_TIMES } else { 1 };
+            let factor = if is_idle { IDLE_FACTOR } else { 1 };
             let lease = match term.transferred_to {
-                // What is given away is nobody's until the other claims it, and nobody acts under this
-                // record: where the other cannot, the next may soon.
+                // A short lease: no node may act under this record until the named node claims it, and if
+                // that node cannot, others may claim soon.
                 Some(_) => self.settings.renewal,
-                None => Micros(self.settings.lease.0 * times),
+                None => Micros(self.settings.lease.0 * factor),
             };
-            term.renewal_due = now + Micros(self.settings.renewal.0 * times);
+            term.renewal_due = now + Micros(self.settings.renewal.0 * factor);
             term.open_lease = Some(term.open_lease.map_or(lease, |shortest| shortest.min(lease)));
             let record = LeaderRecord {
                 holder: term.transferred_to.unwrap_or(self.own),
@@ -563,9 +578,8 @@
         if !members.contains(&self.own) {
             return;
         }
-        // Called functions first; the rest in this node's own rendezvous order, so that nodes
-        // begin at different functions.
-        // Leftovers last.
+        // Called functions first, orphaned functions last; otherwise in this node's own rendezvous order, so
+        // that nodes begin with different functions.
         let mut candidates: Vec<(bool, bool, u64, String)> = Vec::new();
         self.holder_index.refresh(&self.copies, now);
         for function in self.holder_index.open() {
@@ -586,16 +600,16 @@
         let mut cluster_count: usize = counts.values().sum();
         let mut checks = 0;
         for (is_orphaned, _, _, function) in candidates {
-            // What this machine held before its process ended it takes back past the gate: nothing in
-            // the balance changes, and nobody else may claim it yet. So it does with what another gave it:
-            // nobody leads the function until it does.
-            let is_own_before = self.copies.get(&function).is_some_and(|copy| self.is_named(copy));
-            let most_claims = if is_own_before { CLAIMS_BACK } else { self.settings.claims_at_once };
-            if self.claims.len() >= most_claims {
+            // Records that name this node are claimed without the gate. If they name a previous incarnation,
+            // the balance does not change and no other node may claim yet; if the term was transferred to
+            // this process, the function has no leader until the claim is written.
+            let names_own_node = self.copies.get(&function).is_some_and(|copy| self.names_own_node(copy));
+            let claim_limit = if names_own_node { RECLAIMS_AT_ONCE } else { self.settings.claims_at_once };
+            if self.claims.len() >= claim_limit {
                 continue;
             }
             let own_count = counts.get(&self.own).copied().unwrap_or(0);
-            let passes_gate = is_own_before
+            let passes_gate = names_own_node
                 || is_orphaned
                 || !self.settings.gate
                 || own_count as f64 <= self.fair_share(self.own, members, cluster_count);
@@ -609,8 +623,8 @@
                 continue;
             }
             let Some(copy) = self.copies.get(&function) else { continue };
-            // Each claim's record differs from all before: a lost answer to an earlier one is never
-            // taken for the answer to this one, whose term would begin too late.
+            // Each claim's record differs from all earlier ones, so that the stored record of an earlier
+            // claim is never taken for that of this claim, whose term would then begin too late.
             self.claim_count += 1;
             let record = LeaderRecord {
                 holder: self.own,
@@ -626,9 +640,9 @@
             });
             let candidate_since =
                 copy.record.as_ref().map_or(copy.observed_at, |held| copy.observed_at + lease_of(held));
-            let transferred = copy.record.as_ref().filter(|standing| standing.holder == self.own);
-            let transferred_epoch = transferred.map(|standing| standing.leader_epoch);
-            let is_kept = copy.version == 0 || (is_own_before && transferred_epoch.is_none());
+            let transferred = copy.record.as_ref().filter(|current| current.holder == self.own);
+            let transferred_epoch = transferred.map(|current| current.leader_epoch);
+            let is_kept = copy.version == 0 || (names_own_node && transferred_epoch.is_none());
             self.gate_bypasses += u64::from(is_fallback);
             let claim = Claim {
                 record,
@@ -644,8 +658,8 @@
         }
     }
 
-    /// The smallest exception: nobody held it for several polls, and this node comes next by
-    /// (own count, rendezvous weight); one node more is let in with each further poll.
+    /// Whether this node may claim without the gate: the function had no holder for several polls, and this
+    /// node is next by (own count, rendezvous weight). Each further poll admits one node more.
     fn is_next_without_gate(
         &self,
         function: &str,
@@ -653,20 +667,21 @@
         counts: &BTreeMap<NodeId, usize>,
     ) -> bool {
         let Some(copy) = self.copies.get(function) else { return false };
-        let Some(timeout) = copy.idle_polls.checked_sub(self.settings.polls_before_fallback) else {
+        let Some(extra_polls) = copy.idle_polls.checked_sub(self.settings.polls_before_fallback) else {
             return false;
         };
         let rank = |node: NodeId| {
             let count = counts.get(&node).copied().unwrap_or(0);
-            // In thousandths of a leader for each unit of capacity, so that ranks are whole numbers.
-            let filled = (count as f64 * 1_000.0 / self.capacity(node)) as u64;
-            (filled, u64::MAX - rendezvous_weight(function, node), node)
+            // In thousandths of a leader per unit of capacity, so that ranks are integers.
+            let load = (count as f64 * 1_000.0 / self.capacity(node)) as u64;
+            (load, u64::MAX - rendezvous_weight(function, node), node)
         };
         let own_rank = rank(self.own);
-        members.iter().filter(|node| rank(**node) < own_rank).count() <= timeout as usize
+        members.iter().filter(|node| rank(**node) < own_rank).count() <= extra_polls as usize
     }
 
-    /// The write stands at `version`. Example: `election.written("proof", 4, &record, now)`.
+    /// Handles a successful write, stored at `version`.
+    /// Example: `election.written("proof", 4, &record, now)`.
     pub fn written(&mut self, function: &str, version: u64, record: &LeaderRecord, now: Micros) {
         if let Some(term) = self.terms.get_mut(function)
             && (record.leader_epoch == term.record.leader_epoch)
@@ -716,14 +731,15 @@
         });
     }
 
-    /// Another version stands: refresh the copy and be a follower.
+    /// Handles a write that failed because the register is at another version: updates the copy and drops
+    /// claim and term.
     /// Example: `election.differs("proof", 5, Some(theirs), now)`.
     pub fn differs(&mut self, function: &str, version: u64, record: Option<LeaderRecord>, now: Micros) {
-        // A repeated write whose first answer was lost finds its own record standing.
-        if let Some(standing) = &record
-            && self.is_own_write(function, standing)
+        // A repeated write whose first response was lost finds its own record stored.
+        if let Some(current) = &record
+            && self.is_own_write(function, current)
         {
-            self.written(function, version, &standing.clone(), now);
+            self.written(function, version, &current.clone(), now);
             return;
         }
         if self.claims.remove(function).is_some() {
@@ -743,18 +759,18 @@
         self.observe(function, version, record, now);
     }
 
-    fn is_own_write(&self, function: &str, standing: &LeaderRecord) -> bool {
+    fn is_own_write(&self, function: &str, current: &LeaderRecord) -> bool {
         if let Some(claim) = self.claims.get(function) {
-            return claim.record == *standing;
+            return claim.record == *current;
         }
         self.terms.get(function).is_some_and(|term| {
-            standing.leader_epoch == term.record.leader_epoch
-                && standing.renew_count == term.record.renew_count + 1
-                && (standing.holder == self.own || Some(standing.holder) == term.transferred_to)
+            current.leader_epoch == term.record.leader_epoch
+                && current.renew_count == term.record.renew_count + 1
+                && (current.holder == self.own || Some(current.holder) == term.transferred_to)
         })
     }
 
-    /// No answer of worth came: claims are dropped, renewals tried again at once.
+    /// Handles a write without a usable response: a claim is dropped, a renewal is repeated after 100 ms.
     /// Example: `election.unanswered("proof", now)`.
     pub fn unanswered(&mut self, function: &str, now: Micros) {
         self.is_claim_wanted |= self.claims.remove(function).is_some();
--- a/packages/leader_election/src/successors/tests.rs
+++ b/packages/leader_election/src/successors/tests.rs
@@ -5,7 +5,7 @@
 
 const OWN: NodeId = 1;
 
-/// Leader counts by node, as the own election sees them.
+/// An election of node [`OWN`] that observes these leader counts by node.
 fn election_with(counts: &[(NodeId, usize)]) -> Election {
     let mut election = Election::new(OWN, ElectionSettings::default());
     let mut number = 0;
@@ -28,14 +28,14 @@
     let mut successors = Successors::new(election, members, Micros(1));
     let mut counts = BTreeMap::new();
     for number in 0..functions {
-        let node = successors.name(&format!("g{number}"), 0).expect("a successor");
+        let node = successors.name(&format!("g{number}"), 0).expect("a member can be named");
         *counts.entry(node).or_default() += 1;
     }
     counts
 }
 
 #[test]
-fn the_stopping_node_is_never_named_and_room_is_filled_up_evenly() {
+fn a_stopping_node_names_other_members_evenly_and_never_itself() {
     let election = election_with(&[(OWN, 30), (2, 20), (3, 20), (4, 20)]);
     let counts = named(&election, &[OWN, 2, 3, 4], 30);
     assert!(!counts.contains_key(&OWN));
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn whoever_has_more_room_is_named_more_often() {
+fn members_with_more_room_are_named_more_often() {
     let election = election_with(&[(OWN, 40), (2, 38), (3, 2)]);
     let counts = named(&election, &[OWN, 2, 3], 20);
     assert!(counts[&3] > 4 * counts.get(&2).copied().unwrap_or(0).max(1), "{counts:?}");
 }
 
 #[test]
-fn members_that_lead_nothing_yet_are_named_only_where_nobody_else_is() {
+fn members_without_functions_are_named_only_if_no_other_member_leads() {
     let election = election_with(&[(OWN, 10), (2, 10)]);
     assert_eq!(named(&election, &[OWN, 2, 3], 10).keys().copied().collect::<Vec<_>>(), [2]);
     let election = election_with(&[(OWN, 10)]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_function_that_wants_a_large_machine_gets_the_largest_there_is() {
+fn a_function_that_needs_a_large_machine_gets_the_largest_available() {
     let mut election = election_with(&[(OWN, 4), (2, 1), (3, 4)]);
     election.set_capacities([(OWN, 260), (2, 62), (3, 260)].into());
     let mut successors = Successors::new(&election, &[OWN, 2, 3], Micros(1));
--- a/packages/leader_election/src/tests.rs
+++ b/packages/leader_election/src/tests.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// A register for each function, written at once; every node polls every `poll`.
-struct Bench {
+/// A cluster with one register for each function, whose writes take no time; every node polls at its
+/// interval.
+struct TestCluster {
     nodes: Vec<Election>,
     registers: BTreeMap<String, (u64, Option<LeaderRecord>)>,
     functions: BTreeSet<String>,
 }
 
-impl Bench {
-    fn new(node_count: u64, function_count: usize, settings: ElectionSettings) -> Bench {
+impl TestCluster {
+    fn new(node_count: u64, function_count: usize, settings: ElectionSettings) -> TestCluster {
         let functions: BTreeSet<String> =
             (0..function_count).map(|number| format!("function-{number}")).collect();
         let registers = functions.iter().map(|name| (name.clone(), (0, None))).collect();
         let mut nodes: Vec<Election> =
             (1..=node_count).map(|node| Election::new(node, settings.clone())).collect();
         nodes.iter_mut().for_each(|node| node.set_functions(functions.clone()));
-        Bench { nodes, registers, functions }
+        TestCluster { nodes, registers, functions }
     }
 
     fn run(&mut self, from_millis: u64, to_millis: u64, down: &[NodeId]) {
@@ -39,7 +40,7 @@
                     node.written(&write.function, register.0, &write.record, now);
                 }
             }
-            // One steward acting for each function at any time.
+            // At most one leader of each function at any time.
             for function in &self.functions {
                 let acting = self.nodes.iter().filter(|node| node.term(function, now).is_some()).count();
                 assert!(acting <= 1, "{function} at {now:?}");
@@ -53,23 +54,23 @@
 }
 
 #[test]
-fn leaders_spread_evenly_and_a_dead_nodes_functions_go_to_the_least_loaded() {
-    let mut bench = Bench::new(10, 158, ElectionSettings::default());
-    bench.run(0, 10_000, &[]);
-    let spread = bench.spread(Micros::from_millis(9_950));
+fn leaders_are_spread_evenly_and_a_dead_nodes_functions_go_to_the_least_loaded() {
+    let mut cluster = TestCluster::new(10, 158, ElectionSettings::default());
+    cluster.run(0, 10_000, &[]);
+    let spread = cluster.spread(Micros::from_millis(9_950));
     assert_eq!(spread.iter().sum::<usize>(), 158);
     assert!(spread.iter().all(|count| (15..=17).contains(count)), "{spread:?}");
-    bench.run(10_000, 20_000, &[3, 7]);
-    let spread = bench.spread(Micros::from_millis(19_950));
+    cluster.run(10_000, 20_000, &[3, 7]);
+    let spread = cluster.spread(Micros::from_millis(19_950));
     assert_eq!(spread.iter().sum::<usize>(), 158);
     assert!((0..10).all(|place| [2, 6].contains(&place) || (18..=21).contains(&spread[place])), "{spread:?}");
 }
 
 #[test]
 fn a_term_ends_a_lease_after_its_last_acknowledged_renewal_was_sent() {
-    let mut bench = Bench::new(1, 1, ElectionSettings::default());
-    bench.run(0, 2_000, &[]);
-    let node = &bench.nodes[0];
+    let mut cluster = TestCluster::new(1, 1, ElectionSettings::default());
+    cluster.run(0, 2_000, &[]);
+    let node = &cluster.nodes[0];
     let last_sent = node.terms["function-0"].acknowledged_sent_at;
     let lease_end = last_sent + Micros::from_secs(3);
     assert!(node.term("function-0", lease_end - Micros(1)).is_some());
@@ -77,23 +78,27 @@
 }
 
 #[test]
-fn a_term_given_to_another_node_is_taken_by_it_alone_under_a_higher_epoch() {
-    let mut bench = Bench::new(3, 1, ElectionSettings::default());
-    bench.run(0, 1_000, &[]);
+fn a_transferred_term_is_claimed_only_by_its_successor_under_a_higher_epoch() {
+    let mut cluster = TestCluster::new(3, 1, ElectionSettings::default());
+    cluster.run(0, 1_000, &[]);
     let now = Micros::from_secs(1);
-    let previous_leader = bench.nodes.iter().position(|node| node.own_count() == 1).expect("a steward");
-    let taker = (previous_leader + 1) % 3;
-    let old_epoch = bench.nodes[previous_leader].term("function-0", now).expect("a term");
-    let taker_node = bench.nodes[taker].own;
-    bench.nodes[previous_leader].transfer_to(taker_node, "function-0");
-    assert!(bench.nodes[previous_leader].term("function-0", now).is_none(), "fenced before the write leaves");
-    bench.run(1_000, 2_500, &[]);
-    let new_epoch = bench.nodes[taker].term("function-0", Micros::from_millis(2_450)).expect("taken");
+    let previous_leader =
+        cluster.nodes.iter().position(|node| node.own_count() == 1).expect("one node leads");
+    let successor = (previous_leader + 1) % 3;
+    let old_epoch = cluster.nodes[previous_leader].term("function-0", now).expect("a term");
+    let successor_node = cluster.nodes[successor].own;
+    cluster.nodes[previous_leader].transfer_to(successor_node, "function-0");
+    assert!(
+        cluster.nodes[previous_leader].term("function-0", now).is_none(),
+        "fenced before the write leaves"
+    );
+    cluster.run(1_000, 2_500, &[]);
+    let new_epoch = cluster.nodes[successor].term("function-0", Micros::from_millis(2_450)).expect("taken");
     assert!(new_epoch > old_epoch);
 }
 
 #[test]
-fn a_renewal_whose_response_was_lost_counts_from_its_first_sending() {
+fn a_renewal_whose_response_was_lost_counts_from_its_first_transmission() {
     let mut node = Election::new(1, ElectionSettings::default());
     node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
@@ -103,14 +108,14 @@
     node.unanswered("f", Micros::from_millis(1_600));
     let second_renewal = node.tick(&[1], Micros::from_millis(1_800)).remove(0);
     assert_eq!(first_renewal.record, second_renewal.record);
-    // The first one had been written all along; followers may have seen it since then.
+    // The first one was stored; followers may have observed it since then.
     node.differs("f", 2, Some(first_renewal.record), Micros::from_millis(1_900));
     assert!(node.term("f", Micros::from_millis(3_999)).is_some());
     assert!(node.term("f", Micros::from_millis(4_000)).is_none());
 }
 
 #[test]
-fn a_term_given_while_a_renewal_is_open_is_given_after_it() {
+fn a_release_waits_for_the_response_to_an_open_renewal() {
     let mut node = Election::new(1, ElectionSettings::default());
     node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
@@ -127,19 +132,19 @@
 }
 
 #[test]
-fn the_fallback_claims_when_the_least_loaded_never_does() {
+fn the_fallback_claims_if_the_least_loaded_node_never_does() {
     // Node 1 holds its share; node 2 is a member that never claims.
-    let mut bench = Bench::new(2, 3, ElectionSettings::default());
+    let mut cluster = TestCluster::new(2, 3, ElectionSettings::default());
     let members = [1, 2];
     let mut taken_past_gate = 0;
     for millisecond in (0..6_000u64).step_by(100) {
         let now = Micros::from_millis(millisecond);
-        let node = &mut bench.nodes[0];
-        for (function, (version, record)) in &bench.registers {
+        let node = &mut cluster.nodes[0];
+        for (function, (version, record)) in &cluster.registers {
             node.observe(function, *version, record.clone(), now);
         }
         for write in node.tick(&members, now) {
-            let register = bench.registers.get_mut(&write.function).expect("a known function");
+            let register = cluster.registers.get_mut(&write.function).expect("a known function");
             *register = (register.0 + 1, Some(write.record.clone()));
             node.written(&write.function, register.0, &write.record, now);
         }
@@ -147,12 +152,12 @@
             taken_past_gate += usize::from(matches!(change, TermChange::Taken { past_gate: true, .. }));
         }
     }
-    assert_eq!(bench.nodes[0].held(Micros::from_millis(5_900)).len(), 3);
+    assert_eq!(cluster.nodes[0].held(Micros::from_millis(5_900)).len(), 3);
     assert!((1..3).contains(&taken_past_gate), "{taken_past_gate}");
 }
 
 #[test]
-fn a_process_takes_back_at_once_what_its_machine_held_before() {
+fn a_restarted_process_reclaims_at_once_what_its_previous_incarnation_led() {
     let address = peer_messages::Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], 7)));
     let (before, own) = (peer_messages::node_id(address, 1), peer_messages::node_id(address, 2));
     let record = |holder| LeaderRecord { holder, renew_count: 3, lease_micros: 3_000_000, leader_epoch: 4 };
@@ -163,9 +168,9 @@
         let writes = election.tick(&[own, 5], Micros::from_millis(20));
         (election.holder("proof", Micros::from_millis(20)), writes.len())
     };
-    assert_eq!(claims(before), (None, 1), "the process before has surely ended");
-    assert_eq!(claims(5), (Some((5, 4)), 0), "anybody else's lease runs out first");
-    // All of them at once, though the gate lets one more through at a time.
+    assert_eq!(claims(before), (None, 1), "the previous incarnation has ended");
+    assert_eq!(claims(5), (Some((5, 4)), 0), "another node's lease must expire first");
+    // All of them at once, though the gate would admit one at a time.
     let names: BTreeSet<String> = (0..20).map(|number| format!("function-{number}")).collect();
     let mut election = Election::new(own, ElectionSettings::default());
     election.set_functions(names.clone());
@@ -185,16 +190,16 @@
     assert!(node.holder("f", Micros::from_millis(2_999)).is_some());
     assert!(node.holder("f", Micros::from_secs(3)).is_none(), "confirmed as unchanged is not renewed");
     node.renewed("f", 5, Micros::from_millis(3_100));
-    assert!(node.holder("f", Micros::from_millis(3_100)).is_none(), "an answer that came late again");
+    assert!(node.holder("f", Micros::from_millis(3_100)).is_none(), "a delayed response with an old version");
     node.renewed("f", 6, Micros::from_millis(3_200));
     assert_eq!(node.holder("f", Micros::from_millis(6_199)), Some((2, 4)));
     assert!(node.holder("f", Micros::from_millis(6_200)).is_none());
     node.renewed("g", 1, Micros(0));
-    assert!(node.holder("g", Micros(0)).is_none(), "nothing is known of it");
+    assert!(node.holder("g", Micros(0)).is_none(), "the function is unknown");
 }
 
 #[test]
-fn many_functions_behind_a_closed_gate_are_looked_at_in_turns() {
+fn the_fallback_reaches_all_functions_behind_a_closed_gate_in_turn() {
     // Node 1 holds its share; node 2 is a member that never claims, and 300 functions wait.
     let mut node = Election::new(1, ElectionSettings::default());
     let functions: BTreeSet<String> = (0..600).map(|number| format!("function-{number}")).collect();
@@ -218,7 +223,7 @@
 }
 
 #[test]
-fn the_gate_weighs_machines_and_is_the_papers_where_all_are_alike() {
+fn the_gate_is_weighted_by_capacity_and_equals_the_papers_for_equal_machines() {
     let members = [1, 2, 3];
     let mut election = Election::new(1, ElectionSettings::default());
     assert_eq!(election.fair_share(1, &members, 29), 30.0 / 3.0);
@@ -227,7 +232,7 @@
     assert_eq!(election.fair_share(2, &members, 29), 5.0);
 }
 
-/// One node that holds one function, whose lease is the longer one of functions that nobody calls.
+/// A node that leads one function under the longer lease of functions without calls.
 fn idle_holder() -> (Election, u64) {
     let mut node = Election::new(1, ElectionSettings::default());
     node.set_functions(BTreeSet::from(["proof".to_owned()]));
@@ -242,40 +247,40 @@
 }
 
 #[test]
-fn a_function_that_nobody_calls_is_renewed_half_as_often_under_a_lease_twice_as_long() {
+fn a_function_without_calls_is_renewed_half_as_often_under_a_lease_twice_as_long() {
     let (mut node, version) = idle_holder();
     assert!(node.tick(&[1], Micros::from_millis(2_900)).is_empty());
     assert_eq!(node.tick(&[1], Micros::from_secs(3)).len(), 1);
-    // Nobody answered that renewal: the lease that stands ends the term.
+    // Without a response to that renewal the acknowledged lease ends the term.
     assert!(node.term("proof", Micros::from_millis(6_999)).is_some());
     assert!(node.term("proof", Micros::from_secs(7)).is_none());
     assert_eq!(version, 2);
 }
 
 #[test]
-fn a_shorter_lease_that_may_stand_unanswered_ends_the_term_as_soon_as_any_follower_may_claim() {
+fn an_unacknowledged_shorter_lease_ends_the_term_before_a_follower_may_claim() {
     let (mut node, _) = idle_holder();
     node.set_idle_functions(BTreeSet::new());
     let renewal = node.tick(&[1], Micros::from_secs(3)).pop().expect("a renewal");
     assert_eq!(renewal.record.lease_micros, 3_000_000);
-    // It was stored, and its answer is lost: a follower that sees it at once waits for three seconds.
+    // It was stored and its response is lost: a follower that observes it at once waits for three seconds.
     let mut follower = Election::new(2, ElectionSettings::default());
     follower.set_functions(BTreeSet::from(["proof".to_owned()]));
     follower.observe("proof", 3, Some(renewal.record), Micros::from_secs(3));
     let may_claim_at = Micros::from_secs(6);
     assert!(follower.tick(&[1, 2], may_claim_at - Micros(1)).is_empty());
-    assert_eq!(follower.tick(&[1, 2], may_claim_at + CLAIM_PAUSE).len(), 1);
+    assert_eq!(follower.tick(&[1, 2], may_claim_at + CLAIM_INTERVAL).len(), 1);
     assert!(node.term("proof", may_claim_at - Micros(1)).is_some());
     assert!(node.term("proof", may_claim_at).is_none(), "the lease acknowledged before would last until 7 s");
 }
 
 #[test]
-fn a_function_that_is_configured_no_more_is_given_back_and_one_that_comes_again_is_claimed_at_once() {
+fn a_removed_function_is_released_and_claimed_at_once_when_configured_again() {
     let (mut node, _) = idle_holder();
     node.set_functions(BTreeSet::new());
-    assert!(node.term("proof", Micros::from_secs(2)).is_some(), "its end is found at the next clock event");
+    assert!(node.term("proof", Micros::from_secs(2)).is_some(), "the next tick ends the term");
     let release = node.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a release");
-    assert_eq!((release.record.holder, release.urgent), (NOBODY, true));
+    assert_eq!((release.record.holder, release.urgent), (NO_HOLDER, true));
     assert!(node.term("proof", Micros::from_secs(2)).is_none());
     let lost = node.take_changes();
     assert!(
@@ -291,31 +296,31 @@
 }
 
 #[test]
-fn what_another_gave_is_claimed_at_once_past_the_gate_under_the_short_lease() {
+fn a_transferred_term_is_claimed_at_once_without_the_gate_under_the_short_lease() {
     let (mut previous_leader, _) = idle_holder();
     previous_leader.transfer_to(2, "proof");
     let transferred = previous_leader.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
     assert_eq!((transferred.record.holder, transferred.record.lease_micros), (2, 1_000_000));
-    // Node 2 leads more than its share already, by the gate alone it would not claim.
+    // Node 2 already leads more than its share, so the gate alone would refuse the claim.
     let functions: BTreeSet<String> = (0..9).map(|n| format!("f{n}")).chain(["proof".to_owned()]).collect();
-    let mut taker = Election::new(2, ElectionSettings::default());
-    taker.set_functions(functions);
+    let mut successor = Election::new(2, ElectionSettings::default());
+    successor.set_functions(functions);
     for number in 0..9 {
-        taker.observe(&format!("f{number}"), 0, None, Micros(0));
+        successor.observe(&format!("f{number}"), 0, None, Micros(0));
     }
     for _ in 0..4 {
-        for claim in taker.tick(&[2], Micros(0)) {
-            taker.written(&claim.function, 1, &claim.record, Micros(0));
+        for claim in successor.tick(&[2], Micros(0)) {
+            successor.written(&claim.function, 1, &claim.record, Micros(0));
         }
     }
-    assert!(taker.own_count() >= 8, "{}", taker.own_count());
-    taker.observe("proof", 3, Some(transferred.record), Micros::from_secs(2));
-    let writes = taker.tick(&[1, 2], Micros::from_secs(2));
+    assert!(successor.own_count() >= 8, "{}", successor.own_count());
+    successor.observe("proof", 3, Some(transferred.record), Micros::from_secs(2));
+    let writes = successor.tick(&[1, 2], Micros::from_secs(2));
     assert!(writes.iter().any(|write| write.function == "proof" && write.record.holder == 2), "{writes:?}");
 }
 
 #[test]
-fn what_was_given_to_a_node_that_cannot_claim_it_is_open_to_others_a_second_later() {
+fn a_term_transferred_to_a_node_that_cannot_claim_is_open_to_others_a_second_later() {
     let (mut previous_leader, _) = idle_holder();
     previous_leader.transfer_to(2, "proof");
     let transferred = previous_leader.tick(&[1, 2], Micros::from_secs(2)).pop().expect("a write");
@@ -327,60 +332,61 @@
     assert!(claims.iter().any(|write| write.record.holder == 3), "{claims:?}");
 }
 
-/// Guards against: cells of a function that was taken out are stopped under no epoch of that function.
+/// Guards against: instances of a removed function are stopped without a leader epoch of that function.
 #[test]
-fn an_orphaned_function_is_led_under_a_higher_epoch_and_given_back_when_it_is_over() {
-    let mut bench = Bench::new(3, 4, ElectionSettings::default());
-    bench.run(0, 5_000, &[]);
+fn an_orphaned_function_is_led_under_a_higher_epoch_and_released_when_done() {
+    let mut cluster = TestCluster::new(3, 4, ElectionSettings::default());
+    cluster.run(0, 5_000, &[]);
     let (name, now) = ("function-0".to_owned(), Micros::from_millis(5_000));
-    let epoch_before = bench.registers[&name].1.as_ref().expect("a leader").leader_epoch;
-    let rest: BTreeSet<String> = bench.functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
-    // The leader that was writes its record back to nobody.
-    bench.run(5_000, 6_000, &[]);
-    assert!(bench.nodes.iter().all(|node| node.term(&name, Micros::from_millis(5_950)).is_none()));
-    bench.nodes[1].set_orphaned_functions([name.clone()].into(), now);
-    bench.run(6_000, 10_000, &[]);
+    let epoch_before = cluster.registers[&name].1.as_ref().expect("a leader").leader_epoch;
+    let rest: BTreeSet<String> = cluster.functions.iter().skip(1).cloned().collect();
+    cluster.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
+    // The previous leader releases its record.
+    cluster.run(5_000, 6_000, &[]);
+    assert!(cluster.nodes.iter().all(|node| node.term(&name, Micros::from_millis(5_950)).is_none()));
+    cluster.nodes[1].set_orphaned_functions([name.clone()].into(), now);
+    cluster.run(6_000, 10_000, &[]);
     let now = Micros::from_millis(9_950);
-    let epoch = bench.nodes[1].term(&name, now).expect("leads it");
+    let epoch = cluster.nodes[1].term(&name, now).expect("leads it");
     assert!(epoch > epoch_before, "{epoch} after {epoch_before}");
-    bench.nodes[1].set_orphaned_functions(BTreeSet::new(), now);
-    bench.run(10_000, 11_000, &[]);
-    assert!(bench.nodes[1].term(&name, Micros::from_millis(10_950)).is_none());
-    assert!(bench.registers[&name].1.as_ref().is_some_and(|record| record.holder == NOBODY));
+    cluster.nodes[1].set_orphaned_functions(BTreeSet::new(), now);
+    cluster.run(10_000, 11_000, &[]);
+    assert!(cluster.nodes[1].term(&name, Micros::from_millis(10_950)).is_none());
+    assert!(cluster.registers[&name].1.as_ref().is_some_and(|record| record.holder == NO_HOLDER));
 }
 
-/// Guards against: a leftover that is configured again stays with a node that has no work for it.
+/// Guards against: an orphaned function that is configured again keeps the node that stopped its instances as
+/// its leader.
 #[test]
-fn an_orphaned_function_that_is_configured_again_is_given_back_and_elected_anew() {
-    let mut bench = Bench::new(3, 4, ElectionSettings::default());
-    let (name, functions) = ("function-0".to_owned(), bench.functions.clone());
+fn an_orphaned_function_that_is_configured_again_is_released_and_elected_anew() {
+    let mut cluster = TestCluster::new(3, 4, ElectionSettings::default());
+    let (name, functions) = ("function-0".to_owned(), cluster.functions.clone());
     let rest: BTreeSet<String> = functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
-    bench.run(0, 3_000, &[]);
-    bench.nodes[1].set_orphaned_functions([name.clone()].into(), Micros::from_millis(3_000));
-    bench.run(3_000, 5_000, &[]);
-    let epoch = bench.nodes[1].term(&name, Micros::from_millis(4_950)).expect("leads it");
-    bench.nodes.iter_mut().for_each(|node| node.set_functions(functions.clone()));
-    assert!(bench.nodes[1].term(&name, Micros::from_millis(5_000)).is_none());
-    bench.run(5_000, 9_000, &[]);
+    cluster.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
+    cluster.run(0, 3_000, &[]);
+    cluster.nodes[1].set_orphaned_functions([name.clone()].into(), Micros::from_millis(3_000));
+    cluster.run(3_000, 5_000, &[]);
+    let epoch = cluster.nodes[1].term(&name, Micros::from_millis(4_950)).expect("leads it");
+    cluster.nodes.iter_mut().for_each(|node| node.set_functions(functions.clone()));
+    assert!(cluster.nodes[1].term(&name, Micros::from_millis(5_000)).is_none());
+    cluster.run(5_000, 9_000, &[]);
     let now = Micros::from_millis(8_950);
-    let epochs: Vec<u64> = bench.nodes.iter().filter_map(|node| node.term(&name, now)).collect();
+    let epochs: Vec<u64> = cluster.nodes.iter().filter_map(|node| node.term(&name, now)).collect();
     assert!(matches!(epochs[..], [later] if later > epoch), "{epochs:?} after {epoch}");
 }
 
-/// Guards against: two nodes that both take a leftover for theirs both lead it.
+/// Guards against: two nodes that both claim an orphaned function both lead it.
 #[test]
-fn two_that_want_one_orphaned_function_never_both_lead_it() {
-    let mut bench = Bench::new(3, 4, ElectionSettings::default());
+fn two_nodes_that_claim_one_orphaned_function_never_both_lead_it() {
+    let mut cluster = TestCluster::new(3, 4, ElectionSettings::default());
     let name = "function-0".to_owned();
-    let rest: BTreeSet<String> = bench.functions.iter().skip(1).cloned().collect();
-    bench.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
+    let rest: BTreeSet<String> = cluster.functions.iter().skip(1).cloned().collect();
+    cluster.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
     for place in [0, 2] {
-        bench.nodes[place].set_orphaned_functions([name.clone()].into(), Micros(0));
+        cluster.nodes[place].set_orphaned_functions([name.clone()].into(), Micros(0));
     }
-    // The bench itself sees to it that one acts at a time.
-    bench.run(0, 12_000, &[]);
+    // `run` asserts that there is at most one leader of a function at a time.
+    cluster.run(0, 12_000, &[]);
     let now = Micros::from_millis(11_950);
-    assert_eq!(bench.nodes.iter().filter(|node| node.term(&name, now).is_some()).count(), 1);
+    assert_eq!(cluster.nodes.iter().filter(|node| node.term(&name, now).is_some()).count(), 1);
 }
