--- a/packages/control_registers/src/disk_registers.rs
+++ b/packages/control_registers/src/disk_registers.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 const KIND_PROMISE: u8 = 0;
-/// A stored value, which is a promise too.
+/// A stored value, which also counts as a promise.
 const KIND_STORED: u8 = 1;
-/// The newest chosen voter set that this disk learned.
+/// The newest chosen voter set that this disk has learned.
 const KIND_CHOSEN: u8 = 2;
 
-/// A line of the record file.
+/// An entry of the record file.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
 struct DiskRecord {
     kind: u8,
@@ -35,23 +35,23 @@
     }
 }
 
-/// The answer to a store by digest: this disk does not hold that value.
-pub(crate) const LACKS: u8 = 2;
+/// The response to a store by digest if this disk does not hold that value.
+pub(crate) const VALUE_MISSING: u8 = 2;
 
-/// Answers together with the records that must be synced before the answers may leave.
-pub type Answered<T> = (Vec<T>, Vec<Vec<u8>>);
+/// Responses together with the records that must be synced before the responses are sent.
+pub type ResponsesAfterSync<T> = (Vec<T>, Vec<Vec<u8>>);
 
-/// One disk's registers. Example: `DiskRegisters::restore(&[])` is a blank disk without a vote.
+/// The registers of one disk. Example: `DiskRegisters::restore(&[])` is a blank disk without a vote.
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub struct DiskRegisters {
     registers: BTreeMap<String, DiskRegister>,
     chosen: ChosenSet,
-    /// The value of the voter set's own register, chosen or not.
+    /// The voter set in the register of [`DISKS_KEY`], chosen or not.
     stored_set: VoterSet,
 }
 
 impl DiskRegisters {
-    /// Folds the record file's records; `None` when one of them is not a register record.
+    /// Restores the registers from the records of a file; `None` if one of them is not a register record.
     /// Example: `DiskRegisters::restore(&records).unwrap().chosen().generation`.
     pub fn restore(records: &[Vec<u8>]) -> Option<DiskRegisters> {
         let mut restored_registers = DiskRegisters::default();
@@ -59,8 +59,8 @@
             let (_, disk_record) = DiskRecord::from_bytes((record, 0)).ok()?;
             restored_registers.apply(disk_record);
         }
-        // Files of the former format hold no chosen set; there the stored set was gone by. Since then no
-        // disk stores anything before its first chosen set.
+        // Files of the former format contain no chosen set; there the stored set was in force. In the present
+        // format no disk stores anything before its first chosen set.
         if restored_registers.chosen.generation == 0 {
             restored_registers.chosen = ChosenSet::stored(restored_registers.stored_set.clone());
         }
@@ -90,20 +90,20 @@
         }
     }
 
-    /// The newest chosen set this disk learned. Example: a blank disk's `chosen().generation == 0`.
+    /// The newest chosen set that this disk has learned. Example: a blank disk's `chosen().generation == 0`.
     pub fn chosen(&self) -> &ChosenSet {
         &self.chosen
     }
 
-    /// The stored set, if it is newer than the chosen one that this disk knows.
+    /// The stored set, if it is newer than the newest chosen set that this disk knows.
     /// Example: a disk that stored generation 2 under generation 1 has `proposed().is_some()`.
     pub fn proposed(&self) -> Option<ProposedSet> {
         let is_newer = self.stored_set.generation > self.chosen.generation;
         is_newer.then(|| ProposedSet::new(self.stored_set.clone()))
     }
 
-    /// Takes a chosen set that is newer than the known one; the record to write. Until it took its first
-    /// one a disk promises and stores nothing. Example: `registers.learn_chosen(&set)`.
+    /// Adopts a chosen set that is newer than the known one and returns the record to write. Before its first
+    /// chosen set a disk promises and stores nothing. Example: `registers.learn_chosen(&set)`.
     pub fn learn_chosen(&mut self, chosen_set: &ChosenSet) -> Vec<Vec<u8>> {
         if chosen_set.generation <= self.chosen.generation {
             return Vec::new();
@@ -123,7 +123,7 @@
         disk_record.to_bytes().unwrap_or_default()
     }
 
-    /// Every key this disk knows. Example: `registers.keys().contains(&"configuration".to_owned())`.
+    /// Every key in this disk's registers. Example: `registers.keys().contains(&"configuration".to_owned())`.
     pub fn keys(&self) -> Vec<String> {
         self.registers.keys().cloned().collect()
     }
@@ -134,9 +134,9 @@
         Some((&register.epoch, register.version, &register.value))
     }
 
-    /// Accepts the founding set if this disk is blank or already took the very same set.
+    /// Accepts the bootstrap set if this disk is blank or has already accepted the same set.
     ///
-    /// A disk takes one founding set in its life, so two halves can never found two states.
+    /// A disk accepts one bootstrap set in its lifetime, so two partitions can never bootstrap two states.
     /// Example: `blank.bootstrap(&ChosenSet::bootstrap(&[1, 2, 3])).is_some()`.
     pub fn bootstrap(&mut self, bootstrap_set: &ChosenSet) -> Option<Vec<Vec<u8>>> {
         if self.chosen == *bootstrap_set {
@@ -149,9 +149,9 @@
     }
 
     /// The oldest generation under which a sender may use a key. For ordinary keys a proposed set counts
-    /// like a chosen one: any quorum of the set before meets a disk that stored it. The set's own key is
-    /// open to the generation before the stored set too, so that any owner can finish the proposal, and to
-    /// none before that: a set with a successor under way was chosen.
+    /// like a chosen one: any quorum of the previous set includes a disk that stored it. The key of the voter
+    /// set is also open to the generation before the stored set, so that any owner can complete the proposal,
+    /// but to no older one: a set whose successor is under way was chosen.
     fn fence(&self, key: &str) -> u64 {
         let stored_generation = self.stored_set.generation;
         let stored_fence =
@@ -159,7 +159,7 @@
         stored_fence.max(self.chosen.generation)
     }
 
-    /// Whether a sender may use a key under the set whose mark it tells.
+    /// Whether a sender may use a key under the set of this digest.
     fn admits(&self, sender_set: u64, key: &str) -> bool {
         let sender_generation = sender_set >> 32;
         if self.chosen.generation == 0 || sender_generation < self.fence(key) {
@@ -168,8 +168,9 @@
         sender_generation != self.chosen.generation || sender_set == self.chosen.digest()
     }
 
-    /// Every key this disk knows, for a sender under a joint set; `None` while this disk would still admit
-    /// owners under an older set, or the sender's set is outdated: a list must not miss what is stored later.
+    /// Every key in this disk's registers, for a sender under a joint set; `None` while this disk still
+    /// admits owners under an older set, whose later stores the list would miss, or if the sender's set is
+    /// outdated.
     /// Example: `registers.list_keys(joint_set.digest())`.
     pub fn list_keys(&self, sender_set: u64) -> Option<Vec<String>> {
         let key = CONFIGURATION_KEY;
@@ -177,16 +178,20 @@
         is_exact.then(|| self.keys())
     }
 
-    /// Promises each key to the epoch unless a higher one stands or the sender's set is outdated.
+    /// Promises each key to the epoch unless a higher one was promised or the sender's set is outdated.
     /// Example: `registers.promise(set.digest(), &entries)`.
-    pub fn promise(&mut self, sender_set: u64, entries: &List<PromiseEntry>) -> Answered<PromisedEntry> {
+    pub fn promise(
+        &mut self,
+        sender_set: u64,
+        entries: &List<PromiseEntry>,
+    ) -> ResponsesAfterSync<PromisedEntry> {
         let mut responses = Vec::new();
         let mut records = Vec::new();
         for entry in &entries.0 {
-            let standing = self.registers.get(&entry.key.0).cloned().unwrap_or_default();
+            let current = self.registers.get(&entry.key.0).cloned().unwrap_or_default();
             let granted =
-                self.admits(sender_set, &entry.key.0) && entry.epoch.rank() >= standing.promised.rank();
-            if granted && entry.epoch.rank() > standing.promised.rank() {
+                self.admits(sender_set, &entry.key.0) && entry.epoch.rank() >= current.promised.rank();
+            if granted && entry.epoch.rank() > current.promised.rank() {
                 let disk_record = DiskRecord {
                     kind: KIND_PROMISE,
                     key: entry.key.clone(),
@@ -200,10 +205,10 @@
             responses.push(PromisedEntry {
                 key: entry.key.clone(),
                 granted: u8::from(granted),
-                promised: if granted { entry.epoch.clone() } else { standing.promised },
-                stored_epoch: standing.epoch,
-                version: standing.version,
-                value: if granted { standing.value } else { Bytes::default() },
+                promised: if granted { entry.epoch.clone() } else { current.promised },
+                stored_epoch: current.epoch,
+                version: current.version,
+                value: if granted { current.value } else { Bytes::default() },
             });
         }
         (responses, records)
@@ -211,17 +216,17 @@
 
     /// Stores each value unless a higher epoch was promised or the sender's set is outdated.
     /// Example: `registers.store(set.digest(), &entries)`.
-    pub fn store(&mut self, sender_set: u64, entries: &List<StoreEntry>) -> Answered<StoredEntry> {
+    pub fn store(&mut self, sender_set: u64, entries: &List<StoreEntry>) -> ResponsesAfterSync<StoredEntry> {
         let mut responses = Vec::new();
         let mut records = Vec::new();
         for entry in &entries.0 {
             let promised =
-                self.registers.get(&entry.key.0).map_or(Epoch::none(), |standing| standing.promised.clone());
+                self.registers.get(&entry.key.0).map_or(Epoch::none(), |current| current.promised.clone());
             let is_admitted = self.admits(sender_set, &entry.key.0) && entry.epoch.rank() >= promised.rank();
-            let value = if is_admitted { self.meant_value(entry) } else { None };
+            let value = if is_admitted { self.resolve_value(entry) } else { None };
             let granted = match (is_admitted, &value) {
                 (true, Some(_)) => 1,
-                (true, None) => LACKS,
+                (true, None) => VALUE_MISSING,
                 (false, _) => 0,
             };
             if let Some(value) = value.filter(|_| !self.already_stored(entry)) {
@@ -247,24 +252,26 @@
         (responses, records)
     }
 
-    /// The value that an entry stores: its own, or the one this disk holds where the entry tells its digest.
-    fn meant_value(&self, entry: &StoreEntry) -> Option<Bytes> {
+    /// The value that an entry stores: its own or, if the entry carries only a digest, the value of that
+    /// digest on this disk.
+    fn resolve_value(&self, entry: &StoreEntry) -> Option<Bytes> {
         if entry.digest == 0 || self.already_stored(entry) {
             return Some(entry.value.clone());
         }
-        let standing = self.registers.get(&entry.key.0)?;
-        let is_held = standing.version == entry.version && value_digest(&standing.value.0) == entry.digest;
-        is_held.then(|| standing.value.clone())
+        let current = self.registers.get(&entry.key.0)?;
+        let is_held = current.version == entry.version && value_digest(&current.value.0) == entry.digest;
+        is_held.then(|| current.value.clone())
     }
 
-    /// A late repeat of an older store under the same epoch must not undo a newer one.
+    /// Whether the entry repeats a store that is already applied: a delayed repeat of an older store under
+    /// the same epoch must not undo a newer one.
     fn already_stored(&self, entry: &StoreEntry) -> bool {
         self.registers
             .get(&entry.key.0)
-            .is_some_and(|standing| standing.epoch == entry.epoch && standing.version >= entry.version)
+            .is_some_and(|current| current.epoch == entry.epoch && current.version >= entry.version)
     }
 
-    /// What a rewritten file holds: the chosen set, and one value and one promise for each key.
+    /// The records of a compacted file: the chosen set, and one value and one promise for each key.
     /// Example: `file.rewrite(&registers.live_records())`.
     pub fn live_records(&self) -> Vec<Vec<u8>> {
         let mut records = Vec::new();
--- a/packages/control_registers/src/key_owner.rs
+++ b/packages/control_registers/src/key_owner.rs
@@ -1,4 +1,4 @@
-use crate::disk_registers::LACKS;
+use crate::disk_registers::VALUE_MISSING;
 use crate::{ChosenSet, DISKS_KEY, VoterSet};
 use monotonic_clock::Micros;
 use peer_messages::{
@@ -10,54 +10,55 @@
 
 /// The write was stored on a majority.
 pub const WRITTEN: u8 = 0;
-/// The expected version does not stand; the outcome carries what does.
+/// The register is not at the expected version; the outcome carries its version and value.
 pub const DIFFERS: u8 = 1;
 /// This node does not own the key.
 pub const NOT_OWNER: u8 = 2;
-/// No majority answered: the write may or may not stand.
+/// No majority responded: the write may or may not have been stored.
 pub const UNKNOWN: u8 = 3;
-/// A confirmed read: what stands has the digest that the asker told, so the value is left out.
+/// A confirmed read: the value has the digest that the requester sent, so it is omitted.
 pub const AS_KNOWN: u8 = 4;
 
 const RESEND_AFTER: Micros = Micros::from_millis(250);
 const ABANDON_AFTER: Micros = Micros::from_millis(2_000);
 const WAITING_LIMIT: usize = 64;
-/// Four thousand functions may be configured; more keys than this are nobody's mistake but a fault.
+/// Up to four thousand functions may be configured; more keys than this indicate a fault.
 const KEYS_LIMIT: usize = 16_384;
-/// Shorter values are stored whole; of longer ones a disk that has them is told the digest.
-const DIGEST_FROM: usize = 1_024;
-const GROUP_AFTER: Micros = Micros::from_millis(200);
-/// Sets of polled keys that are remembered by their mark: askers with one view share one.
+/// Values from this size on are sent as a digest to disks that may hold them; shorter ones are sent whole.
+const DIGEST_MIN_BYTES: usize = 1_024;
+/// How long renewals may wait to be sent in one group.
+const GROUP_DELAY: Micros = Micros::from_millis(200);
+/// Limit of remembered sets of polled keys; requesters with the same configuration share one.
 const KEY_SETS_LIMIT: usize = 16;
 
-/// The mark of a set of polled keys. Example: `keys_digest(&keys) != keys_digest(&other_keys)`.
+/// The digest of a list of polled keys. Example: `keys_digest(&keys) != keys_digest(&other_keys)`.
 pub fn keys_digest(keys: &[Text]) -> u64 {
     keys.iter().fold(keys.len() as u64, |keys_digest, key| {
         stable_hash(&[keys_digest.to_le_bytes(), stable_hash(key.0.as_bytes()).to_le_bytes()].concat())
     })
 }
 
-/// What changed for an asker since its last poll. Example: `owner.poll(keys_digest, since, &[], now)?.change`.
+/// What changed since a requester's last poll. Example: `owner.poll(keys_digest, since, &[], now)?.change`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PollResponse {
-    /// The change number to ask from next time.
+    /// The change number for the next poll.
     pub change: u64,
-    /// Records that changed otherwise than by renewal.
+    /// Records that changed in more than a renewal.
     pub records: Vec<PolledRecord>,
-    /// Records that were only renewed, by their place among the keys.
+    /// Records that were only renewed, by their index among the polled keys.
     pub renewed: Vec<RenewedRecord>,
 }
 
-/// What the owner wants done.
+/// An action requested by the owner.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum OwnerAction {
-    /// Ask these disks for promises.
+    /// Request promises from this disk.
     Promise { disk: u64, fleet_set: u64, entries: List<PromiseEntry> },
-    /// Ask these disks to store.
+    /// Request stores from this disk.
     Store { disk: u64, fleet_set: u64, entries: List<StoreEntry> },
-    /// A newer voter set is chosen: to be gone by and told. The owner itself goes by it already.
+    /// A newer voter set is chosen: apply and publish it. The owner itself uses it already.
     Chosen(ChosenSet),
-    /// Answer the node that asked.
+    /// Respond to the requesting node.
     Response { node: NodeId, outcome: WriteOutcome },
 }
 
@@ -65,12 +66,12 @@
 struct WaitingWrite {
     node: NodeId,
     entry: WriteEntry,
-    /// A confirmed read stores what stands and answers with it.
-    confirms: bool,
+    /// A confirmed read, which stores the current value again and responds with it.
+    is_read: bool,
     /// The digest of the value that a reader has, zero for none.
     known_digest: u64,
-    /// The key was acquired anew on account of this write.
-    has_renewed: bool,
+    /// The key was reacquired because of this write.
+    has_reacquired: bool,
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -78,20 +79,20 @@
     number: u64,
     version: u64,
     value: Bytes,
-    /// The digest of a large value that was read from disks; zero where the value is new or small.
+    /// The digest of a large value that was read from disks; zero if the value is new or small.
     digest: u64,
-    /// Disks that were told the digest and do not hold the value.
+    /// Disks that were sent the digest and do not hold the value.
     lacking: BTreeSet<u64>,
     stored: BTreeSet<u64>,
-    /// `None` for the store that opens an ownership.
+    /// `None` for the opening store, by which a new owner stores the newest value under its epoch.
     write: Option<WaitingWrite>,
     sent_at: Option<Micros>,
-    begun_at: Micros,
+    started_at: Micros,
     urgent: bool,
 }
 
 impl StoreAttempt {
-    /// What one disk is told: a disk that may hold the value is told its digest alone.
+    /// The entry for one disk: a disk that may hold the value is sent its digest only.
     fn entry(&self, key: &str, epoch: &Epoch, disk: u64) -> StoreEntry {
         let is_sent_whole = self.digest == 0 || self.lacking.contains(&disk);
         StoreEntry {
@@ -116,14 +117,15 @@
     epoch: Epoch,
     state: KeyState,
     queue: VecDeque<WaitingWrite>,
-    begun_at: Micros,
-    /// The owner's change number when the record last changed, and when it last did otherwise than by
-    /// a renewal; zero before the record is known to stand.
+    started_at: Micros,
+    /// The owner's change number when the record last changed; zero before the record is known to be stored
+    /// on a majority.
     changed_at: u64,
-    anew_at: u64,
+    /// The same for the last change that was more than a renewal.
+    replaced_at: u64,
 }
 
-/// The keys one node owns. Example: `KeyOwner::new(7)` owns nothing until it is asked.
+/// The keys that one node owns. Example: `KeyOwner::new(7)` owns nothing until the first request.
 #[derive(Clone, Debug, Hash)]
 pub struct KeyOwner {
     own: NodeId,
@@ -133,7 +135,7 @@
     set: ChosenSet,
     responses: Vec<OwnerAction>,
     group_due: Option<Micros>,
-    /// Rises with each change of a record that stands here, and never falls in this process's life.
+    /// Rises with each change of an owned record, and never falls during the lifetime of this process.
     change_count: u64,
     key_sets: VecDeque<(u64, Arc<[Text]>)>,
 }
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Tells which disks vote; a newer set makes every key start over under a higher epoch.
+    /// Sets the voter set; a newer one makes every key start again under a higher epoch.
     /// Example: `owner.adopt_set(registers.chosen())`.
     pub fn adopt_set(&mut self, known_set: &ChosenSet) {
         if known_set.generation <= self.set.generation {
@@ -163,44 +165,48 @@
         self.set = known_set.clone();
         let owned_keys: Vec<String> = self.keys.keys().cloned().collect();
         for key in owned_keys {
-            self.lose(&key);
+            self.release(&key);
         }
     }
 
-    /// Keys held or being acquired. Example: `owner.owned_count()` in a status page.
+    /// The number of keys owned or being acquired. Example: `owner.owned_count()` in a status page.
     pub fn owned_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Lets go of all keys that `keeps` refuses: the hand-over to another disk node.
+    /// Releases all keys that `keeps` refuses, for the handover to another node with a disk.
     /// Example: `owner.retain_keys(|key| choice(key) == own)`.
     pub fn retain_keys(&mut self, keeps: impl Fn(&str) -> bool) {
-        let lost_keys: Vec<String> = self.keys.keys().filter(|key| !keeps(key)).cloned().collect();
-        for key in lost_keys {
-            self.lose(&key);
+        let released_keys: Vec<String> = self.keys.keys().filter(|key| !keeps(key)).cloned().collect();
+        for key in released_keys {
+            self.release(&key);
         }
     }
 
-    /// Takes a conditional write, acquiring the key first if need be.
+    /// Handles a conditional write; acquires the key first if necessary.
     /// Example: `owner.write(requester, entry, now); for action in owner.flush(now) { .. }`.
     pub fn write(&mut self, node: NodeId, entry: WriteEntry, now: Micros) {
-        self.wait(WaitingWrite { node, entry, confirms: false, known_digest: 0, has_renewed: false }, now);
+        self.enqueue(
+            WaitingWrite { node, entry, is_read: false, known_digest: 0, has_reacquired: false },
+            now,
+        );
     }
 
-    /// Reads a key in a way that is confirmed by a majority.
+    /// Reads a key, confirmed by a majority.
     /// Example: `owner.read_confirmed(requester, 1, "configuration".into(), now)`.
     pub fn read_confirmed(&mut self, node: NodeId, request_id: u64, key: Text, now: Micros) {
         self.confirm(node, request_id, key, 0, now);
     }
 
-    /// As [`KeyOwner::read_confirmed`] for an asker that has a value of this digest: if that one stands
-    /// it is not sent. Example: `owner.confirm(requester, 1, key, value_digest(&known), now)`.
+    /// Like [`KeyOwner::read_confirmed`], for a requester that has a value of this digest: if that is the
+    /// current value, it is not sent.
+    /// Example: `owner.confirm(requester, 1, key, value_digest(&known), now)`.
     pub fn confirm(&mut self, node: NodeId, request_id: u64, key: Text, known_digest: u64, now: Micros) {
         let entry = WriteEntry { request_id, key, expected: 0, value: Bytes::default(), urgent: 1 };
-        self.wait(WaitingWrite { node, entry, confirms: true, known_digest, has_renewed: false }, now);
+        self.enqueue(WaitingWrite { node, entry, is_read: true, known_digest, has_reacquired: false }, now);
     }
 
-    fn wait(&mut self, write: WaitingWrite, now: Micros) {
+    fn enqueue(&mut self, write: WaitingWrite, now: Micros) {
         let (node, entry) = (write.node, &write.entry);
         let key = entry.key.0.clone();
         self.acquire(&key, now);
@@ -216,7 +222,7 @@
         self.next_attempt(&key, now);
     }
 
-    /// Starts to own a key. Example: a poll for a key nobody owns calls `owner.acquire(key, now)`.
+    /// Starts to acquire a key. Example: a poll for a key without an owner calls `owner.acquire(key, now)`.
     pub fn acquire(&mut self, key: &str, now: Micros) {
         if self.keys.contains_key(key) || self.set.generation == 0 || self.keys.len() >= KEYS_LIMIT {
             return;
@@ -230,9 +236,9 @@
                 sent_at: None,
             },
             queue: VecDeque::new(),
-            begun_at: now,
+            started_at: now,
             changed_at: 0,
-            anew_at: 0,
+            replaced_at: 0,
         };
         self.keys.insert(key.to_owned(), owned_key);
     }
@@ -242,9 +248,10 @@
         self.keys.contains_key(key)
     }
 
-    /// What changed of owned keys since the asker's last poll, as followers poll them; others begin to be
-    /// acquired where this node is to own them. A set of keys is told once and named by its mark from then on; `None` asks
-    /// for the set. Example: `owner.poll(keys_digest(&keys), 0, &keys, |_| true, now)`.
+    /// Responds to a follower's poll with what changed of owned keys since its last poll. Polled keys that
+    /// this node should own are acquired. A list of keys is sent once and named by its digest from then on;
+    /// `None` requests the list.
+    /// Example: `owner.poll(keys_digest(&keys), 0, &keys, |_| true, now)`.
     pub fn poll(
         &mut self,
         keys_digest: u64,
@@ -256,7 +263,7 @@
         let polled_keys = self.key_set(keys_digest, received_keys)?;
         let mut response =
             PollResponse { change: self.change_count, records: Vec::new(), renewed: Vec::new() };
-        for (place, polled_key) in polled_keys.iter().enumerate() {
+        for (index, polled_key) in polled_keys.iter().enumerate() {
             let Some(owned_key) = self.keys.get(&polled_key.0) else {
                 if is_to_own(&polled_key.0) {
                     self.acquire(&polled_key.0, now);
@@ -264,18 +271,18 @@
                 continue;
             };
             let KeyState::Owned { version, value, attempt } = &owned_key.state else { continue };
-            // Before the opening store stands on a majority, what was read may still be lost.
+            // Until the opening store is on a majority, the value that was read may still be lost.
             let is_opening = attempt.as_ref().is_some_and(|open_attempt| open_attempt.write.is_none());
             if is_opening || owned_key.changed_at <= since {
                 continue;
             }
-            match owned_key.anew_at > since {
+            match owned_key.replaced_at > since {
                 true => response.records.push(PolledRecord {
                     key: polled_key.clone(),
                     version: *version,
                     value: value.clone(),
                 }),
-                false => response.renewed.push(RenewedRecord { place: place as u16, version: *version }),
+                false => response.renewed.push(RenewedRecord { place: index as u16, version: *version }),
             }
         }
         Some(response)
@@ -300,7 +307,7 @@
         Some(key_set)
     }
 
-    /// Takes a disk's promises. Example: `owner.promised(disk, entries, now)`.
+    /// Handles a disk's promises. Example: `owner.promised(disk, entries, now)`.
     pub fn promised(&mut self, disk: u64, entries: List<PromisedEntry>, now: Micros) {
         for entry in entries.0 {
             let key = entry.key.0;
@@ -309,7 +316,7 @@
             let KeyState::Acquiring { promised, newest, .. } = &mut owned_key.state else { continue };
             if entry.granted == 0 {
                 if entry.promised.rank() > owned_key.epoch.rank() {
-                    self.restart(&key, now);
+                    self.reacquire(&key, now);
                 }
                 continue;
             }
@@ -325,7 +332,8 @@
             }
             let (_, mut version, mut value) = std::mem::replace(newest, (Epoch::none(), 0, Bytes::default()));
             if key == DISKS_KEY && version < self.set.generation {
-                // The set in force is chosen, so it stands, also where no register holds it: the founding.
+                // The set in force is chosen, so it is the current value even if no register holds it, as
+                // after the bootstrap.
                 (version, value) = (self.set.generation, self.set.encode());
             }
             self.attempt_count += 1;
@@ -339,19 +347,19 @@
                 stored: BTreeSet::new(),
                 write: None,
                 sent_at: None,
-                begun_at: now,
+                started_at: now,
                 urgent: true,
             });
             if opening_attempt.is_none() {
                 self.change_count += 1;
-                (owned_key.changed_at, owned_key.anew_at) = (self.change_count, self.change_count);
+                (owned_key.changed_at, owned_key.replaced_at) = (self.change_count, self.change_count);
             }
             owned_key.state = KeyState::Owned { version, value, attempt: opening_attempt };
             self.next_attempt(&key, now);
         }
     }
 
-    /// Takes a disk's stores. Example: `owner.stored(disk, entries, now)`.
+    /// Handles a disk's responses to stores. Example: `owner.stored(disk, entries, now)`.
     pub fn stored(&mut self, disk: u64, entries: List<StoredEntry>, now: Micros) {
         for entry in entries.0 {
             let key = entry.key.0;
@@ -361,8 +369,8 @@
                 continue;
             }
             let KeyState::Owned { version, value, attempt } = &mut owned_key.state else { continue };
-            if entry.granted == LACKS && entry.version == *version {
-                // Also when a majority has it already: the disk catches up.
+            if entry.granted == VALUE_MISSING && entry.version == *version {
+                // The value is sent even if a majority has it already, so that the disk catches up.
                 if let Some(open_attempt) = attempt.as_mut().filter(|open| open.number == entry.attempt) {
                     open_attempt.lacking.insert(disk);
                 }
@@ -377,13 +385,13 @@
                 let (fleet_set, entries) = (self.set.digest(), List(vec![whole_entry]));
                 self.responses.push(OwnerAction::Store { disk, fleet_set, entries });
             }
-            if entry.granted == LACKS {
+            if entry.granted == VALUE_MISSING {
                 continue;
             }
             let Some(open_attempt) = attempt else { continue };
             if entry.granted == 0 {
                 if entry.promised.rank() > owned_key.epoch.rank() {
-                    self.lose(&key);
+                    self.release(&key);
                 }
                 continue;
             }
@@ -399,7 +407,7 @@
                 self.change_count += 1;
                 owned_key.changed_at = self.change_count;
                 if is_opening || !is_renewal(value, &open_attempt.value) {
-                    owned_key.anew_at = self.change_count;
+                    owned_key.replaced_at = self.change_count;
                 }
             }
             *version = open_attempt.version;
@@ -410,50 +418,50 @@
             let chosen_set = is_newer_set.then(|| ChosenSet::received(&done_value)).flatten();
             if let Some(write) = finished_write {
                 let is_known = write.known_digest != 0 && value_digest(&done_value.0) == write.known_digest;
-                let (outcome, answered_value) = match (write.confirms, is_known) {
+                let (outcome, response_value) = match (write.is_read, is_known) {
                     (true, true) => (AS_KNOWN, Bytes::default()),
                     (true, false) => (WRITTEN, done_value),
                     (false, _) => (WRITTEN, Bytes::default()),
                 };
-                self.respond(write.node, &write.entry, outcome, done_version, answered_value);
+                self.respond(write.node, &write.entry, outcome, done_version, response_value);
             }
             match chosen_set {
-                Some(chosen_set) => self.choose(chosen_set),
+                Some(chosen_set) => self.apply_chosen(chosen_set),
                 None => self.next_attempt(&key, now),
             }
         }
     }
 
-    /// The quorum that stored a voter set has made it the chosen one: nothing more is done under the set
-    /// before it.
-    fn choose(&mut self, chosen_set: ChosenSet) {
+    /// A quorum stored a voter set, which is thereby chosen: nothing more is done under the previous set.
+    fn apply_chosen(&mut self, chosen_set: ChosenSet) {
         self.responses.push(OwnerAction::Chosen(chosen_set.clone()));
         self.adopt_set(&chosen_set);
     }
 
-    /// Puts the next fitting write of a key in flight and answers those whose condition fails.
+    /// Starts the next waiting write of a key whose condition holds, and responds to those whose condition
+    /// fails.
     fn next_attempt(&mut self, key: &str, now: Micros) {
         while let Some(owned_key) = self.keys.get_mut(key) {
             let KeyState::Owned { version, value, attempt: attempt @ None } = &mut owned_key.state else {
                 return;
             };
             let Some(mut write) = owned_key.queue.pop_front() else { return };
-            if !write.confirms && write.entry.expected > *version && !write.has_renewed {
-                // The asker has seen a newer version: this node was deposed without noticing, perhaps
-                // in a sleep. It answers nothing more from memory and acquires the key anew.
-                write.has_renewed = true;
+            if !write.is_read && write.entry.expected > *version && !write.has_reacquired {
+                // The requester has seen a newer version: this node was deposed without noticing, perhaps
+                // while it was suspended. It stops responding from memory and reacquires the key.
+                write.has_reacquired = true;
                 owned_key.queue.push_front(write);
-                self.restart(key, now);
+                self.reacquire(key, now);
                 return;
             }
             let urgent = write.entry.urgent == 1;
-            let is_foreign_set = key == DISKS_KEY && !follows(&self.set, *version, &write.entry.value);
-            if !write.confirms && (write.entry.expected != *version || is_foreign_set) {
-                let (standing_version, standing_value) = (*version, value.clone());
-                self.respond(write.node, &write.entry, DIFFERS, standing_version, standing_value);
+            let is_foreign_set = key == DISKS_KEY && !is_next_set(&self.set, *version, &write.entry.value);
+            if !write.is_read && (write.entry.expected != *version || is_foreign_set) {
+                let (current_version, current_value) = (*version, value.clone());
+                self.respond(write.node, &write.entry, DIFFERS, current_version, current_value);
                 continue;
             }
-            let (attempt_version, attempt_value) = match write.confirms {
+            let (attempt_version, attempt_value) = match write.is_read {
                 true => (*version, value.clone()),
                 false => (*version + 1, write.entry.value.clone()),
             };
@@ -461,37 +469,37 @@
             *attempt = Some(StoreAttempt {
                 number: self.attempt_count,
                 version: attempt_version,
-                digest: if write.confirms { large_digest(&attempt_value) } else { 0 },
+                digest: if write.is_read { large_digest(&attempt_value) } else { 0 },
                 value: attempt_value,
                 lacking: BTreeSet::new(),
                 stored: BTreeSet::new(),
                 write: Some(write),
                 sent_at: None,
-                begun_at: now,
+                started_at: now,
                 urgent,
             });
             return;
         }
     }
 
-    /// Everything to send now: promises and stores grouped by disk, and answers. Hasty writes leave
-    /// at once and take the waiting group along; renewals alone wait a little for company.
+    /// Returns everything to send now: promises and stores grouped by disk, and responses. Urgent writes are
+    /// sent at once together with the waiting group; renewals alone wait for `GROUP_DELAY`.
     /// Example: `for action in owner.flush(now) { carry(action) }`.
     pub fn flush(&mut self, now: Micros) -> Vec<OwnerAction> {
         self.expire_waiting(now);
-        // Each time later: what is unanswered because the disks are behind must not put them further behind.
-        let resend_due = |sent_at: Option<Micros>, begun_at: Micros| {
-            sent_at.is_none_or(|sent| now >= sent + RESEND_AFTER.max(sent - begun_at))
+        // The interval grows with each repeat, because repeats to overloaded disks would add to their load.
+        let resend_due = |sent_at: Option<Micros>, started_at: Micros| {
+            sent_at.is_none_or(|sent| now >= sent + RESEND_AFTER.max(sent - started_at))
         };
         let mut urgent_count = 0;
         let mut deferrable_count = 0;
         for owned_key in self.keys.values() {
             match &owned_key.state {
-                KeyState::Acquiring { sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
+                KeyState::Acquiring { sent_at, .. } if resend_due(*sent_at, owned_key.started_at) => {
                     urgent_count += 1
                 }
                 KeyState::Owned { attempt: Some(open_attempt), .. }
-                    if resend_due(open_attempt.sent_at, open_attempt.begun_at) =>
+                    if resend_due(open_attempt.sent_at, open_attempt.started_at) =>
                 {
                     match open_attempt.urgent || open_attempt.sent_at.is_some() {
                         true => urgent_count += 1,
@@ -501,7 +509,7 @@
                 _ => {}
             }
         }
-        let group_due = deferrable_count > 0 && *self.group_due.get_or_insert(now + GROUP_AFTER) <= now;
+        let group_due = deferrable_count > 0 && *self.group_due.get_or_insert(now + GROUP_DELAY) <= now;
         if urgent_count == 0 && !group_due {
             return std::mem::take(&mut self.responses);
         }
@@ -511,7 +519,9 @@
         let voters = self.set.all();
         for (key, owned_key) in &mut self.keys {
             match &mut owned_key.state {
-                KeyState::Acquiring { promised, sent_at, .. } if resend_due(*sent_at, owned_key.begun_at) => {
+                KeyState::Acquiring { promised, sent_at, .. }
+                    if resend_due(*sent_at, owned_key.started_at) =>
+                {
                     *sent_at = Some(now);
                     for disk in voters.difference(promised) {
                         let entry = PromiseEntry { key: key.as_str().into(), epoch: owned_key.epoch.clone() };
@@ -519,7 +529,7 @@
                     }
                 }
                 KeyState::Owned { attempt: Some(open_attempt), .. }
-                    if resend_due(open_attempt.sent_at, open_attempt.begun_at) =>
+                    if resend_due(open_attempt.sent_at, open_attempt.started_at) =>
                 {
                     open_attempt.sent_at = Some(now);
                     for disk in voters.difference(&open_attempt.stored) {
@@ -545,26 +555,27 @@
         actions
     }
 
-    /// Answers what waited too long: writes in flight are of unknown fate, the others did not happen.
+    /// Releases keys whose requests waited too long: the outcome of a write in flight is unknown, the others
+    /// were not executed.
     fn expire_waiting(&mut self, now: Micros) {
         let stuck_keys: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, owned_key)| match &owned_key.state {
-                KeyState::Acquiring { .. } => now >= owned_key.begun_at + ABANDON_AFTER,
+                KeyState::Acquiring { .. } => now >= owned_key.started_at + ABANDON_AFTER,
                 KeyState::Owned { attempt: Some(open_attempt), .. } => {
-                    now >= open_attempt.begun_at + ABANDON_AFTER
+                    now >= open_attempt.started_at + ABANDON_AFTER
                 }
                 KeyState::Owned { .. } => false,
             })
             .map(|(key, _)| key.clone())
             .collect();
         for key in stuck_keys {
-            self.lose(&key);
+            self.release(&key);
         }
     }
 
-    fn restart(&mut self, key: &str, now: Micros) {
+    fn reacquire(&mut self, key: &str, now: Micros) {
         let queue = self.keys.remove(key).map(|owned_key| owned_key.queue).unwrap_or_default();
         self.acquire(key, now);
         if let Some(owned_key) = self.keys.get_mut(key) {
@@ -572,13 +583,14 @@
         }
     }
 
-    fn lose(&mut self, key: &str) {
-        let Some(lost_key) = self.keys.remove(key) else { return };
-        if let KeyState::Owned { attempt: Some(StoreAttempt { write: Some(write), .. }), .. } = lost_key.state
+    fn release(&mut self, key: &str) {
+        let Some(released_key) = self.keys.remove(key) else { return };
+        if let KeyState::Owned { attempt: Some(StoreAttempt { write: Some(write), .. }), .. } =
+            released_key.state
         {
             self.respond(write.node, &write.entry, UNKNOWN, 0, Bytes::default());
         }
-        for write in lost_key.queue {
+        for write in released_key.queue {
             self.respond(write.node, &write.entry, NOT_OWNER, 0, Bytes::default());
         }
     }
@@ -590,19 +602,19 @@
     }
 }
 
-/// Whether a value of the voter set's key may be written: the next generation after the set in force, on
-/// top of that very set. So there is one write at most for a generation under each epoch, and whoever
-/// finds it standing finishes it.
-fn follows(set: &VoterSet, standing_version: u64, value: &Bytes) -> bool {
+/// Whether a value may be written to the key of the voter set: it must be the generation after the set in
+/// force, on top of that set. So there is at most one write for a generation under each epoch, and an owner
+/// that finds it stored completes it.
+fn is_next_set(set: &VoterSet, current_version: u64, value: &Bytes) -> bool {
     let is_successor = VoterSet::decode(value).is_some_and(|next_set| next_set.is_successor_of(set));
-    standing_version == set.generation && is_successor
+    current_version == set.generation && is_successor
 }
 
 fn large_digest(value: &Bytes) -> u64 {
-    if value.0.len() < DIGEST_FROM { 0 } else { value_digest(&value.0) }
+    if value.0.len() < DIGEST_MIN_BYTES { 0 } else { value_digest(&value.0) }
 }
 
-/// Whether a leader record was only renewed: everything but the count of renewals stands.
+/// Whether a leader record was only renewed: nothing but the count of renewals differs.
 fn is_renewal(before: &Bytes, after: &Bytes) -> bool {
     let (Some(before), Some(after)) = (LeaderRecord::decode(before), LeaderRecord::decode(after)) else {
         return false;
--- a/packages/control_registers/src/lib.rs
+++ b/packages/control_registers/src/lib.rs
@@ -1,44 +1,48 @@
 //! Per-key registers on a quorum of the voting disks.
 //!
-//! [`DiskRegisters`] is one disk's part: it promises and stores. [`KeyOwner`] is the part of the one
-//! node that owns a key at a time: it picks a higher epoch, collects promises and values from a
-//! quorum, stores the newest value anew, and then serves conditional writes. Nothing ties keys
-//! together: no log, no leader for all. All parts are pure; many keys ride in one message.
+//! [`DiskRegisters`] is the acceptor on one disk: it promises and stores. [`KeyOwner`] is the proposer: one
+//! node owns a key at a time. It picks a higher epoch, collects promises and values from a quorum, stores the
+//! newest value again under its epoch, and then serves conditional writes. Keys are independent of each
+//! other: there is no log and no common leader. All parts are pure state machines; one message carries many
+//! keys.
 //!
 //! # Voter sets
 //!
-//! The value of [`DISKS_KEY`] on a disk is a [`ProposedSet`]. Generation N+1 is *chosen* once a quorum of
-//! set N stored and synced it under one epoch; only a [`ChosenSet`] is in force: used for quorums, told as
-//! news, asked who votes and owns. Each disk keeps the newest chosen set it learned as a record of its own.
+//! The value of [`DISKS_KEY`] on a disk is a [`ProposedSet`]. Generation N+1 is *chosen* once a quorum of set
+//! N stored and synced it under one epoch. Only a [`ChosenSet`] is in force: it alone is used for quorums,
+//! published by gossip, and decides which disks vote and who owns keys. Each disk keeps the newest chosen set
+//! it learned as a record of its own.
 //!
 //! # Invariants
 //!
 //! `control_model` checks them on every state it visits.
 //!
-//! 1. *One epoch, one owner, one value a version.* An owner picks an epoch above all it heard of, with its
-//!    process id in it, and stores only after a quorum promised. A disk grants nothing below its promise,
-//!    and answers only once its records are synced.
-//! 2. *One chosen set a generation.* Under set N an owner writes only generation N+1, on top of generation
-//!    N itself ([`VoterSet::is_successor_of`]); whoever finds N+1 stored finishes that very value. So among
-//!    owners under N it is the choice of one value by rising epochs.
+//! 1. *One epoch has one owner and one value per version.* An owner picks an epoch above all that it has
+//!    seen; the epoch contains its process id. It stores only after a quorum promised. A disk grants nothing
+//!    below its promise, and responds only once its records are synced.
+//! 2. *One chosen set per generation.* Under set N an owner writes only generation N+1, on top of generation
+//!    N itself ([`VoterSet::is_successor_of`]); an owner that finds N+1 stored completes that same value.
+//!    Among owners under N this is therefore a Paxos choice of one value by rising epochs.
 //! 3. *Outdated owners are fenced.* A disk refuses ordinary keys to senders whose set is older than the
-//!    newest it stored, proposed or chosen. Any quorum of N meets a disk that stored N+1 once N+1 is chosen,
-//!    so nothing is acknowledged under N after that. The key [`DISKS_KEY`] itself is open to the generation
-//!    before the stored set as well, or nobody could finish a proposal, and to none before that: a sender
-//!    two generations back could store the set in between over its successor under a higher epoch.
-//! 4. *Adjacent sets share quorums.* A joint set has majorities of both, so each of its quorums meets each
-//!    quorum of the set before and of the set after. Epochs of one key therefore only rise along the sets.
+//!    newest it stored, proposed or chosen. Once N+1 is chosen, any quorum of N includes a disk that stored
+//!    N+1, so nothing more is acknowledged under N. The key [`DISKS_KEY`] itself is also open to the
+//!    generation before the stored set, so that a proposal can be completed, but to no older one: a sender
+//!    two generations behind could store the set in between over its successor under a higher epoch.
+//! 4. *Quorums of adjacent sets intersect.* A joint set needs majorities of both sets, so each of its quorums
+//!    intersects each quorum of the previous and of the next set. The epochs of one key therefore only rise
+//!    from set to set.
 //! 5. *A value acknowledged under any set is on a majority of every set in force.* The successor of a joint
-//!    set is written only after every key on a quorum of its disks was stored anew under it ([`SetCopy`]).
-//!    Disks list their keys only once they refuse owners under the set before: a key acknowledged there is
-//!    then on the list, and keys that are first written later are on both majorities by themselves.
-//! 6. *A disk without a chosen set promises and stores nothing.* So no quorum rests on a disk that would
-//!    come back from a restart as blank and could be founded anew.
-//! 7. *The founding set rests on the one founder.* There is no set before it whose quorum could choose it.
-//!    One process may found, its own disk syncs the set before any other hears of it, and each disk takes
-//!    one founding set in its life; by 6, nothing is acknowledged before a quorum of it did.
-//! 8. *A node may start by any old chosen set.* Under it nothing is acknowledged once a newer one is chosen
-//!    (3); it learns the newer one by news, from a disk that refuses it, or by reading [`DISKS_KEY`].
+//!    set is written only after every key on a quorum of its disks was stored again under it ([`SetCopy`]).
+//!    Disks list their keys only once they refuse owners under the previous set: a key acknowledged there is
+//!    then listed, and keys first written later are stored on both majorities anyway.
+//! 6. *A disk without a chosen set promises and stores nothing.* So no quorum includes a disk that would be
+//!    blank after a restart and could be bootstrapped again.
+//! 7. *The bootstrap set depends on a single bootstrap node.* There is no previous set whose quorum could
+//!    choose it. One process may bootstrap, its own disk syncs the set before any other disk receives it, and
+//!    each disk accepts one bootstrap set in its lifetime; by 6, nothing is acknowledged before a quorum of
+//!    it did.
+//! 8. *A node may start with any old chosen set.* Under it nothing is acknowledged once a newer one is chosen
+//!    (3); it learns the newer one by gossip, from a disk that refuses it, or by reading [`DISKS_KEY`].
 
 mod chosen_set;
 mod disk_registers;
@@ -54,11 +58,11 @@
 pub use set_copy::SetCopy;
 pub use voter_set::VoterSet;
 
-/// The key that says which disks vote.
+/// The key of the voter set, which says which disks vote.
 pub const DISKS_KEY: &str = "disks";
 /// The key that holds the whole configuration.
 pub const CONFIGURATION_KEY: &str = "configuration";
-/// The key that holds the decided reports of usage, and who sends them.
+/// The key of the decided usage reports and of the node that sends them.
 pub const USAGE_KEY: &str = "usage";
 
 /// The key of a function's leader record. Example: `leader_key("proof") == "steward/proof"`.
--- a/packages/control_registers/src/set_copy.rs
+++ b/packages/control_registers/src/set_copy.rs
@@ -2,11 +2,11 @@
 use monotonic_clock::Micros;
 use std::collections::BTreeSet;
 
-/// Disks that did not list their keys are asked again after this.
-const LIST_AGAIN_AFTER: Micros = Micros::from_millis(250);
+/// Interval between requests to disks that have not listed their keys yet.
+const LIST_RETRY_INTERVAL: Micros = Micros::from_millis(250);
 
-/// The copying that must be over before a joint set is followed by its successor: every key that a quorum
-/// of the disks knows is stored anew under the joint set, and so on majorities of both sets.
+/// The copying that must be complete before the successor of a joint set is written: every key that a quorum
+/// of the disks knows is stored again under the joint set, and so on majorities of both sets.
 ///
 /// Example: `SetCopy::new(joint_set)`, then `due_lists`, `listed`, `due_keys` and `answered` until
 /// `is_done`.
@@ -21,7 +21,7 @@
 }
 
 impl SetCopy {
-    /// Nothing is listed or copied yet. Example: `!SetCopy::new(joint_set).is_done()`.
+    /// A copy with nothing listed or copied yet. Example: `!SetCopy::new(joint_set).is_done()`.
     pub fn new(joint_set: ChosenSet) -> SetCopy {
         SetCopy {
             joint_set,
@@ -33,21 +33,23 @@
         }
     }
 
-    /// The joint set it copies under. Example: `copy.generation() == joint_set.generation`.
+    /// The generation of the joint set under which keys are copied.
+    /// Example: `copy.generation() == joint_set.generation`.
     pub fn generation(&self) -> u64 {
         self.joint_set.generation
     }
 
-    /// Disks to be asked for their keys now. Example: `for disk in copy.due_lists(now) { request(disk) }`.
+    /// The disks whose keys are to be requested now.
+    /// Example: `for disk in copy.due_lists(now) { request(disk) }`.
     pub fn due_lists(&mut self, now: Micros) -> Vec<u64> {
-        if self.requested_at.is_some_and(|requested_at| now < requested_at + LIST_AGAIN_AFTER) {
+        if self.requested_at.is_some_and(|requested_at| now < requested_at + LIST_RETRY_INTERVAL) {
             return Vec::new();
         }
         self.requested_at = Some(now);
         self.joint_set.all().difference(&self.listed).copied().collect()
     }
 
-    /// Takes the keys that a disk listed for a sender under this joint set
+    /// Adds the keys that a disk listed for a sender under this joint set
     /// ([`crate::DiskRegisters::list_keys`]). Example: `copy.listed(disk, digest, keys)`.
     pub fn listed(&mut self, disk: u64, sender_set: u64, keys: impl IntoIterator<Item = String>) {
         if sender_set != self.joint_set.digest() {
@@ -57,7 +59,8 @@
         self.known.extend(keys.into_iter().filter(|key| key != DISKS_KEY));
     }
 
-    /// Keys to be read in a confirmed way now, which stores them anew; `window` at a time.
+    /// The keys that are due for a confirmed read, which stores them again; at most `window` are open at a
+    /// time.
     /// Example: `for key in copy.due_keys(256) { owner.read_confirmed(own, request, key, now) }`.
     pub fn due_keys(&mut self, window: usize) -> Vec<String> {
         let room = window.saturating_sub(self.requested.len());
@@ -67,7 +70,7 @@
         due_keys
     }
 
-    /// Takes what became of a key: one that was not stored anew is due again.
+    /// Records the outcome of a key's read: a key that was not stored again is due again.
     /// Example: `copy.answered("configuration", true)`.
     pub fn answered(&mut self, key: &str, is_copied: bool) {
         self.requested.remove(key);
--- a/packages/control_registers/src/tests.rs
+++ b/packages/control_registers/src/tests.rs
@@ -3,21 +3,23 @@
 use peer_messages::{Bytes, WriteEntry, WriteOutcome};
 use std::collections::BTreeMap;
 
-/// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
+/// arbtest runs a single case per seed: each case has its own fixed seed, so that all runs are the same.
 const FOREIGN_CASES: u64 = 2_000;
 
-/// Disks that answer at once; a disk out of the map is down.
+/// Disks that respond at once; a disk that is not in the map is down.
 type Disks = BTreeMap<u64, DiskRegisters>;
 
 fn bootstrapped_disks() -> (Disks, ChosenSet) {
     let set = ChosenSet::bootstrap(&[1, 2, 3]);
     let mut disks = Disks::new();
     for disk in [1, 2, 3] {
-        disks.entry(disk).or_default().bootstrap(&set).expect("a blank disk takes the first set");
+        disks.entry(disk).or_default().bootstrap(&set).expect("a blank disk accepts the first set");
     }
     (disks, set)
 }
 
+/// Carries messages between an owner and the disks until there is nothing to send; returns the write
+/// outcomes.
 fn settle(owner: &mut KeyOwner, disks: &mut Disks, now: Micros) -> Vec<WriteOutcome> {
     let mut outcomes = Vec::new();
     loop {
@@ -53,7 +55,7 @@
     WriteEntry { request_id, key: DISKS_KEY.into(), expected, value: next_set.encode(), urgent: 1 }
 }
 
-/// What a disk that learned it tells to be chosen.
+/// The newest chosen set that a disk has learned.
 fn chosen_at(disks: &Disks, disk: u64) -> ChosenSet {
     disks[&disk].chosen().clone()
 }
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn one_writer_wins_and_a_deposed_owner_fails_by_itself() {
+fn a_conditional_write_wins_once_and_a_deposed_owner_acknowledges_nothing() {
     let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
     let mut second_owner = KeyOwner::new(11);
@@ -85,7 +87,7 @@
     first_owner.write(5, entry(2, 0, "late"), Micros(0));
     let refused = outcome_of(settle(&mut first_owner, &mut disks, Micros(0)));
     assert_eq!(refused, (DIFFERS, 1, "a".to_owned()));
-    // The other owner takes over with one disk down and sees what was acknowledged.
+    // The other owner takes over with one disk down and reads the acknowledged value.
     disks.remove(&1);
     second_owner.read_confirmed(6, 3, CONFIGURATION_KEY.into(), Micros(0));
     assert_eq!(outcome_of(settle(&mut second_owner, &mut disks, Micros(0))), (WRITTEN, 1, "a".to_owned()));
@@ -112,33 +114,33 @@
 }
 
 #[test]
-fn an_owner_that_slept_learns_from_a_requester_that_has_seen_more() {
+fn a_suspended_owner_reacquires_a_key_when_a_requester_has_seen_a_newer_version() {
     let (mut disks, set) = bootstrapped_disks();
-    let mut sleeper = KeyOwner::new(10);
-    let mut other = KeyOwner::new(11);
-    sleeper.adopt_set(&set);
-    other.adopt_set(&set);
-    sleeper.write(5, entry(1, 0, "a"), Micros(0));
-    settle(&mut sleeper, &mut disks, Micros(0));
-    other.write(5, entry(2, 1, "b"), Micros(0));
-    settle(&mut other, &mut disks, Micros(0));
-    sleeper.write(5, entry(3, 2, "c"), Micros(0));
-    let outcome = outcome_of(settle(&mut sleeper, &mut disks, Micros(0)));
+    let mut paused_owner = KeyOwner::new(10);
+    let mut other_owner = KeyOwner::new(11);
+    paused_owner.adopt_set(&set);
+    other_owner.adopt_set(&set);
+    paused_owner.write(5, entry(1, 0, "a"), Micros(0));
+    settle(&mut paused_owner, &mut disks, Micros(0));
+    other_owner.write(5, entry(2, 1, "b"), Micros(0));
+    settle(&mut other_owner, &mut disks, Micros(0));
+    paused_owner.write(5, entry(3, 2, "c"), Micros(0));
+    let outcome = outcome_of(settle(&mut paused_owner, &mut disks, Micros(0)));
     assert_eq!((outcome.0, outcome.1), (WRITTEN, 3));
-    // A version that nobody wrote is no reason to go on acquiring for ever.
-    sleeper.write(5, entry(4, 9, "d"), Micros(0));
-    let outcome = outcome_of(settle(&mut sleeper, &mut disks, Micros(0)));
+    // An expected version that was never written does not make the owner reacquire the key for ever.
+    paused_owner.write(5, entry(4, 9, "d"), Micros(0));
+    let outcome = outcome_of(settle(&mut paused_owner, &mut disks, Micros(0)));
     assert_eq!((outcome.0, outcome.1), (DIFFERS, 3));
 }
 
 #[test]
-fn late_responses_to_one_read_never_confirm_the_next() {
+fn late_responses_to_one_read_do_not_confirm_the_next() {
     let (mut disks, set) = bootstrapped_disks();
     let mut old_owner = KeyOwner::new(10);
     old_owner.adopt_set(&set);
     old_owner.read_confirmed(5, 1, CONFIGURATION_KEY.into(), Micros(0));
     settle(&mut old_owner, &mut disks, Micros(0));
-    // The first read's stores are answered once more, late, after another owner took over.
+    // The responses to the first read's stores arrive again, late, after another owner took over.
     old_owner.read_confirmed(5, 2, CONFIGURATION_KEY.into(), Micros(0));
     let mut late_responses = Vec::new();
     for action in old_owner.flush(Micros(0)) {
@@ -218,15 +220,15 @@
     changer.adopt_set(&set);
     changer.write(7, set_entry(1, &joint_set), Micros(0));
     assert_eq!(outcome_of(settle(&mut changer, &mut disks, Micros(0))).0, WRITTEN);
-    assert_eq!(*chosen_at(&disks, 9), joint_set, "the owner tells the chosen set");
-    // Under the joint set every key is stored anew, the fresh disk included.
+    assert_eq!(*chosen_at(&disks, 9), joint_set, "the owner publishes the chosen set");
+    // Under the joint set every key is stored again, also on the added disk.
     changer.read_confirmed(7, 2, CONFIGURATION_KEY.into(), Micros(0));
     assert_eq!(outcome_of(settle(&mut changer, &mut disks, Micros(0))).2, "a");
     let final_set = joint_set.end_change().expect("a change is under way");
     changer.write(7, set_entry(3, &final_set), Micros(0));
     assert_eq!(outcome_of(settle(&mut changer, &mut disks, Micros(0))).0, WRITTEN);
     assert_eq!(*chosen_at(&disks, 9), final_set);
-    // The old owner, still under the founding set, can no longer reach a majority.
+    // The old owner, still under the bootstrap set, can no longer reach a majority.
     old_owner.write(5, entry(9, 1, "stale"), Micros(0));
     assert_eq!(outcome_of(settle(&mut old_owner, &mut disks, Micros(0))).0, UNKNOWN);
 }
@@ -238,16 +240,16 @@
 }
 
 #[test]
-fn a_poll_is_answered_with_what_changed_since_the_requesters_last_one() {
+fn a_poll_returns_what_changed_since_the_requesters_last_poll() {
     let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
     owner.adopt_set(&set);
     let keys: Vec<peer_messages::Text> = vec!["steward/a".into(), "steward/b".into()];
     let keys_digest = keys_digest(&keys);
-    assert_eq!(owner.poll(keys_digest, 0, &[], |_| true, Micros(0)), None, "keys that were never told");
-    assert_eq!(owner.poll(keys_digest + 1, 0, &keys, |_| true, Micros(0)), None, "a mark of other keys");
-    let acquiring = owner.poll(keys_digest, 0, &keys, |_| true, Micros(0)).expect("told keys");
-    assert!(acquiring.records.is_empty(), "nothing is said of a key before it is owned");
+    assert_eq!(owner.poll(keys_digest, 0, &[], |_| true, Micros(0)), None, "keys that were never sent");
+    assert_eq!(owner.poll(keys_digest + 1, 0, &keys, |_| true, Micros(0)), None, "the digest of other keys");
+    let acquiring = owner.poll(keys_digest, 0, &keys, |_| true, Micros(0)).expect("sent keys");
+    assert!(acquiring.records.is_empty(), "nothing is reported of a key before it is owned");
     settle(&mut owner, &mut disks, Micros(0));
     let first = owner.poll(keys_digest, acquiring.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(first.records.iter().map(|record| record.version).collect::<Vec<_>>(), [0, 0]);
@@ -256,20 +258,20 @@
     owner.write(5, leader_write(1, 0, 7, 1), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let claimed = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
-    assert_eq!(claimed.records.len(), 1, "a claim is told whole");
+    assert_eq!(claimed.records.len(), 1, "a claim is sent as a whole record");
     owner.write(5, leader_write(2, 1, 7, 2), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let renewed = owner.poll(keys_digest, claimed.change, &[], |_| true, Micros(0)).expect("known keys");
     assert!(renewed.records.is_empty());
     assert_eq!(renewed.renewed, [peer_messages::RenewedRecord { place: 0, version: 2 }]);
-    // Who missed the claim's answer gets the record whole, renewals or not.
+    // A requester that missed the response with the claim gets the whole record despite the renewal.
     let late = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(late.records.iter().map(|record| record.version).collect::<Vec<_>>(), [2]);
     owner.write(5, leader_write(3, 2, 8, 3), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let taken = owner.poll(keys_digest, renewed.change, &[], |_| true, Micros(0)).expect("known keys");
-    assert_eq!(taken.records.len(), 1, "another holder is no renewal");
-    // A key that was let go and is acquired anew is told whole again.
+    assert_eq!(taken.records.len(), 1, "a change of the holder is not a renewal");
+    // A key that was released and reacquired is sent as a whole record again.
     owner.retain_keys(|key| key != "steward/a");
     owner.poll(keys_digest, taken.change, &[], |_| true, Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn what_an_opening_store_has_not_brought_to_a_majority_is_not_told() {
+fn a_value_is_not_reported_before_its_opening_store_is_on_a_majority() {
     let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
     first_owner.adopt_set(&set);
@@ -309,7 +311,7 @@
     let set = VoterSet::bootstrap(&[1, 2, 3, 4, 5]);
     let joint_set = set.begin_changes(&[(5, 8), (2, 9)]).expect("no change under way");
     assert_eq!(joint_set.joining.0, [1, 9, 3, 4, 8]);
-    // A majority of both: what stays is one of the set before and one of the set after.
+    // A majority of both: the disks in both sets are a majority of the previous and of the next set.
     assert!(joint_set.quorum(&[1, 3, 4].into()));
     assert!(!joint_set.quorum(&[1, 8, 9].into()));
     assert_eq!(set.begin_changes(&[]), None);
@@ -319,7 +321,7 @@
     assert_eq!(joint_set.begin_changes(&[(1, 7)]), None);
 }
 
-/// The owner's promises are granted by all; the store of its write reaches only some disks.
+/// All disks grant the owner's promises; the store of its write reaches only some disks.
 fn store_on(owner: &mut KeyOwner, disks: &mut Disks, reached: &[u64]) {
     let mut is_stored = false;
     while !is_stored {
@@ -337,25 +339,26 @@
                     }
                     is_stored |= !is_opening;
                 }
-                OwnerAction::Chosen(_) | OwnerAction::Response { .. } => panic!("one disk is no majority"),
+                OwnerAction::Chosen(_) | OwnerAction::Response { .. } => panic!("one disk is not a majority"),
             }
         }
     }
 }
 
-/// An owner stored a joint set on one disk alone and went: it is no chosen set, whoever meets that disk.
-/// Another owner that does not meet it brings another set of that generation, and that one is chosen.
+/// Guards against: a joint set that an owner stored on one disk only, before it stopped, counts as chosen.
+/// Another owner, which does not reach that disk, writes another set of the same generation, and that one is
+/// chosen.
 #[test]
 fn of_two_joint_sets_of_one_generation_one_is_chosen() {
     let (mut disks, set) = bootstrapped_disks();
     disks.insert(8, DiskRegisters::default());
     disks.insert(9, DiskRegisters::default());
-    let lone_set = set.begin_change(3, 8).expect("no change under way");
-    let mut lone_owner = KeyOwner::new(10);
-    lone_owner.adopt_set(&set);
-    lone_owner.write(7, set_entry(1, &lone_set), Micros(0));
-    store_on(&mut lone_owner, &mut disks, &[1]);
-    assert_eq!(disks[&1].chosen(), &set, "one disk is no quorum");
+    let unchosen_set = set.begin_change(3, 8).expect("no change under way");
+    let mut stopped_owner = KeyOwner::new(10);
+    stopped_owner.adopt_set(&set);
+    stopped_owner.write(7, set_entry(1, &unchosen_set), Micros(0));
+    store_on(&mut stopped_owner, &mut disks, &[1]);
+    assert_eq!(disks[&1].chosen(), &set, "one disk is not a quorum");
     assert_eq!(disks[&1].proposed().map(|proposed| proposed.generation()), Some(2));
     let first_disk = disks.remove(&1).expect("a disk");
     let current_set = set.begin_change(1, 9).expect("no change under way");
@@ -364,8 +367,8 @@
     owner.write(7, set_entry(2, &current_set), Micros(0));
     assert_eq!(outcome_of(settle(&mut owner, &mut disks, Micros(0))).0, WRITTEN);
     disks.insert(1, first_disk);
-    assert_eq!(disks[&1].chosen(), &set, "it was away");
-    // Whoever still goes by the founding set stores nothing more, and learns what was chosen.
+    assert_eq!(disks[&1].chosen(), &set, "it was unreachable");
+    // An owner that still uses the bootstrap set stores nothing more, and learns the chosen set.
     let mut late_owner = KeyOwner::new(12);
     late_owner.adopt_set(&set);
     late_owner.write(5, entry(3, 0, "a"), Micros(0));
@@ -381,14 +384,14 @@
     assert!(reported.iter().any(|outcome| VoterSet::decode(&outcome.value) == Some(current_set.clone())));
     let chosen_set = chosen_at(&disks, 2);
     disks.get_mut(&1).expect("a disk").learn_chosen(&chosen_set);
-    assert_eq!(*chosen_at(&disks, 1), current_set, "the proposal gives way to the chosen set");
+    assert_eq!(*chosen_at(&disks, 1), current_set, "the chosen set replaces the proposal");
     assert_eq!(disks[&1].proposed(), None);
 }
 
-/// A proposal that reached one disk, met by the next owner: that very set is finished, and no other can
-/// be written in its generation.
+/// Guards against: a second set is written in the generation of a proposal that reached one disk. The next
+/// owner reads the proposal from that disk and completes it.
 #[test]
-fn a_proposal_that_is_met_is_finished() {
+fn a_proposal_found_on_a_disk_is_completed() {
     let (mut disks, set) = bootstrapped_disks();
     disks.insert(8, DiskRegisters::default());
     let begun_set = set.begin_change(3, 8).expect("no change under way");
@@ -438,9 +441,9 @@
     assert_eq!(outcome_of(settle(&mut owner, &mut disks, Micros::from_secs(1))).0, WRITTEN);
 }
 
-/// A sender two generations back would not see that the set in between was followed.
+/// Guards against: a sender two generations behind overwrites a set that already has a successor.
 #[test]
-fn the_sets_own_key_is_open_to_the_generation_before_the_stored_one_only() {
+fn the_voter_set_key_is_open_only_to_the_stored_generation_and_the_one_before() {
     let (mut disks, set) = bootstrapped_disks();
     disks.insert(9, DiskRegisters::default());
     let joint_set = set.begin_change(3, 9).expect("no change under way");
@@ -465,7 +468,8 @@
     assert!(!grants(&disks[&1], &chosen_joint, DISKS_KEY) && grants(&disks[&1], &final_set, DISKS_KEY));
 }
 
-/// Keys are listed only where nothing more is stored under the set before.
+/// Guards against: a change ends while a key is on a majority of the previous set only. Disks list their keys
+/// only once nothing more is stored on them under the previous set.
 #[test]
 fn a_change_ends_only_after_every_key_on_a_quorum_was_copied() {
     let (mut disks, set) = bootstrapped_disks();
@@ -474,22 +478,22 @@
     owner.write(5, leader_write(1, 0, 7, 1), Micros(0));
     let owner_disk = disks.remove(&1).expect("a disk");
     settle(&mut owner, &mut disks, Micros(0));
-    // The owner's own disk never heard of the key.
+    // Disk 1 never received the key.
     disks.insert(1, owner_disk);
     disks.insert(9, DiskRegisters::default());
     let joint_set = set.begin_change(3, 9).expect("no change under way");
-    assert_eq!(disks[&2].list_keys(joint_set.digest()), None, "it would still admit the set before");
+    assert_eq!(disks[&2].list_keys(joint_set.digest()), None, "it would still admit the previous set");
     owner.write(7, set_entry(2, &joint_set), Micros(0));
     settle(&mut owner, &mut disks, Micros(0));
     let chosen_joint = chosen_at(&disks, 1);
     let mut copy = SetCopy::new(chosen_joint.clone());
     assert_eq!(copy.due_lists(Micros(0)), [1, 2, 3, 9]);
-    assert!(copy.due_lists(Micros(0)).is_empty(), "asked a moment ago");
+    assert!(copy.due_lists(Micros(0)).is_empty(), "requested a moment ago");
     for disk in [1, 9] {
         let keys = disks[&disk].list_keys(chosen_joint.digest()).expect("it knows the joint set");
         copy.listed(disk, chosen_joint.digest(), keys);
     }
-    assert!(!copy.is_done(), "one disk is no majority of the set before");
+    assert!(!copy.is_done(), "one disk is not a majority of the previous set");
     let keys = disks[&2].list_keys(chosen_joint.digest()).expect("it knows the joint set");
     copy.listed(2, chosen_joint.digest(), keys);
     assert_eq!(copy.due_keys(256), ["steward/a"]);
@@ -501,7 +505,7 @@
 }
 
 #[test]
-fn files_of_the_former_format_go_by_the_set_they_stored() {
+fn files_of_the_former_format_use_their_stored_set_as_chosen() {
     let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
     owner.adopt_set(&set);
@@ -517,7 +521,8 @@
     WriteEntry { value: Bytes(vec![byte; 100_000]), ..entry(request_id, expected, "") }
 }
 
-/// As `settle`, with the bytes of values that went to disks and the records that these wrote.
+/// Like `settle`; also returns the bytes of values sent to disks and the number of records that the disks
+/// wrote.
 fn settle_counted(owner: &mut KeyOwner, disks: &mut Disks) -> (Vec<WriteOutcome>, usize, usize) {
     let (mut outcomes, mut value_bytes, mut record_count) = (Vec::new(), 0, 0);
     loop {
@@ -539,7 +544,7 @@
                     record_count += records.len();
                     owner.stored(disk, peer_messages::List(responses), Micros(0));
                 }
-                OwnerAction::Chosen(_) => panic!("no voter set is written here"),
+                OwnerAction::Chosen(_) => panic!("this test writes no voter set"),
                 OwnerAction::Response { outcome, .. } => outcomes.push(outcome),
             }
         }
@@ -547,7 +552,7 @@
 }
 
 #[test]
-fn a_read_of_a_large_value_sends_it_neither_to_disks_nor_to_a_reader_that_has_it() {
+fn a_read_of_a_large_value_is_not_sent_to_disks_or_readers_that_have_it() {
     let (mut disks, set) = bootstrapped_disks();
     let mut owner = KeyOwner::new(10);
     owner.adopt_set(&set);
@@ -558,22 +563,22 @@
     let (outcomes, value_bytes, record_count) = settle_counted(&mut owner, &mut disks);
     assert_eq!(outcome_of(outcomes), (AS_KNOWN, 1, String::new()));
     assert_eq!((value_bytes, record_count), (0, 0));
-    // A reader that has another value is sent what stands.
+    // A reader that has another value is sent the current one.
     owner.confirm(6, 3, CONFIGURATION_KEY.into(), digest + 1, Micros(0));
     let (outcomes, value_bytes, _) = settle_counted(&mut owner, &mut disks);
     assert_eq!((outcomes[0].outcome, outcomes[0].value.0.len(), value_bytes), (WRITTEN, 100_000, 0));
 }
 
 #[test]
-fn a_new_owner_stores_a_large_value_anew_from_the_disks_own_copies() {
+fn a_new_owner_stores_a_large_value_again_from_the_disks_own_copies() {
     let (mut disks, set) = bootstrapped_disks();
     let mut first_owner = KeyOwner::new(10);
     first_owner.adopt_set(&set);
     // The third disk misses the write.
-    let away = disks.remove(&3).expect("a disk");
+    let unreachable_disk = disks.remove(&3).expect("a disk");
     first_owner.write(5, large_entry(1, 0, 7), Micros(0));
     settle(&mut first_owner, &mut disks, Micros(0));
-    disks.insert(3, away);
+    disks.insert(3, unreachable_disk);
     let mut next_owner = KeyOwner::new(11);
     next_owner.adopt_set(&set);
     next_owner.read_confirmed(6, 2, CONFIGURATION_KEY.into(), Micros(0));
@@ -584,7 +589,7 @@
         let (epoch, version, value) = registers.stored(CONFIGURATION_KEY).expect("a value");
         assert_eq!((epoch.owner, version, value.0.len()), (11, 1, 100_000), "disk {disk}");
     }
-    // What a disk wrote for a digest is whole: it comes back from its records.
+    // For a digest a disk writes the whole value, which can be restored from its records.
     let restored = DiskRegisters::restore(&disks[&1].live_records()).expect("records");
     assert_eq!(restored.stored(CONFIGURATION_KEY).expect("a value").2.0, vec![7; 100_000]);
 }
--- a/packages/control_registers/src/voter_set.rs
+++ b/packages/control_registers/src/voter_set.rs
@@ -2,16 +2,16 @@
 use peer_messages::{Bytes, List, stable_hash};
 use std::collections::BTreeSet;
 
-/// Which disks vote, and while a change is under way, which will.
+/// The disks that vote and, during a change, the disks that will vote after it.
 ///
 /// Example: `VoterSet::bootstrap(&[1, 2, 3]).quorum(&[1, 3].into()) == true`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 pub struct VoterSet {
-    /// Zero before the set was founded; each change raises it.
+    /// Zero before the bootstrap; each change raises it.
     pub generation: u64,
     /// The disks that vote.
     pub disks: List<u64>,
-    /// During a change the disks that will vote; a quorum then needs a majority of both.
+    /// During a change, the disks that will vote; a quorum then needs a majority of both.
     pub joining: List<u64>,
 }
 
@@ -21,7 +21,7 @@
         VoterSet { generation: 1, disks: List(disks.to_vec()), joining: List(Vec::new()) }
     }
 
-    /// Whether `answered` holds a majority, of the joining set too during a change.
+    /// Whether `answered` contains a majority, during a change also of the joining disks.
     /// Example: `!VoterSet::bootstrap(&[1, 2, 3]).quorum(&[1].into())`.
     pub fn quorum(&self, answered: &BTreeSet<u64>) -> bool {
         let majority = |voters: &[u64]| {
@@ -32,35 +32,35 @@
             && (self.joining.0.is_empty() || majority(&self.joining.0))
     }
 
-    /// Every disk that has a say now. Example: `set.all().contains(&1)`.
+    /// Every disk that votes now, the joining disks included. Example: `set.all().contains(&1)`.
     pub fn all(&self) -> BTreeSet<u64> {
         self.disks.0.iter().chain(&self.joining.0).copied().collect()
     }
 
-    /// The set that begins to replace `lost` by `fresh`; `None` while a change is under way.
+    /// The joint set that replaces disk `removed` by `added`; `None` while a change is under way.
     /// Example: `set.begin_change(3, 9).unwrap().joining.0 == [1, 2, 9]`.
-    pub fn begin_change(&self, lost: u64, fresh: u64) -> Option<VoterSet> {
-        self.begin_changes(&[(lost, fresh)])
+    pub fn begin_change(&self, removed: u64, added: u64) -> Option<VoterSet> {
+        self.begin_changes(&[(removed, added)])
     }
 
-    /// The set that begins to replace each first disk of these pairs by the second; `None` without a
-    /// pair, for a pair that does not fit, and while a change is under way.
+    /// The joint set that replaces the first disk of each pair by the second; `None` without pairs, for a
+    /// pair that does not fit the set, and while a change is under way.
     /// Example: `set.begin_changes(&[(3, 9), (2, 8)]).unwrap().joining.0 == [1, 8, 9]`.
-    pub fn begin_changes(&self, swaps: &[(u64, u64)]) -> Option<VoterSet> {
-        if !self.joining.0.is_empty() || swaps.is_empty() {
+    pub fn begin_changes(&self, replacements: &[(u64, u64)]) -> Option<VoterSet> {
+        if !self.joining.0.is_empty() || replacements.is_empty() {
             return None;
         }
         let mut joining = self.disks.clone();
-        for (lost, fresh) in swaps {
-            if self.disks.0.contains(fresh) || joining.0.contains(fresh) {
+        for (removed, added) in replacements {
+            if self.disks.0.contains(added) || joining.0.contains(added) {
                 return None;
             }
-            *joining.0.iter_mut().find(|disk| *disk == lost)? = *fresh;
+            *joining.0.iter_mut().find(|disk| *disk == removed)? = *added;
         }
         Some(VoterSet { generation: self.generation + 1, disks: self.disks.clone(), joining })
     }
 
-    /// The set after the change under way. Example: `joint.end_change().unwrap().joining.0.is_empty()`.
+    /// The set that ends the change under way. Example: `joint.end_change().unwrap().joining.0.is_empty()`.
     pub fn end_change(&self) -> Option<VoterSet> {
         if self.joining.0.is_empty() {
             return None;
@@ -72,31 +72,32 @@
         })
     }
 
-    /// Whether this set may follow that one: a joint set over the same disks, or the end of a change.
+    /// Whether this set may follow `previous`: a joint set over the same disks, or the end of a change.
     /// Example: `set.begin_change(3, 9).unwrap().is_successor_of(&set)`.
-    pub fn is_successor_of(&self, before: &VoterSet) -> bool {
-        if !before.joining.0.is_empty() {
-            return before.end_change().as_ref() == Some(self);
+    pub fn is_successor_of(&self, previous: &VoterSet) -> bool {
+        if !previous.joining.0.is_empty() {
+            return previous.end_change().as_ref() == Some(self);
         }
         let joining: BTreeSet<u64> = self.joining.0.iter().copied().collect();
-        self.generation == before.generation + 1
-            && self.disks == before.disks
+        self.generation == previous.generation + 1
+            && self.disks == previous.disks
             && !joining.is_empty()
             && joining.len() == self.joining.0.len()
     }
 
-    /// The generation, and below it a mark that tells sets of one generation apart.
+    /// The generation in the upper half and, in the lower half, a hash that distinguishes sets of one
+    /// generation.
     /// Example: `set.digest() >> 32 == set.generation`.
     pub fn digest(&self) -> u64 {
         (self.generation << 32) | (stable_hash(&self.encode().0) & 0xffff_ffff)
     }
 
-    /// The set as register bytes. Example: `VoterSet::decode(&set.encode()) == Some(set)`.
+    /// The set as a register value. Example: `VoterSet::decode(&set.encode()) == Some(set)`.
     pub fn encode(&self) -> Bytes {
         Bytes(self.to_bytes().unwrap_or_default())
     }
 
-    /// Reads register bytes. Example: `VoterSet::decode(&Bytes::default()) == None`.
+    /// Decodes a register value. Example: `VoterSet::decode(&Bytes::default()) == None`.
     pub fn decode(set_bytes: &Bytes) -> Option<VoterSet> {
         VoterSet::from_bytes((&set_bytes.0, 0)).ok().map(|(_, voter_set)| voter_set)
     }
