--- a/packages/gossip/src/body_delta.rs
+++ b/packages/gossip/src/body_delta.rs
@@ -1,44 +1,44 @@
-//! The difference between two bodies of a topic, as copied stretches of the old one and new bytes.
+//! The difference between two bodies of a topic, as ranges copied from the old body and inserted bytes.
 //!
-//! The old body is indexed in blocks; a rolling hash over the new one finds them again wherever they
-//! moved to, and each find is extended as far as the bytes agree.
+//! The old body is indexed in blocks; a rolling hash over the new body finds these blocks at any position,
+//! and each match is extended in both directions as far as the bytes agree.
 
 use peer_messages::{Bytes, DeltaStep, List};
 use std::collections::HashMap;
 
-/// A stretch that is found again has at least this many bytes.
+/// The minimum length of a match.
 const BLOCK: usize = 64;
-/// A delta with more new bytes than this share of the body is not worth having.
-const WORTH_SHARE: usize = 4;
+/// The inserted bytes of a delta are at most the length of the new body divided by this.
+const INSERTED_DIVISOR: usize = 4;
 const ROLL: u64 = 0x0000_0100_0000_01b3;
 
-/// The steps that make `next` of `base`; `None` where they would hold much of it anyway.
-/// Example: `delta(&old, &new).is_some()` when one item of many changed.
+/// The steps that turn `base` into `next`; `None` if they would contain much of `next`.
+/// Example: `delta(&old, &new).is_some()` if one item of many changed.
 pub(crate) fn delta(base: &[u8], next: &[u8]) -> Option<List<DeltaStep>> {
     let blocks = block_index(base);
-    let out_factor = (1..BLOCK).fold(1u64, |factor, _| factor.wrapping_mul(ROLL));
+    let outgoing_factor = (1..BLOCK).fold(1u64, |factor, _| factor.wrapping_mul(ROLL));
     let mut steps = Vec::new();
     let mut insert_from = 0;
     let mut inserted_count = 0;
-    let mut place = 0;
+    let mut position = 0;
     let mut rolling = None;
-    while place + BLOCK <= next.len() {
-        let window = &next[place..place + BLOCK];
+    while position + BLOCK <= next.len() {
+        let window = &next[position..position + BLOCK];
         let hash = *rolling.get_or_insert_with(|| window_hash(window));
         let found = blocks.get(&hash).filter(|from| base[**from..].starts_with(window));
         if let Some(found) = found {
-            let stretch = extended(base, next, *found, place, insert_from);
-            inserted_count += stretch.next_from - insert_from;
-            push_step(&mut steps, &next[insert_from..stretch.next_from], stretch.base_from, stretch.length);
-            place = stretch.next_from + stretch.length;
-            insert_from = place;
+            let range = extend_match(base, next, *found, position, insert_from);
+            inserted_count += range.next_from - insert_from;
+            push_step(&mut steps, &next[insert_from..range.next_from], range.base_from, range.length);
+            position = range.next_from + range.length;
+            insert_from = position;
             rolling = None;
         } else {
-            let entering = next.get(place + BLOCK).copied();
-            rolling = entering.map(|entering| rolled(hash, next[place], entering, out_factor));
-            place += 1;
+            let incoming = next.get(position + BLOCK).copied();
+            rolling = incoming.map(|incoming| rolled(hash, next[position], incoming, outgoing_factor));
+            position += 1;
         }
-        if (inserted_count + place - insert_from) * WORTH_SHARE > next.len() {
+        if (inserted_count + position - insert_from) * INSERTED_DIVISOR > next.len() {
             return None;
         }
     }
@@ -46,15 +46,15 @@
     Some(List(steps))
 }
 
-/// The body that the steps make of the base; `None` where they do not fit it.
+/// Applies the steps to the base; `None` if they do not fit it or the body would exceed the limit.
 /// Example: `patched(&old, &delta(&old, &new)?)? == new`.
-pub(crate) fn patched(base: &[u8], steps: &List<DeltaStep>, most_bytes: usize) -> Option<Vec<u8>> {
+pub(crate) fn patched(base: &[u8], steps: &List<DeltaStep>, max_bytes: usize) -> Option<Vec<u8>> {
     let lengths = steps.0.iter().map(|step| step.length as usize + step.insert.0.len());
-    let mut body = Vec::with_capacity(lengths.sum::<usize>().min(most_bytes));
+    let mut body = Vec::with_capacity(lengths.sum::<usize>().min(max_bytes));
     for step in &steps.0 {
         let from = step.from as usize;
         let copied = base.get(from..from.checked_add(step.length as usize)?)?;
-        if body.len() + copied.len() + step.insert.0.len() > most_bytes {
+        if body.len() + copied.len() + step.insert.0.len() > max_bytes {
             return None;
         }
         body.extend_from_slice(copied);
@@ -63,22 +63,30 @@
     Some(body)
 }
 
-struct Stretch {
+/// A range of equal bytes in both bodies.
+struct CommonRange {
     base_from: usize,
     next_from: usize,
     length: usize,
 }
 
-/// A find, made as long as the bytes agree: back to what was not told yet, and forward.
-fn extended(base: &[u8], next: &[u8], base_place: usize, next_place: usize, copied_to: usize) -> Stretch {
-    let before = base[..base_place].iter().rev().zip(next[copied_to..next_place].iter().rev());
-    let back = before.take_while(|(old, new)| old == new).count();
-    let behind = base[base_place..].iter().zip(&next[next_place..]);
-    let forward = behind.take_while(|(old, new)| old == new).count();
-    Stretch { base_from: base_place - back, next_from: next_place - back, length: back + forward }
+/// Extends a match as far as the bytes agree: backward to the end of the bytes already covered, and forward.
+fn extend_match(
+    base: &[u8],
+    next: &[u8],
+    base_position: usize,
+    next_position: usize,
+    covered_to: usize,
+) -> CommonRange {
+    let preceding = base[..base_position].iter().rev().zip(next[covered_to..next_position].iter().rev());
+    let back = preceding.take_while(|(old, new)| old == new).count();
+    let following = base[base_position..].iter().zip(&next[next_position..]);
+    let forward = following.take_while(|(old, new)| old == new).count();
+    CommonRange { base_from: base_position - back, next_from: next_position - back, length: back + forward }
 }
 
-/// New bytes belong behind the copied stretch before them: they complete the last step.
+/// Appends inserted bytes to the last step, which copies the range before them, and adds a step for the next
+/// range.
 fn push_step(steps: &mut Vec<DeltaStep>, inserted: &[u8], from: usize, length: usize) {
     if !inserted.is_empty() {
         match steps.last_mut() {
@@ -99,10 +107,10 @@
     window.iter().fold(0u64, |hash, byte| hash.wrapping_mul(ROLL).wrapping_add(u64::from(*byte)))
 }
 
-/// The hash of the window one byte on.
-fn rolled(hash: u64, draining: u8, entering: u8, out_factor: u64) -> u64 {
-    let kept = hash.wrapping_sub(u64::from(draining).wrapping_mul(out_factor));
-    kept.wrapping_mul(ROLL).wrapping_add(u64::from(entering))
+/// The hash of the window moved by one byte.
+fn rolled(hash: u64, outgoing: u8, incoming: u8, outgoing_factor: u64) -> u64 {
+    let kept = hash.wrapping_sub(u64::from(outgoing).wrapping_mul(outgoing_factor));
+    kept.wrapping_mul(ROLL).wrapping_add(u64::from(incoming))
 }
 
 #[cfg(test)]
--- a/packages/gossip/src/lib.rs
+++ b/packages/gossip/src/lib.rs
@@ -1,17 +1,18 @@
-//! News reaches every node by being passed on to a few others; gaps are mended by comparing digests.
+//! Gossip: updates spread by rumours to a few random nodes, and digests repair what rumours missed.
 //!
-//! Topics are dealt into buckets; a digest names some buckets, and marks go out only for those that
-//! differ. A few topics of the whole fleet (no slash in their names) have a bucket that every digest names.
+//! Topics are hashed into buckets. A digest lists the hashes of some buckets, and versions are sent only for
+//! buckets that differ. The few fleet-wide topics (without a slash in their names) have a bucket of their
+//! own, which every digest lists.
 //!
-//! News is a topic with a sequence that only rises and a body. Small bodies ride with the rumour;
-//! for large ones (a configuration) the rumour is a mark, and who lacks the body asks for it and tells
-//! which one it has: it is answered with the changes since then where they are known. The node that
-//! published it is asked first, which has it for sure, and then whoever else tells of it.
-
+//! An item is a topic with a rising sequence and a body. Small bodies are sent with the rumour. For a large
+//! body (a configuration) the rumour contains only its version; a node that lacks it requests the body and
+//! states which version it has, and gets the changes since then if they are known. The request goes first to
+//! the node that published the body, which certainly has it, and then to other nodes that announce it.
 //!
-//! Where zones have relays ([`Neighbours`]) news crosses a border once: rumours and digests stay inside the
-//! zone, the zone's first relay passes what began there to one relay of each other zone, and relays compare
-//! digests over the border. The fleet's own topics, which are few and must come through, are also told to anybody.
+//! If zones have relays ([`Neighbours`]), an item crosses each zone border once: rumours and digests stay
+//! inside the zone, the zone's first relay forwards items of its zone to one relay of each other zone, and
+//! relays compare digests across borders. Fleet-wide topics, which are few and must arrive, are also sent to
+//! random nodes of other zones.
 
 mod body_delta;
 mod neighbours;
@@ -28,28 +29,30 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const TOPIC_LIMIT: usize = 4_096;
-const SMALL_BODY: usize = 16 * 1024;
+const SMALL_BODY_BYTES: usize = 16 * 1024;
 const FANOUT: usize = 3;
 const ROUNDS: u32 = 3;
-const ITEMS_A_MESSAGE: usize = 256;
-/// In a large fleet each node passes news on less often: the first rounds reach nearly all of it.
+const ITEMS_PER_MESSAGE: usize = 256;
+/// In larger fleets each node sends a rumour fewer times: the first rounds reach nearly all nodes.
 const SMALL_FLEET: usize = 16;
 const LARGE_FLEET_FANOUT: usize = 2;
 const LARGE_FLEET_ROUNDS: u32 = 2;
-/// One bucket holds the fleet's own topics, the others share the rest.
+/// One bucket holds the fleet-wide topics, the others share the rest.
 const BUCKETS: usize = 33;
 const FLEET_BUCKET: usize = 0;
-/// With more topics than this, digests name some buckets in turn: in a living fleet nearly all differ
-/// at any moment, and their marks would be most of what is said.
-const FEW_TOPICS: usize = 256;
-const BUCKETS_A_DIGEST: usize = 4;
-/// Of so many digests one goes over a border: of a relay to a relay, of other nodes about the fleet's own topics.
+/// With more topics than this, digests list some buckets in turn: in a busy fleet nearly all buckets differ
+/// at any moment, and their versions would be most of the traffic.
+const FULL_DIGEST_TOPICS: usize = 256;
+const BUCKETS_PER_DIGEST: usize = 4;
+/// One in so many digests goes to another zone: from a relay to a relay, from other nodes for the fleet-wide
+/// topics only.
 const REMOTE_DIGEST_EVERY: u64 = 4;
-/// Of so many digests that others send over a border one is about all topics: what no relay carried is mended.
+/// One in so many digests that other nodes send to another zone covers all topics, which repairs what no
+/// relay forwarded.
 const REMOTE_FULL_DIGEST_EVERY: u64 = 10;
-/// So many newer sequences of a large body are told apart by when they were first heard of.
+/// Limit of announced newer sequences of a large body whose announcement time is kept.
 const ANNOUNCED_LIMIT: usize = 64;
-/// So many changes of a large body are remembered for those that have an older one.
+/// Limit of remembered changes of a large body, kept for nodes that have an older version.
 const CHANGES_LIMIT: usize = 32;
 
 #[derive(Debug)]
@@ -57,53 +60,53 @@
     item: GossipItem,
     rounds_left: u32,
     bucket: usize,
-    /// How a large body became what it is, newest last.
+    /// The latest changes of a large body, newest last.
     changes: VecDeque<BodyChange>,
 }
 
-/// A large body on its way here: another is not asked for before it can have come.
+/// A requested large body: it is not requested again before it can have arrived.
 #[derive(Debug)]
 struct Awaited {
     sequence: u64,
     until: Micros,
 }
 
-/// A newer sequence of a large topic that a colleague told of, and when the first one did.
+/// A newer sequence of a large topic that a peer announced, and the time of the first announcement.
 #[derive(Debug)]
 struct Announced {
     sequence: u64,
     since: Micros,
 }
 
-/// What the spread wants sent to a colleague.
+/// A message to send and its recipient.
 pub type GossipSend = (NodeId, Message);
 
-/// One node's news. Example: `Gossip::new(7)`.
+/// The gossip state of one node. Example: `Gossip::new(7)`.
 #[derive(Debug)]
 pub struct Gossip {
     topics: BTreeMap<String, TopicState>,
     digests: [u64; BUCKETS],
     next_bucket: usize,
-    /// How often news is passed on, by the size of the fleet.
+    /// How often a rumour is sent, by the size of the fleet.
     rounds: u32,
     rumour_event: Ticker,
     digest_event: Ticker,
     rng: Rng,
     now: Micros,
-    /// Bytes a second of this machine's link, where they are known.
+    /// The rate of this machine's link in bytes per second, if known.
     link_rate: Option<f64>,
     awaited: BTreeMap<String, Awaited>,
     announced: BTreeMap<String, VecDeque<Announced>>,
     own: Option<NodeId>,
     neighbours: Neighbours,
-    /// Those whose news this node carries over borders if it is the zone's first relay.
+    /// The nodes whose items this node forwards to other zones if it is the zone's first relay.
     zone_members: BTreeSet<NodeId>,
     peers: BTreeSet<NodeId>,
     digest_count: u64,
 }
 
 impl Gossip {
-    /// No news yet. Example: `Gossip::new(7).sequence("configuration") == 0`.
+    /// A node without items. Example: `Gossip::new(7).sequence("configuration") == 0`.
     pub fn new(random_seed: u64) -> Gossip {
         Gossip {
             topics: BTreeMap::new(),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Tells who the colleagues are, whenever they change. Example: `gossip.set_neighbours(own, neighbours)`.
+    /// Sets the peers, whenever they change. Example: `gossip.set_neighbours(own, neighbours)`.
     pub fn set_neighbours(&mut self, own: NodeId, neighbours: Neighbours) {
         self.own = Some(own);
         self.zone_members = neighbours.zone_members(self.own);
@@ -134,10 +137,11 @@
         self.neighbours = neighbours;
     }
 
-    /// Tells how fast this machine's link is: a large body is not asked for again before it can have
-    /// come over it. Example: `gossip.set_link_rate(250_000.0)`.
-    pub fn set_link_rate(&mut self, bytes_a_second: f64) {
-        self.link_rate = Some(bytes_a_second);
+    /// Sets the rate of this machine's link: a large body is not requested again before it can have arrived
+    /// at this rate.
+    /// Example: `gossip.set_link_rate(250_000.0)`.
+    pub fn set_link_rate(&mut self, bytes_per_second: f64) {
+        self.link_rate = Some(bytes_per_second);
     }
 
     /// The newest sequence known of a topic, zero for none. Example: `gossip.sequence("disks")`.
@@ -150,15 +154,16 @@
         self.topics.get(topic).map(|topic_state| &topic_state.item.body)
     }
 
-    /// Publishes own news or takes news from elsewhere; an older sequence changes nothing.
+    /// Publishes an own item or accepts one from elsewhere; returns false for a sequence that is not newer.
     /// Example: `gossip.publish("configuration", own, 4, body) == true` the first time.
     pub fn publish(&mut self, topic: &str, origin: NodeId, sequence: u64, body: Bytes) -> bool {
         let item = GossipItem { topic: topic.into(), origin, sequence, body };
         self.accept_item(item)
     }
 
-    /// Publishes own news of a large topic and says what changed since the last: colleagues that have the
-    /// last get both. Example: `gossip.publish_changed("configuration", own, 5, body, meaning)`.
+    /// Publishes an own item of a large topic with the meaning of its change since the last one: peers that
+    /// have the last one get both.
+    /// Example: `gossip.publish_changed("configuration", own, 5, body, meaning)`.
     pub fn publish_changed(
         &mut self,
         topic: &str,
@@ -181,15 +186,16 @@
         self.topics.get(&item.topic.0).and_then(|topic_state| change_between(&topic_state.item, item))
     }
 
-    /// What the publishers said of each change of a topic since a sequence; none where some change since is
-    /// not known here, or has no meaning. Example: `gossip.meanings_since("configuration", 4)`.
+    /// The meanings that publishers gave to the changes of a topic since a sequence; `None` if some change
+    /// since then is unknown here or has no meaning.
+    /// Example: `gossip.meanings_since("configuration", 4)`.
     pub fn meanings_since(&self, topic: &str, sequence: u64) -> Option<Vec<Bytes>> {
         let changes = self.topics.get(topic)?.changes_since(sequence)?;
         let meanings = changes.into_iter().map(|change| change.meaning);
         meanings.map(|meaning| (!meaning.0.is_empty()).then_some(meaning)).collect()
     }
 
-    /// Takes an item whose body came of the known one by these changes.
+    /// Accepts an item whose body results from the known one by these changes.
     fn accept_changed_item(&mut self, item: GossipItem, changes: Vec<BodyChange>) -> bool {
         let topic = item.topic.0.clone();
         if item.sequence <= self.sequence(&topic) {
@@ -220,7 +226,7 @@
         true
     }
 
-    /// Forgets topics, such as those of a function or a node that is no more.
+    /// Drops topics, such as those of a removed function or node.
     /// Example: `gossip.forget(|topic| topic == "demand/7")`.
     pub fn forget(&mut self, is_forgotten: impl Fn(&str) -> bool) {
         let digests = &mut self.digests;
@@ -233,7 +239,7 @@
         });
     }
 
-    /// Topics that start with a prefix. Example: `gossip.topics("demand/")`.
+    /// The items whose topics start with a prefix. Example: `gossip.topics("demand/")`.
     pub fn topics<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a GossipItem> {
         self.topics
             .range(prefix.to_owned()..)
@@ -257,7 +263,7 @@
         sends
     }
 
-    /// Compares topics with a near colleague, and now and then with one beyond a border.
+    /// Sends a digest to a peer of the own zone, and at times to one of another zone.
     fn send_digests(&mut self, sends: &mut Vec<GossipSend>) {
         self.digest_count += 1;
         if let Some(local) = self.rng.choice(self.neighbours.local.iter().copied()) {
@@ -267,8 +273,8 @@
             return;
         }
         let remote_digest_count = self.digest_count / REMOTE_DIGEST_EVERY;
-        let is_whole_due = remote_digest_count.is_multiple_of(REMOTE_FULL_DIGEST_EVERY);
-        let digests = match self.is_relay() || is_whole_due {
+        let is_full_digest_due = remote_digest_count.is_multiple_of(REMOTE_FULL_DIGEST_EVERY);
+        let digests = match self.is_relay() || is_full_digest_due {
             true => self.next_digests(),
             false => List(vec![self.digest_of(FLEET_BUCKET)]),
         };
@@ -277,7 +283,7 @@
         }
     }
 
-    /// Whom to compare with beyond a border: relays do with relays, others with anybody.
+    /// The node of another zone to compare digests with: a relay for relays, any node for others.
     fn remote_partner(&mut self) -> Option<NodeId> {
         let relays: Vec<NodeId> = self.neighbours.remote_relays.iter().flatten().copied().collect();
         match self.is_relay() && !relays.is_empty() {
@@ -300,20 +306,20 @@
 
     fn next_digests(&mut self) -> List<BucketDigest> {
         let shared_buckets = BUCKETS - 1;
-        let count = if self.topics.len() <= FEW_TOPICS { shared_buckets } else { BUCKETS_A_DIGEST };
+        let count = if self.topics.len() <= FULL_DIGEST_TOPICS { shared_buckets } else { BUCKETS_PER_DIGEST };
         let first = self.next_bucket;
         self.next_bucket = (first + count) % shared_buckets;
-        let named = (first..first + count).map(|place| 1 + place % shared_buckets);
-        std::iter::once(FLEET_BUCKET).chain(named).map(|bucket| self.digest_of(bucket)).collect()
+        let listed = (first..first + count).map(|index| 1 + index % shared_buckets);
+        std::iter::once(FLEET_BUCKET).chain(listed).map(|bucket| self.digest_of(bucket)).collect()
     }
 
     fn send_rumours(&mut self, sends: &mut Vec<GossipSend>) {
         let is_first_relay = self.is_first_relay();
         let mut items = Vec::new();
-        let mut crossing = Vec::new();
+        let mut zone_items = Vec::new();
         let mut large = Vec::new();
         for topic_state in self.topics.values_mut().filter(|topic_state| topic_state.rounds_left > 0) {
-            if items.len() + large.len() >= ITEMS_A_MESSAGE {
+            if items.len() + large.len() >= ITEMS_PER_MESSAGE {
                 break;
             }
             let is_first_round = topic_state.rounds_left == self.rounds;
@@ -322,28 +328,29 @@
                 large.push(large_body_version(&topic_state.item));
                 continue;
             }
-            // What began in this zone crosses each border once; what came over one is spread here alone.
+            // Items of this zone are forwarded once to each other zone; items of other zones are not
+            // forwarded.
             if is_first_relay && is_first_round && self.zone_members.contains(&topic_state.item.origin) {
-                crossing.push(topic_state.item.clone());
+                zone_items.push(topic_state.item.clone());
             }
             items.push(topic_state.item.clone());
         }
         let fanout = if self.neighbours.count() <= SMALL_FLEET { FANOUT } else { LARGE_FLEET_FANOUT };
-        for local in self.picked(&self.neighbours.local.clone(), fanout) {
+        for local in self.choose_nodes(&self.neighbours.local.clone(), fanout) {
             sends.extend(items_message(local, &items));
         }
         self.send_to_relays(&items, sends);
         for remote_relays in &self.neighbours.remote_relays {
-            sends.extend(remote_relays.first().and_then(|relay| items_message(*relay, &crossing)));
+            sends.extend(remote_relays.first().and_then(|relay| items_message(*relay, &zone_items)));
         }
         let everybody = self.neighbours.everybody();
-        for node in self.picked(&everybody, fanout) {
+        for node in self.choose_nodes(&everybody, fanout) {
             sends.extend(large_versions_message(node, large.clone()));
         }
         self.send_fleet_topics(&items, fanout, sends);
     }
 
-    /// Own news goes to the zone's relays at once, which carry it on.
+    /// Sends own items to the zone's relays at once, which forward them.
     fn send_to_relays(&self, items: &[GossipItem], sends: &mut Vec<GossipSend>) {
         let is_own = |item: &&GossipItem| Some(item.origin) == self.own;
         let own_items: Vec<GossipItem> = items.iter().filter(is_own).cloned().collect();
@@ -351,25 +358,27 @@
         sends.extend(relays.filter_map(|relay| items_message(*relay, &own_items)));
     }
 
-    /// The fleet's own topics cross borders by anybody: no relay's loss may hold up a new voter set.
+    /// Sends fleet-wide topics to random nodes of other zones, so that the loss of a relay does not delay a
+    /// new voter set.
     fn send_fleet_topics(&mut self, items: &[GossipItem], fanout: usize, sends: &mut Vec<GossipSend>) {
-        let is_fleets = |item: &&GossipItem| bucket_of(&item.topic.0) == FLEET_BUCKET;
-        let fleet_items: Vec<GossipItem> = items.iter().filter(is_fleets).cloned().collect();
+        let is_fleet_wide = |item: &&GossipItem| bucket_of(&item.topic.0) == FLEET_BUCKET;
+        let fleet_items: Vec<GossipItem> = items.iter().filter(is_fleet_wide).cloned().collect();
         if fleet_items.is_empty() {
             return;
         }
-        for remote in self.picked(&self.neighbours.remote.clone(), fanout) {
+        for remote in self.choose_nodes(&self.neighbours.remote.clone(), fanout) {
             sends.extend(items_message(remote, &fleet_items));
         }
     }
 
-    /// Some of these nodes, at random.
-    fn picked(&mut self, nodes: &[NodeId], count: usize) -> Vec<NodeId> {
+    /// Some of these nodes, chosen at random.
+    fn choose_nodes(&mut self, nodes: &[NodeId], count: usize) -> Vec<NodeId> {
         self.rng.choose_multiple(nodes.iter().copied(), count)
     }
 
-    /// Takes a colleague's news, digest, marks or question. The topics that became newer are
-    /// returned with what to send. Example: `let (newer, sends) = gossip.received(from, message);`.
+    /// Handles a peer's items, digest, versions, request or changes. Returns the topics that became newer and
+    /// what to send.
+    /// Example: `let (newer, sends) = gossip.received(from, message);`.
     pub fn received(&mut self, from: NodeId, message: Message) -> (Vec<String>, Vec<GossipSend>) {
         match message {
             Message::Gossip { items } => {
@@ -384,13 +393,11 @@
                 (newer_topics, Vec::new())
             }
             Message::GossipDigest { digests } => {
-                let is_other = |topic_state: &&BucketDigest| {
-                    self.digests
-                        .get(usize::from(topic_state.bucket))
-                        .is_some_and(|own| *own != topic_state.digest)
+                let differs = |theirs: &&BucketDigest| {
+                    self.digests.get(usize::from(theirs.bucket)).is_some_and(|own| *own != theirs.digest)
                 };
                 let full_buckets: List<u8> =
-                    digests.0.iter().filter(is_other).map(|topic_state| topic_state.bucket).collect();
+                    digests.0.iter().filter(differs).map(|theirs| theirs.bucket).collect();
                 if full_buckets.0.is_empty() {
                     return (Vec::new(), Vec::new());
                 }
@@ -418,8 +425,8 @@
         self.topics.values().filter(|topic_state| buckets.0.contains(&(topic_state.bucket as u8)))
     }
 
-    /// Asks for what the colleague has newer and sends what it has older. Of a large body only the mark
-    /// is sent: the colleague may be getting it from elsewhere already.
+    /// Requests the topics of which the peer has a newer version and sends those of which it has an older
+    /// one. Of a large body only the version is sent: the peer may already be receiving it from another node.
     fn compare(
         &mut self,
         from: NodeId,
@@ -469,22 +476,22 @@
         sends
     }
 
-    /// Asks for a large body that a colleague has newer, but not while it may still be on its way.
+    /// Requests a large body of which the peer has a newer version, unless it may still be in transit.
     fn request_large_bodies(&mut self, from: NodeId, their_version: &LargeBodyVersion) -> Option<GossipSend> {
         let topic = &their_version.topic;
         let own_sequence = self.sequence(&topic.0);
         if their_version.sequence <= own_sequence {
             return None;
         }
-        self.note_announced(their_version);
+        self.record_announced(their_version);
         let awaited = self.awaited.get(&topic.0);
         let awaited = awaited.filter(|awaited| awaited.sequence >= their_version.sequence);
         if awaited.is_some_and(|awaited| self.now < awaited.until) {
             return None;
         }
-        // Whoever was asked in vain is not asked a second time.
-        let is_origin_local = awaited.is_none() && self.peers.contains(&their_version.origin);
-        let requested_node = if is_origin_local { their_version.origin } else { from };
+        // The origin is requested first only: if it did not deliver, the announcing peer is requested.
+        let is_origin_next = awaited.is_none() && self.peers.contains(&their_version.origin);
+        let requested_node = if is_origin_next { their_version.origin } else { from };
         let seconds = self.link_rate.map_or(0.0, |rate| f64::from(their_version.bytes) / rate);
         let until = self.now + Micros((seconds * 1e6) as u64);
         self.awaited.insert(topic.0.clone(), Awaited { sequence: their_version.sequence, until });
@@ -492,7 +499,7 @@
         Some((requested_node, Message::GossipRequest { known }))
     }
 
-    fn note_announced(&mut self, their_version: &LargeBodyVersion) {
+    fn record_announced(&mut self, their_version: &LargeBodyVersion) {
         let announced = self.announced.entry(their_version.topic.0.clone()).or_default();
         let is_new = announced.back().is_none_or(|newest| newest.sequence < their_version.sequence);
         if is_new && announced.len() < ANNOUNCED_LIMIT {
@@ -500,13 +507,13 @@
         }
     }
 
-    /// Since when a newer sequence of a large topic is known to exist that is not here yet, the oldest one.
-    /// Example: `gossip.awaited_since("configuration") == None` while nobody told of a newer one.
+    /// When the oldest of the newer sequences of a large topic that have not arrived yet was first announced.
+    /// Example: `gossip.awaited_since("configuration") == None` while no newer one was announced.
     pub fn awaited_since(&self, topic: &str) -> Option<Micros> {
         self.announced.get(topic)?.front().map(|oldest| oldest.since)
     }
 
-    /// Tells one colleague of a topic, which it asks for if it has an older one.
+    /// Announces the version of a topic to one peer, which requests the body if it has an older one.
     /// Example: `gossip.send_topic_to(reader, "configuration")`.
     pub fn send_topic_to(&self, node: NodeId, topic: &str) -> Option<GossipSend> {
         large_versions_message(
@@ -519,7 +526,7 @@
         )
     }
 
-    /// Whole items, or the changes since what the asker has.
+    /// Responds with whole items, or with the changes since the requester's versions.
     fn respond_to_request(&self, from: NodeId, known: &List<GossipVersion>) -> Vec<GossipSend> {
         let mut items = Vec::new();
         let mut sends = Vec::new();
@@ -542,7 +549,7 @@
         sends
     }
 
-    /// Applies changes to the body known here; where they do not fit, the whole body is asked for.
+    /// Applies changes to the known body; if they do not fit, requests the whole body.
     fn accept_changes(
         &mut self,
         from: NodeId,
@@ -551,18 +558,18 @@
         changes: Vec<BodyChange>,
     ) -> (Vec<String>, Vec<GossipSend>) {
         let own_sequence = self.sequence(&topic.0);
-        let fitting: Vec<BodyChange> =
+        let applicable: Vec<BodyChange> =
             changes.into_iter().skip_while(|change| change.base < own_sequence).collect();
-        let Some(sequence) = fitting.last().map(|change| change.sequence) else {
+        let Some(sequence) = applicable.last().map(|change| change.sequence) else {
             return (Vec::new(), Vec::new());
         };
         let no_body = Bytes::default();
         let own_body = self.body(&topic.0).unwrap_or(&no_body);
-        match changed_body(own_body, own_sequence, &fitting) {
+        match changed_body(own_body, own_sequence, &applicable) {
             Some(body) => {
                 let item = GossipItem { topic: topic.clone(), origin, sequence, body };
-                let is_taken = self.accept_changed_item(item, fitting);
-                (is_taken.then_some(topic.0).into_iter().collect(), Vec::new())
+                let is_accepted = self.accept_changed_item(item, applicable);
+                (is_accepted.then_some(topic.0).into_iter().collect(), Vec::new())
             }
             None => {
                 let known = List(vec![GossipVersion { topic, sequence: 0 }]);
@@ -573,7 +580,7 @@
 }
 
 impl TopicState {
-    /// The changes that lead from an older sequence to this body, if all of them are remembered.
+    /// The changes from an older sequence to this body, if all of them are remembered.
     fn changes_since(&self, sequence: u64) -> Option<Vec<BodyChange>> {
         let first = self.changes.iter().position(|change| change.base == sequence)?;
         let changes: Vec<BodyChange> = self.changes.range(first..).cloned().collect();
@@ -583,7 +590,7 @@
     }
 }
 
-/// How a large body became its successor, where that is told shorter than the successor itself.
+/// The change from a large body to its successor, if its delta is much smaller than the successor itself.
 fn change_between(previous: &GossipItem, next: &GossipItem) -> Option<BodyChange> {
     if next.sequence <= previous.sequence || !is_large(previous) || !is_large(next) {
         return None;
@@ -594,7 +601,8 @@
     Some(BodyChange { base: previous.sequence, sequence: next.sequence, digest, steps, meaning })
 }
 
-/// The body after all changes, each of which must build on the one before and come out as it was told.
+/// The body after all changes; each must start from the sequence of the previous one and result in its
+/// digest.
 fn changed_body(base: &Bytes, base_sequence: u64, changes: &[BodyChange]) -> Option<Bytes> {
     let mut body = Cow::Borrowed(&base.0);
     let mut sequence = base_sequence;
@@ -609,7 +617,7 @@
 }
 
 fn is_large(item: &GossipItem) -> bool {
-    item.body.0.len() > SMALL_BODY
+    item.body.0.len() > SMALL_BODY_BYTES
 }
 
 fn items_message(node: NodeId, items: &[GossipItem]) -> Option<GossipSend> {
@@ -629,7 +637,7 @@
     LargeBodyVersion { topic, sequence: item.sequence, origin: item.origin, bytes }
 }
 
-/// Items in messages of bounded size.
+/// Groups items into messages of bounded size.
 fn send_items(node: NodeId, items: Vec<GossipItem>) -> Vec<GossipSend> {
     let mut sends = Vec::new();
     let mut group_items = Vec::new();
@@ -637,7 +645,7 @@
     for item in items {
         group_bytes += item.body.0.len();
         group_items.push(item);
-        if group_bytes > SMALL_BODY * 4 || group_items.len() >= ITEMS_A_MESSAGE {
+        if group_bytes > SMALL_BODY_BYTES * 4 || group_items.len() >= ITEMS_PER_MESSAGE {
             sends.push((node, Message::Gossip { items: List(std::mem::take(&mut group_items)) }));
             group_bytes = 0;
         }
@@ -652,7 +660,7 @@
     GossipVersion { topic: item.topic.clone(), sequence: item.sequence }
 }
 
-/// The fleet's own topics come first, in a bucket that is always compared.
+/// The bucket of a topic. Fleet-wide topics are in the first bucket, which every digest lists.
 fn bucket_of(topic: &str) -> usize {
     match topic.contains('/') {
         true => 1 + (stable_hash(topic.as_bytes()) % (BUCKETS as u64 - 1)) as usize,
--- a/packages/gossip/src/neighbours.rs
+++ b/packages/gossip/src/neighbours.rs
@@ -1,44 +1,44 @@
-//! Whom news is passed on to: colleagues of the own zone, and relays that carry it over zone borders.
+//! The peers that gossip is sent to: those of the own zone, and relays that forward it to other zones.
 
 use peer_messages::NodeId;
 use std::collections::BTreeSet;
 
-/// The colleagues as the spread sees them.
+/// The peers by zone, with the relays of each zone.
 ///
-/// In a fleet without relays all colleagues are near, and nothing is said of borders. Where zones have
-/// relays, news is spread inside the zone that it comes from; one relay carries it to one relay of each
-/// other zone, which spreads it there.
+/// In a fleet without relays all peers count as local. If zones have relays, an item spreads inside the zone
+/// of its origin; one relay forwards it to one relay of each other zone, where it spreads likewise.
 ///
 /// Example: `Neighbours::of_one_zone(vec![7, 8, 9])`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Neighbours {
-    /// Colleagues in this node's zone.
+    /// Peers in this node's zone.
     pub local: Vec<NodeId>,
-    /// Colleagues in other zones.
+    /// Peers in other zones.
     pub remote: Vec<NodeId>,
-    /// The relays of this node's zone, the first one first; this node may be among them.
+    /// The relays of this node's zone by rank; this node may be one of them.
     pub own_relays: Vec<NodeId>,
-    /// The relays of each other zone, the first one first.
+    /// The relays of each other zone by rank.
     pub remote_relays: Vec<Vec<NodeId>>,
 }
 
 impl Neighbours {
-    /// A fleet without borders. Example: `Neighbours::of_one_zone(vec![7]).count() == 1`.
+    /// The neighbours in a fleet of a single zone. Example: `Neighbours::of_one_zone(vec![7]).count() == 1`.
     pub fn of_one_zone(peers: Vec<NodeId>) -> Neighbours {
         Neighbours { local: peers, ..Neighbours::default() }
     }
 
-    /// All colleagues. Example: `neighbours.count() == 9`.
+    /// The number of peers. Example: `neighbours.count() == 9`.
     pub fn count(&self) -> usize {
         self.local.len() + self.remote.len()
     }
 
-    /// All colleagues, the near ones first. Example: `neighbours.everybody().len() == 9`.
+    /// All peers, local ones first. Example: `neighbours.everybody().len() == 9`.
     pub fn everybody(&self) -> Vec<NodeId> {
         self.local.iter().chain(&self.remote).copied().collect()
     }
 
-    /// The colleagues in this node's zone, and this node. Example: news of theirs is carried over borders here.
+    /// The peers in this node's zone, and this node. Example: the first relay forwards their items to other
+    /// zones.
     pub(crate) fn zone_members(&self, own: Option<NodeId>) -> BTreeSet<NodeId> {
         self.local.iter().copied().chain(own).collect()
     }
