--- a/packages/membership/src/lib.rs
+++ b/packages/membership/src/lib.rs
@@ -1,41 +1,42 @@
-//! How nodes know each other: probes to colleagues in rotation, second opinions through third
-//! parties, suspicion that the suspected may refute, then removal. Removed members and seeds go on
-//! being probed now and then, so a healed cut joins itself again.
+//! Membership and failure detection as in SWIM: probes to peers in rotation, indirect probes through other
+//! peers, suspicion that the suspected node may refute, then removal. Removed members and seeds are still
+//! probed at intervals, so that both sides of a healed partition join again.
 
 use fastrand::Rng;
 use monotonic_clock::{Micros, Ticker};
 use peer_messages::{Address, List, MemberUpdate, Message, NodeId, stable_hash};
 use std::collections::BTreeMap;
 
-/// A member that answers or has not yet been doubted.
+/// A member that responds or is not suspected yet.
 pub const ALIVE: u8 = 0;
-/// A member that did not answer; it counts as alive until the suspicion runs out.
+/// A member that did not respond; it counts as alive until the suspicion time has passed.
 pub const SUSPECTED: u8 = 1;
 /// A removed member.
 pub const GONE: u8 = 2;
 
-/// Remembered members, the gone ones too; when it is full the one gone longest makes room.
+/// Limit of remembered members, removed ones included; beyond it the member removed longest ago is dropped.
 const MEMBER_LIMIT: usize = 1_024;
 const UPDATES_PER_MESSAGE: usize = 64;
-/// In a fleet of more colleagues than this a probe tells only what changed lately.
+/// With more peers than this a probe carries only recent changes.
 const SMALL_FLEET: usize = 16;
-/// How many changes a probe tells in a large fleet, and how often each is told.
+/// How many changes a probe carries in a large fleet.
 const CHANGES_PER_MESSAGE: usize = 16;
+/// How often each change is sent.
 const UPDATE_TRANSMISSIONS: u32 = 16;
-/// Of the gone, a whole list tells so many.
+/// Limit of removed members in a full list.
 const GONE_PER_MESSAGE: usize = 64;
 
-/// How often and how patiently colleagues are probed.
+/// Intervals and timeouts of probes.
 /// Example: `ProbeSettings::default().interval == Micros::from_millis(400)`.
 #[derive(Clone, Debug)]
 pub struct ProbeSettings {
-    /// Between two probes of this node.
+    /// Interval between two probes of this node.
     pub interval: Micros,
-    /// Until third parties are asked.
+    /// Timeout of a direct probe, after which indirect probes are requested.
     pub response_within: Micros,
-    /// From suspicion to removal.
+    /// Time from suspicion to removal.
     pub suspicion: Micros,
-    /// How long a removed member is still remembered and probed.
+    /// How long a removed member is remembered and probed.
     pub remember_gone: Micros,
 }
 
@@ -50,13 +51,14 @@
     }
 }
 
-/// A message and where to send it. Example: `for (address, message) in members.tick(now) { .. }`.
+/// The address of the recipient, and a message.
+/// Example: `for (address, message) in members.tick(now) { .. }`.
 pub type Outgoing = (Address, Message);
 
-/// What became of a member. Example: `MemberChange::Gone(node)`.
+/// A change in the set of live members. Example: `MemberChange::Gone(node)`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
-    /// A node not known before, or one that came back.
+    /// A node that was unknown, or a removed one that returned.
     Joined(NodeId),
     /// A node was removed.
     Gone(NodeId),
@@ -66,7 +68,7 @@
 struct Member {
     update: MemberUpdate,
     state_since: Micros,
-    /// How often this is still told as a change.
+    /// How many more times the update is sent as a change.
     transmissions_left: u32,
 }
 
@@ -75,11 +77,11 @@
     target: NodeId,
     sequence: u64,
     sent_at: Micros,
-    requested_others: bool,
+    is_indirect: bool,
 }
 
 #[derive(Debug)]
-struct Relay {
+struct IndirectProbe {
     requester: Address,
     sequence: u64,
 }
@@ -93,13 +95,13 @@
     members: BTreeMap<NodeId, Member>,
     rotation: Vec<NodeId>,
     pending: Option<PendingProbe>,
-    relays: BTreeMap<u64, Relay>,
+    indirect_probes: BTreeMap<u64, IndirectProbe>,
     next_sequence: u64,
     probe_event: Ticker,
-    heal_event: Ticker,
+    rejoin_event: Ticker,
     last_tick: Micros,
     changes: Vec<MemberChange>,
-    /// Rises with every change of what is known of any member, this node included.
+    /// Rises with every change in what is known of any member, this node included.
     revision: u64,
     rng: Rng,
 }
@@ -112,13 +114,13 @@
         Members {
             seeds: seeds.into_iter().filter(|seed| *seed != own_address).collect(),
             probe_event: Ticker::every(settings.interval),
-            heal_event: Ticker::every(Micros(settings.interval.0 * 2)),
+            rejoin_event: Ticker::every(Micros(settings.interval.0 * 2)),
             own,
             settings,
             members: BTreeMap::new(),
             rotation: Vec::new(),
             pending: None,
-            relays: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
             next_sequence: 0,
             last_tick: Micros(0),
             changes: Vec::new(),
@@ -132,7 +134,7 @@
         &self.own
     }
 
-    /// Changes what this node says of itself; colleagues take it for its higher incarnation.
+    /// Changes this node's own entry; peers accept it because its incarnation rises.
     /// Example: `members.update_own(|own| own.draining = 1)`.
     pub fn update_own(&mut self, change: impl FnOnce(&mut MemberUpdate)) {
         let previous_own = self.own.clone();
@@ -143,13 +145,13 @@
         }
     }
 
-    /// A number that rises with every change of what is known of any member: what was derived from the
-    /// members stands as long as it does. Example: `if members.revision() != seen { derive_anew() }`.
+    /// A number that rises with every change in what is known of any member: data derived from the members is
+    /// valid until it changes. Example: `if members.revision() != seen { derive_anew() }`.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All members believed alive, this node included, by rising id.
+    /// All members believed to be alive, this node included, sorted by id.
     /// Example: `members.live().len()` is the paper's N.
     pub fn live(&self) -> Vec<&MemberUpdate> {
         let mut live_members: Vec<&MemberUpdate> = self.peers().collect();
@@ -158,7 +160,7 @@
         live_members
     }
 
-    /// The colleagues believed alive. Example: `members.peers().count()`.
+    /// The peers believed to be alive. Example: `members.peers().count()`.
     pub fn peers(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members.values().map(|member| &member.update).filter(|update| update.state != GONE)
     }
@@ -171,23 +173,23 @@
         self.members.get(&node).map(|member| &member.update).filter(|update| update.state != GONE)
     }
 
-    /// Every remembered entry, the gone ones too. Example: `members.remembered().count()`.
+    /// Every remembered entry, those of removed members included. Example: `members.remembered().count()`.
     pub fn remembered(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.members.values().map(|member| &member.update)
     }
 
-    /// How many of the seeds are live members or this node, for the guard on founding.
+    /// The number of seeds that are live members, for the bootstrap guard.
     /// Example: `members.seeds_reached() == 3`.
     pub fn seeds_reached(&self) -> usize {
         self.seeds.iter().filter(|seed| self.peers().any(|update| update.address == **seed)).count()
     }
 
-    /// The seeds other than this node. Example: `members.seed_count() <= 3`.
+    /// The number of seeds other than this node. Example: `members.seed_count() <= 3`.
     pub fn seed_count(&self) -> usize {
         self.seeds.len()
     }
 
-    /// Takes new seeds after a reload. Example: `members.set_seeds(seeds)`.
+    /// Sets the seeds after a reload. Example: `members.set_seeds(seeds)`.
     pub fn set_seeds(&mut self, seeds: Vec<Address>) {
         self.seeds = seeds.into_iter().filter(|seed| *seed != self.own.address).collect();
     }
@@ -197,13 +199,14 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Probes what is due and lets suspicions run out. Example: `members.tick(now)`.
+    /// Sends the probes that are due, and removes members whose suspicion time has passed.
+    /// Example: `members.tick(now)`.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        let was_frozen = now > self.last_tick + self.settings.suspicion;
+        let was_suspended = now > self.last_tick + self.settings.suspicion;
         self.last_tick = now;
-        if was_frozen {
-            // Whoever was frozen itself has no ground to doubt others.
+        if was_suspended {
+            // This process was suspended itself, so missing responses do not mean that others failed.
             self.pending = None;
             for member in self.members.values_mut().filter(|member| member.update.state == SUSPECTED) {
                 member.state_since = now;
@@ -214,13 +217,13 @@
         if self.probe_event.due(now) {
             self.probe_next(now, &mut outgoing);
         }
-        if self.heal_event.due(now) {
-            self.probe_lost(&mut outgoing);
+        if self.rejoin_event.due(now) {
+            self.probe_unreachable(&mut outgoing);
         }
         outgoing
     }
 
-    /// Takes a colleague's probe, answer or request for a second opinion.
+    /// Handles a peer's probe, response, list or request for an indirect probe.
     /// Example: `members.received(from, address, message, now)`.
     pub fn received(
         &mut self,
@@ -236,8 +239,8 @@
         match message {
             Message::Probe { sequence, target, members } => {
                 self.merge(members, now);
-                // A probe meant for the process that was here before is answered all the same: the
-                // answer shows the asker who listens here now.
+                // A probe addressed to a previous incarnation gets a response too, which shows the sender
+                // which process listens at this address now.
                 let _ = target;
                 let response = Message::ProbeResponse { sequence, members: self.updates_for(Some(from)) };
                 let mut responses = vec![(from_address, response)];
@@ -266,16 +269,19 @@
                 if self.pending.as_ref().is_some_and(|pending| pending.sequence == sequence) {
                     self.pending = None;
                 }
-                let Some(relay) = self.relays.remove(&sequence) else { return Vec::new() };
-                let relayed =
-                    Message::ProbeResponse { sequence: relay.sequence, members: self.updates_for(None) };
-                vec![(relay.requester, relayed)]
+                let Some(indirect_probe) = self.indirect_probes.remove(&sequence) else { return Vec::new() };
+                let relayed = Message::ProbeResponse {
+                    sequence: indirect_probe.sequence,
+                    members: self.updates_for(None),
+                };
+                vec![(indirect_probe.requester, relayed)]
             }
             Message::ProbeFor { sequence, target, target_address } => {
                 let own_sequence = self.sequence();
-                self.relays.insert(own_sequence, Relay { requester: from_address, sequence });
-                while self.relays.len() > UPDATES_PER_MESSAGE {
-                    self.relays.pop_first();
+                self.indirect_probes
+                    .insert(own_sequence, IndirectProbe { requester: from_address, sequence });
+                while self.indirect_probes.len() > UPDATES_PER_MESSAGE {
+                    self.indirect_probes.pop_first();
                 }
                 vec![(
                     target_address,
@@ -295,7 +301,7 @@
         self.next_sequence
     }
 
-    /// Another process speaks from this address: the one known there before is gone.
+    /// Removes the member known at this address if another process now sends from it.
     fn displace(&mut self, from: NodeId, from_address: Address, now: Micros) {
         for (node, member) in &mut self.members {
             if *node != from && member.update.address == from_address && member.update.state != GONE {
@@ -312,24 +318,25 @@
         self.members.len() > SMALL_FLEET
     }
 
-    /// What two nodes agree on when they know the same live members at the same incarnations.
+    /// A digest that is equal on nodes that know the same live members at the same incarnations.
     fn digest(&self) -> u64 {
         self.peers().chain([&self.own]).fold(0, |sum, update| {
             sum ^ stable_hash(&[update.node.to_le_bytes(), update.incarnation.to_le_bytes()].concat())
         })
     }
 
-    /// Everybody, for a colleague whose digest differs; of the gone those that went last.
+    /// All live members and the most recently removed ones, for a peer whose digest differs.
     fn full_list(&self) -> List<MemberUpdate> {
-        let mut gone: Vec<&Member> =
+        let mut gone_members: Vec<&Member> =
             self.members.values().filter(|member| member.update.state == GONE).collect();
-        gone.sort_by_key(|member| std::cmp::Reverse(member.state_since));
-        let gone_updates = gone.into_iter().take(GONE_PER_MESSAGE).map(|member| &member.update);
+        gone_members.sort_by_key(|member| std::cmp::Reverse(member.state_since));
+        let gone_updates = gone_members.into_iter().take(GONE_PER_MESSAGE).map(|member| &member.update);
         std::iter::once(&self.own).chain(self.peers()).chain(gone_updates).cloned().collect()
     }
 
-    /// What is told with every probe: this node first, then colleagues, in a small fleet all of them,
-    /// in a large one those that changed lately. A node that is doubted is always told so.
+    /// The updates sent with every probe: this node first, then the peers, in a small fleet all of them, in a
+    /// large one those that changed recently. A suspected recipient is always sent its own entry, so that it
+    /// can refute the suspicion.
     fn updates_for(&mut self, recipient: Option<NodeId>) -> List<MemberUpdate> {
         if self.is_large() {
             return self.changes_for(recipient);
@@ -401,7 +408,7 @@
         self.revision += 1;
     }
 
-    /// Whether one member more is remembered: the one that is gone longest makes room.
+    /// Whether there is room for one more member; drops the member removed longest ago if necessary.
     fn make_room(&mut self) -> bool {
         if self.members.len() < MEMBER_LIMIT {
             return true;
@@ -417,8 +424,8 @@
             self.pending = None;
             return;
         };
-        if !pending.requested_others && now >= pending.sent_at + self.settings.response_within {
-            pending.requested_others = true;
+        if !pending.is_indirect && now >= pending.sent_at + self.settings.response_within {
+            pending.is_indirect = true;
             let (sequence, suspect_node, suspect_address) =
                 (pending.sequence, pending.target, target.update.address);
             let mut helpers: Vec<Address> = self
@@ -429,9 +436,9 @@
                 .collect();
             self.rng.shuffle(&mut helpers);
             outgoing.extend(helpers.into_iter().take(3).map(|helper| {
-                let request_id =
+                let request =
                     Message::ProbeFor { sequence, target: suspect_node, target_address: suspect_address };
-                (helper, request_id)
+                (helper, request)
             }));
             return;
         }
@@ -472,7 +479,7 @@
         while let Some(target) = self.rotation.pop() {
             let Some(target_address) = self.find(target).map(|update| update.address) else { continue };
             let sequence = self.sequence();
-            self.pending = Some(PendingProbe { target, sequence, sent_at: now, requested_others: false });
+            self.pending = Some(PendingProbe { target, sequence, sent_at: now, is_indirect: false });
             outgoing.push((
                 target_address,
                 Message::Probe { sequence, target, members: self.updates_for(Some(target)) },
@@ -481,26 +488,27 @@
         }
     }
 
-    /// One probe to a seed that is no live member or to a removed member.
-    fn probe_lost(&mut self, outgoing: &mut Vec<Outgoing>) {
+    /// Probes an address without a live member, that of a seed or of a removed member; all of them if no peer
+    /// is alive.
+    fn probe_unreachable(&mut self, outgoing: &mut Vec<Outgoing>) {
         let live_addresses: Vec<Address> = self.peers().map(|update| update.address).collect();
-        let mut lost_addresses: Vec<Address> = self
+        let mut unreachable_addresses: Vec<Address> = self
             .seeds
             .iter()
             .copied()
             .chain(self.members.values().map(|member| member.update.address))
             .filter(|address| !live_addresses.contains(address))
             .collect();
-        lost_addresses.sort();
-        lost_addresses.dedup();
+        unreachable_addresses.sort();
+        unreachable_addresses.dedup();
         let probed_addresses = match live_addresses.is_empty() {
-            true => lost_addresses,
-            false => self.rng.choice(lost_addresses).into_iter().collect(),
+            true => unreachable_addresses,
+            false => self.rng.choice(unreachable_addresses).into_iter().collect(),
         };
-        for lost_address in probed_addresses {
+        for unreachable_address in probed_addresses {
             let sequence = self.sequence();
             outgoing.push((
-                lost_address,
+                unreachable_address,
                 Message::Probe { sequence, target: 0, members: self.updates_for(None) },
             ));
         }
