--- a/packages/peer_messages/src/delivery.rs
+++ b/packages/peer_messages/src/delivery.rs
@@ -1,26 +1,27 @@
-//! How a message is carried: which go before others on a link, and until when each is of use.
+//! Delivery properties of messages: their priority on a link, and how long they are valid.
 
 use crate::Message;
 use std::time::Duration;
 
-/// The order in which a link carries what waits for it. Example: `message.priority() == Priority::Urgent`.
+/// The priority of a message that waits for a link. Example: `message.priority() == Priority::Urgent`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
-    /// Leases, votes, tickets and probes: short, and somebody waits for them.
+    /// Leases, votes, permits and probes: short messages that a node waits for.
     Urgent,
-    /// News, lists, polls and whatever mends itself by being asked for again: who is behind sheds these first.
+    /// Gossip, lists, polls and other messages that are requested again if they are lost: an overloaded node
+    /// drops these first.
     Bulk,
 }
 
-/// A probe's answer counts only within its interval; a poll is put again before that.
+/// A probe's response counts only within its interval, and a poll is repeated sooner than this.
 const PROBE_SPAN: Duration = Duration::from_millis(1_000);
-/// Whoever asks for a ticket, a promise or a write asks again, or elsewhere, before that.
+/// Requests for permits, promises and writes are repeated, or sent to another node, sooner than this.
 const RESPONSE_SPAN: Duration = Duration::from_millis(2_000);
-/// What nobody sends again, or what stays true however late it comes.
+/// For messages that are not repeated, or that stay valid however late they arrive.
 const LASTING_SPAN: Duration = Duration::from_secs(10);
 
 impl Message {
-    /// Which messages go first where some wait. Example: `message.priority()`.
+    /// The message's priority on a link. Example: `message.priority()`.
     pub fn priority(&self) -> Priority {
         match self {
             Message::Gossip { .. }
@@ -41,8 +42,9 @@
         }
     }
 
-    /// How long after it was made the message is of use. An older one is dropped, unsent or unread: its
-    /// sender has asked again by then, and the answer would only take time from those that are waited for.
+    /// How long after its creation the message is valid. An older one is dropped before it is sent or
+    /// handled: its sender has repeated the request by then, and handling it would only delay messages that
+    /// are waited for.
     /// Example: `message.valid_for() >= Duration::from_secs(1)`.
     pub fn valid_for(&self) -> Duration {
         match self {
--- a/packages/peer_messages/src/parts.rs
+++ b/packages/peer_messages/src/parts.rs
@@ -1,32 +1,32 @@
-//! Counted parts that messages are made of: texts, bytes, lists, addresses.
+//! The basic types of messages: length-prefixed bytes, texts and lists, and addresses.
 
 use deku::no_std_io::{Read, Seek, Write};
 use deku::prelude::*;
 use std::net::{IpAddr, SocketAddr};
 
-/// Bytes behind a 32-bit count. Example: `Bytes::from(vec![1, 2])`.
+/// Bytes, encoded with a 32-bit length prefix. Example: `Bytes::from(vec![1, 2])`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bytes(pub Vec<u8>);
 
-/// Text behind a 32-bit count. Example: `Text::from("proof")`.
+/// UTF-8 text, encoded with a 32-bit length prefix. Example: `Text::from("proof")`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Text(pub String);
 
-/// A list behind a 32-bit count. Example: `List(vec![Text::from("proof")])`.
+/// A list, encoded with a 32-bit item count. Example: `List(vec![Text::from("proof")])`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct List<T>(pub Vec<T>);
 
-/// An IP address by its family: every message carries some, so a short one takes four bytes.
+/// An IP address by its family. Every message carries addresses, so an IPv4 address is encoded in four bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 enum Host {
     #[deku(id = "4")]
-    Short([u8; 4]),
+    V4([u8; 4]),
     #[deku(id = "6")]
-    Long([u8; 16]),
+    V6([u8; 16]),
 }
 
-/// A socket address: an IP address and a port. An IPv4 address that is mapped to IPv6 is an IPv4 address.
+/// A socket address: an IP address and a port. An IPv4-mapped IPv6 address is converted to IPv4.
 ///
 /// Example: `Address::from("127.0.0.1:80".parse::<SocketAddr>().unwrap()).socket().port() == 80`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, DekuRead, DekuWrite)]
@@ -36,11 +36,11 @@
 }
 
 impl Address {
-    /// The address for the socket library. Example: `address.socket().is_ipv4()`.
+    /// The address as the standard library's type. Example: `address.socket().is_ipv4()`.
     pub fn socket(&self) -> SocketAddr {
         let ip = match self.host {
-            Host::Short(octets) => IpAddr::V4(octets.into()),
-            Host::Long(octets) => IpAddr::V6(octets.into()),
+            Host::V4(octets) => IpAddr::V4(octets.into()),
+            Host::V6(octets) => IpAddr::V6(octets.into()),
         };
         SocketAddr::new(ip, self.port)
     }
@@ -49,8 +49,8 @@
 impl From<SocketAddr> for Address {
     fn from(socket_address: SocketAddr) -> Address {
         let host = match socket_address.ip().to_canonical() {
-            IpAddr::V4(short_ip) => Host::Short(short_ip.octets()),
-            IpAddr::V6(long_ip) => Host::Long(long_ip.octets()),
+            IpAddr::V4(ipv4) => Host::V4(ipv4.octets()),
+            IpAddr::V6(ipv6) => Host::V6(ipv6.octets()),
         };
         Address { host, port: socket_address.port() }
     }
@@ -87,7 +87,7 @@
     ) -> Result<Bytes, DekuError> {
         let mut remaining_count = u32::from_reader_with_ctx(byte_reader, ())? as usize;
         let mut read_bytes = Vec::new();
-        // Read in steps, so that a lying count never reserves more than the frame really holds.
+        // Read in steps, so that a false length never allocates much more than the frame contains.
         while remaining_count > 0 {
             let step_count = remaining_count.min(65_536);
             let step_start = read_bytes.len();
--- a/packages/peer_messages/src/tests.rs
+++ b/packages/peer_messages/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
+/// arbtest runs a single case per seed: each case has its own fixed seed, so that all runs are the same.
 const FOREIGN_CASES: u64 = 2_000;
 
 fn example_envelope() -> Envelope {
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn frames_come_back_whole_and_any_damage_is_refused() {
+fn frames_round_trip_and_any_damage_is_rejected() {
     let sent_envelope = example_envelope();
     let sent_frame = sent_envelope.frame().expect("an example frame is short");
     assert_eq!(decode_frame(&sent_frame), Ok(sent_envelope));
-    for damaged_place in 0..sent_frame.len() {
+    for damaged_index in 0..sent_frame.len() {
         let mut damaged_frame = sent_frame.clone();
-        damaged_frame[damaged_place] ^= 0x10;
-        assert!(decode_frame(&damaged_frame).is_err(), "byte {damaged_place}");
+        damaged_frame[damaged_index] ^= 0x10;
+        assert!(decode_frame(&damaged_frame).is_err(), "byte {damaged_index}");
     }
 }
 
 #[test]
-fn no_bytes_make_the_decoder_panic_or_reserve_much() {
+fn no_payload_makes_the_decoder_panic_or_allocate_much() {
     for number in 0..FOREIGN_CASES {
         arbtest::arbtest(|source| {
             let payload_bytes: Vec<u8> = source.arbitrary()?;
@@ -59,31 +59,34 @@
 }
 
 #[test]
-fn a_process_knows_those_that_were_at_its_address_before() {
+fn a_process_recognises_previous_incarnations_by_their_address() {
     let address = |port: u16| Address::from(std::net::SocketAddr::from(([10, 0, 0, 1], port)));
-    let (own, before, beside) = (node_id(address(1), 7), node_id(address(1), 8), node_id(address(2), 8));
+    let (own, previous, neighbour) = (node_id(address(1), 7), node_id(address(1), 8), node_id(address(2), 8));
     assert!(
-        is_previous_incarnation(own, before)
+        is_previous_incarnation(own, previous)
             && !is_previous_incarnation(own, own)
-            && !is_previous_incarnation(own, beside)
+            && !is_previous_incarnation(own, neighbour)
+    );
+    assert!(
+        !is_previous_incarnation(3, 4),
+        "ids without an address hash are never incarnations of each other"
     );
-    assert!(!is_previous_incarnation(3, 4), "ids without a place are never taken for each other");
 }
 
 #[test]
-fn long_payloads_are_packed_and_come_back_whole() {
+fn long_payloads_are_compressed_and_round_trip() {
     let mut sent_envelope = example_envelope();
     let body = Bytes(br#"{"name":"r-1","host":"a.example"}"#.repeat(12_000));
     sent_envelope.message = Message::ChangeForward { request_id: 1, change: body.clone() };
     let sent_frame = sent_envelope.frame().expect("a frame");
     assert!(sent_frame.len() < body.0.len() / 20, "{} bytes", sent_frame.len());
     assert_eq!(decode_frame(&sent_frame), Ok(sent_envelope.clone()));
-    for damaged_place in (0..sent_frame.len()).step_by(97) {
+    for damaged_index in (0..sent_frame.len()).step_by(97) {
         let mut damaged_frame = sent_frame.clone();
-        damaged_frame[damaged_place] ^= 0x10;
-        assert!(decode_frame(&damaged_frame).is_err(), "byte {damaged_place}");
+        damaged_frame[damaged_index] ^= 0x10;
+        assert!(decode_frame(&damaged_frame).is_err(), "byte {damaged_index}");
     }
-    // What does not pack is sent as it is.
+    // A payload that does not compress is sent uncompressed.
     let mut rng = fastrand::Rng::with_seed(1);
     let noise = Bytes((0..5_000).map(|_| rng.u8(..)).collect());
     sent_envelope.message = Message::ChangeForward { request_id: 1, change: noise };
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn no_packed_bytes_make_the_decoder_panic_or_reserve_much() {
+fn no_compressed_payload_makes_the_decoder_panic_or_allocate_much() {
     for number in 0..FOREIGN_CASES {
         arbtest::arbtest(|source| {
             let payload_bytes: Vec<u8> = source.arbitrary()?;
@@ -106,11 +109,11 @@
         })
         .seed((0x5eed_0001 + number) << 32 | 0x41);
     }
-    assert_eq!(unpack(&[0xff, 0xff, 0xff, 0, 1, 2]), None, "a length that lies");
+    assert_eq!(unpack(&[0xff, 0xff, 0xff, 0, 1, 2]), None, "a false length");
 }
 
 #[test]
-fn an_address_is_told_by_its_family_and_a_mapped_one_is_the_one_it_stands_for() {
+fn an_address_is_encoded_by_its_family_and_a_mapped_one_as_ipv4() {
     let address = |text: &str| Address::from(text.parse::<std::net::SocketAddr>().expect("an address"));
     for (text, length) in [("10.1.0.20:7300", 7), ("[2001:db8::7]:7300", 19)] {
         let bytes = address(text).to_bytes().expect("bytes");
