--- a/packages/gossip/src/lib.rs
+++ b/packages/gossip/src/lib.rs
@@ -489,7 +489,7 @@
         if awaited.is_some_and(|awaited| self.now < awaited.until) {
             return None;
         }
-        // The origin is requested first only: if it did not deliver, the announcing peer is requested.
+        // The origin is tried once: if it did not deliver, the body is requested from the announcing peer.
         let is_origin_next = awaited.is_none() && self.peers.contains(&their_version.origin);
         let requested_node = if is_origin_next { their_version.origin } else { from };
         let seconds = self.link_rate.map_or(0.0, |rate| f64::from(their_version.bytes) / rate);
--- a/packages/leader_election/src/lib.rs
+++ b/packages/leader_election/src/lib.rs
@@ -299,8 +299,8 @@
     /// The largest share of all leaders that a node should have: the paper's `M`, weighted by capacity.
     /// Example: with equal machines `election.fair_share(7, &members, 29) == 30.0 / 3.0`.
     pub fn fair_share(&self, node: NodeId, members: &[NodeId], cluster_count: usize) -> f64 {
-        let fleet: f64 = members.iter().map(|member| self.capacity(*member)).sum();
-        (cluster_count as f64 + 1.0) * self.capacity(node) / fleet.max(1.0)
+        let fleet_capacity: f64 = members.iter().map(|member| self.capacity(*member)).sum();
+        (cluster_count as f64 + 1.0) * self.capacity(node) / fleet_capacity.max(1.0)
     }
 
     /// Handles a polled record; an unchanged one does not change the time of the observer copy.
--- a/packages/leader_election/src/tests.rs
+++ b/packages/leader_election/src/tests.rs
@@ -63,7 +63,7 @@
     cluster.run(10_000, 20_000, &[3, 7]);
     let spread = cluster.spread(Micros::from_millis(19_950));
     assert_eq!(spread.iter().sum::<usize>(), 158);
-    assert!((0..10).all(|place| [2, 6].contains(&place) || (18..=21).contains(&spread[place])), "{spread:?}");
+    assert!((0..10).all(|index| [2, 6].contains(&index) || (18..=21).contains(&spread[index])), "{spread:?}");
 }
 
 #[test]
@@ -382,8 +382,8 @@
     let name = "function-0".to_owned();
     let rest: BTreeSet<String> = cluster.functions.iter().skip(1).cloned().collect();
     cluster.nodes.iter_mut().for_each(|node| node.set_functions(rest.clone()));
-    for place in [0, 2] {
-        cluster.nodes[place].set_orphaned_functions([name.clone()].into(), Micros(0));
+    for index in [0, 2] {
+        cluster.nodes[index].set_orphaned_functions([name.clone()].into(), Micros(0));
     }
     // `run` asserts that there is at most one leader of a function at a time.
     cluster.run(0, 12_000, &[]);
