--- a/packages/call_traces/src/tests.rs
+++ b/packages/call_traces/src/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn a_trace_joins_its_clients_and_is_written_in_the_json_form() {
+fn a_trace_continues_its_clients_and_is_written_as_json() {
     let path = std::env::temp_dir().join(format!("vanelane-traces-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let writer = TraceWriter::start(&path, 1 << 20, 1.0, "a").expect("a file");
     let parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-    let mut trace = writer.begin(Some(parent)).expect("drawn");
+    let mut trace = writer.begin(Some(parent)).expect("a sampled call");
     trace.begin_span("dispatch");
     assert!(trace.parent_header().starts_with("00-0af7651916cd43dd8448eb211c80319c-"));
     trace.end_span(&[("vanelane.cell", "c1")]);
     writer.end(trace, "proofs", "unknown", 502);
     let TraceWriter { file, .. } = writer;
     drop(file);
-    // The writer's thread flushes when its last sender is gone.
+    // The writer thread flushes when its last sender is dropped.
     let mut text = String::new();
     while !text.ends_with('\n') {
         text = std::fs::read_to_string(&path).expect("a file");
--- a/packages/gateway/src/call_state_machine.rs
+++ b/packages/gateway/src/call_state_machine.rs
@@ -1,9 +1,9 @@
 use function_scheduler::{NOT_RUN, RAN, REFUSED_BUSY, UNKNOWN};
 
-/// Declares the chart: each state with the states that may follow it.
+/// Declares the state machine: each state with the states that may follow it.
 macro_rules! call_state_machine {
     ($($(#[$note:meta])* $state:ident as $text:literal => [$($next:ident),*],)*) => {
-        /// Where a call is. Example: `CallState::Received.may_become(CallState::Matched)`.
+        /// The state of a call. Example: `CallState::Received.may_become(CallState::Matched)`.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum CallState { $($(#[$note])* $state,)* }
 
@@ -11,7 +11,8 @@
             /// Every state. Example: `CallState::ALL.len() == 7`.
             pub const ALL: &[CallState] = &[$(CallState::$state,)*];
 
-            /// Whether the chart has this step. Example: `!CallState::Answered.may_become(CallState::Received)`.
+            /// Whether this transition exists.
+            /// Example: `!CallState::Answered.may_become(CallState::Received)`.
             pub fn may_become(self, next_state: CallState) -> bool {
                 let followers: &[CallState] = match self { $(CallState::$state => &[$(CallState::$next),*],)* };
                 followers.contains(&next_state)
@@ -26,39 +27,41 @@
 }
 
 call_state_machine! {
-    /// The head is read.
+    /// The head was read.
     Received as "Received" => [Matched, Refused],
-    /// A lane takes it, and its time left is stamped.
+    /// A route matches, and the call's deadline is set.
     Matched as "Matched" => [PermitRequested, Refused],
-    /// The steward or deputy is asked for a ticket; a newer generation may match the call anew.
+    /// The leader or a fallback is asked for a permit; a newer configuration generation may match the call
+    /// again.
     PermitRequested as "TicketAsked" => [Matched, Dispatched, Refused, Unknown],
-    /// Bytes may reach a cell.
+    /// Bytes may reach an instance.
     Dispatched as "Dispatched" => [PermitRequested, Answered, Refused, Unknown],
-    /// A whole answer went to the visitor.
+    /// An instance's response goes to the client.
     Answered as "Answered" => [],
-    /// The visitor was told that it did not run.
+    /// The client is told that the call did not run.
     Refused as "Refused" => [],
-    /// The visitor was told that its fate is unknown.
+    /// The client is told that the outcome is unknown.
     Unknown as "Unknown" => [],
 }
 
 /// How one dispatch ended. Example: `DispatchEnd::RefusedBusy.outcome() == function_scheduler::REFUSED_BUSY`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchEnd {
-    /// A whole answer came.
+    /// A response arrived.
     Answered,
-    /// It surely did not reach the cell meant.
+    /// It certainly did not reach the intended instance.
     NotRun,
-    /// The cell said that it did not run it.
+    /// The instance said that it did not run the call.
     RefusedBusy,
-    /// Bytes may have reached the cell, and no whole answer came.
+    /// Bytes may have reached the instance, and no valid response arrived.
     Unknown,
-    /// The call's time was over before an answer came.
+    /// The call's time was over before a response arrived.
     TimedOut,
 }
 
 impl DispatchEnd {
-    /// How the ticket is returned. Example: `DispatchEnd::TimedOut.outcome() == function_scheduler::UNKNOWN`.
+    /// The outcome with which the permit is returned.
+    /// Example: `DispatchEnd::TimedOut.outcome() == function_scheduler::UNKNOWN`.
     pub fn outcome(self) -> u8 {
         match self {
             DispatchEnd::Answered => RAN,
@@ -69,43 +72,43 @@
     }
 }
 
-/// What a call does next. Example: `NextStep::RequestAgain` after a turn-away.
+/// What a call does next. Example: `NextStep::RequestAgain` after an instance refused it as busy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// The ticket is used.
+    /// The permit is used.
     Dispatch,
-    /// Another ticket is asked for.
+    /// Another permit is requested.
     RequestAgain,
-    /// A newer generation sends the call elsewhere: it is matched again.
+    /// A newer configuration generation routes the call elsewhere: it is matched again.
     MatchAgain,
-    /// The answer goes to the visitor.
+    /// The response goes to the client.
     Response,
-    /// It is given up, in this last state.
+    /// The call is given up, in this final state.
     GiveUp(CallState),
 }
 
-/// Dispatches of one call that may reach nobody, beside those that the lane allows.
+/// Dispatches of one call that may reach no instance, in addition to those that the route allows.
 const UNREACHED_LIMIT: u32 = 8;
 
-/// One call's walk over the chart.
+/// The state machine of one call.
 /// Example: `let mut state_machine = CallStateMachine::begin(); state_machine.step(CallState::Matched);`.
 #[derive(Clone, Debug)]
 pub struct CallStateMachine {
     state: CallState,
-    /// Once true, the call is never refused as not run.
+    /// Once true, the call never ends as `Refused`.
     may_have_run: bool,
     dispatches: u32,
-    /// Dispatches that reached a cell, or may have.
-    arrivals: u32,
+    /// Dispatches that reached an instance, or may have.
+    deliveries: u32,
 }
 
 impl CallStateMachine {
     /// A call just received. Example: `CallStateMachine::begin().state() == CallState::Received`.
     pub fn begin() -> CallStateMachine {
-        CallStateMachine { state: CallState::Received, may_have_run: false, dispatches: 0, arrivals: 0 }
+        CallStateMachine { state: CallState::Received, may_have_run: false, dispatches: 0, deliveries: 0 }
     }
 
-    /// The state it is in. Example: `state_machine.state()`.
+    /// The current state. Example: `state_machine.state()`.
     pub fn state(&self) -> CallState {
         self.state
     }
@@ -120,14 +123,19 @@
         self.may_have_run
     }
 
-    /// Takes a step. A step that the chart does not have, or a refusal of a call that may have run,
-    /// is a broken invariant. Example: `state_machine.step(CallState::Matched)`.
+    /// Makes a transition. A transition that does not exist, or a refusal of a call that may have run, is a
+    /// violated invariant and panics. Example: `state_machine.step(CallState::Matched)`.
     pub fn step(&mut self, next_state: CallState) {
         let is_allowed = self.state.may_become(next_state);
-        assert!(is_allowed, "{} cannot become {}", self.state.name(), next_state.name());
+        assert!(
+            is_allowed,
+            "invalid call state transition from {} to {}",
+            self.state.name(),
+            next_state.name()
+        );
         assert!(
             !(next_state == CallState::Refused && self.may_have_run),
-            "a call that may have run is no refusal"
+            "a call that may have run must not be refused as not run"
         );
         if next_state == CallState::Dispatched {
             self.dispatches += 1;
@@ -135,19 +143,19 @@
         self.state = next_state;
     }
 
-    /// A dispatch ended without telling whether it ran.
+    /// A dispatch ended without a sign of whether the call ran.
     fn mark_may_have_run(&mut self) {
         self.may_have_run = true;
     }
 
-    /// A ticket came. It is used unless the call's time is over, or the generation that holds by now
-    /// sends the call to another function or nowhere.
+    /// A permit arrived. It is used unless the call's time is over, or the current configuration generation
+    /// routes the call to another function or refuses it.
     /// Example: `state_machine.permit_arrived(true, true) == NextStep::Dispatch`.
-    pub fn permit_arrived(&mut self, has_time_left: bool, is_still_meant: bool) -> NextStep {
-        if !has_time_left || (!is_still_meant && self.may_have_run) {
+    pub fn permit_arrived(&mut self, has_time_left: bool, is_still_allowed: bool) -> NextStep {
+        if !has_time_left || (!is_still_allowed && self.may_have_run) {
             return NextStep::GiveUp(self.give_up());
         }
-        if !is_still_meant {
+        if !is_still_allowed {
             self.step(CallState::Matched);
             return NextStep::MatchAgain;
         }
@@ -155,8 +163,9 @@
         NextStep::Dispatch
     }
 
-    /// A dispatch ended: answered, asked for again as far as that is safe and the limit allows, or
-    /// given up. Example: `state_machine.dispatch_ended(DispatchEnd::RefusedBusy, false, 4) == NextStep::RequestAgain`.
+    /// A dispatch ended. The call is answered, retried as far as that is safe and within the limit, or given
+    /// up.
+    /// Example: `state_machine.dispatch_ended(DispatchEnd::RefusedBusy, false, 4) == NextStep::RequestAgain`.
     pub fn dispatch_ended(&mut self, end: DispatchEnd, repeatable: bool, dispatch_limit: u32) -> NextStep {
         if end == DispatchEnd::Answered {
             self.step(CallState::Answered);
@@ -166,11 +175,11 @@
         if is_unknown {
             self.mark_may_have_run();
         }
-        let may_go_on = end != DispatchEnd::TimedOut && (!is_unknown || repeatable);
-        // A refused connection reached nobody: it counts for the bound of all dispatches alone.
-        self.arrivals += u32::from(end != DispatchEnd::NotRun);
-        if !may_go_on
-            || self.arrivals >= dispatch_limit
+        let may_retry = end != DispatchEnd::TimedOut && (!is_unknown || repeatable);
+        // A refused connection reached no instance: it counts only towards the bound on all dispatches.
+        self.deliveries += u32::from(end != DispatchEnd::NotRun);
+        if !may_retry
+            || self.deliveries >= dispatch_limit
             || self.dispatches >= dispatch_limit + UNREACHED_LIMIT
         {
             return NextStep::GiveUp(self.give_up());
@@ -178,7 +187,7 @@
         NextStep::RequestAgain
     }
 
-    /// The end for a call that is given up: refused if it surely did not run.
+    /// Gives up the call: it is refused if it certainly did not run, and of unknown outcome otherwise.
     /// Example: `state_machine.give_up() == CallState::Refused` before any dispatch.
     pub fn give_up(&mut self) -> CallState {
         let final_state = if self.may_have_run { CallState::Unknown } else { CallState::Refused };
--- a/packages/gateway/src/call_state_machine/tests.rs
+++ b/packages/gateway/src/call_state_machine/tests.rs
@@ -9,7 +9,7 @@
     state_machine.mark_may_have_run();
     state_machine.step(CallState::PermitRequested);
     assert_eq!(state_machine.give_up(), CallState::Unknown);
-    // The same through the decisions that the program and the simulator share.
+    // The same through the decision functions that the gateway and the simulator share.
     let mut state_machine = CallStateMachine::begin();
     state_machine.step(CallState::Matched);
     state_machine.step(CallState::PermitRequested);
@@ -27,15 +27,15 @@
         state_machine.clone().dispatch_ended(DispatchEnd::RefusedBusy, false, 2),
         NextStep::GiveUp(CallState::Refused)
     );
-    // What reached nobody does not count against the lane's limit, and is bounded all the same.
-    let mut missed = state_machine.clone();
-    let mut misses = 0;
-    while missed.dispatch_ended(DispatchEnd::NotRun, false, 2) == NextStep::RequestAgain {
-        misses += 1;
-        missed.step(CallState::PermitRequested);
-        assert_eq!(missed.permit_arrived(true, true), NextStep::Dispatch);
+    // Dispatches that reached no instance do not count against the route's limit, but are bounded too.
+    let mut unreached = state_machine.clone();
+    let mut unreached_count = 0;
+    while unreached.dispatch_ended(DispatchEnd::NotRun, false, 2) == NextStep::RequestAgain {
+        unreached_count += 1;
+        unreached.step(CallState::PermitRequested);
+        assert_eq!(unreached.permit_arrived(true, true), NextStep::Dispatch);
     }
-    assert_eq!((misses, missed.state()), (UNREACHED_LIMIT, CallState::Refused));
+    assert_eq!((unreached_count, unreached.state()), (UNREACHED_LIMIT, CallState::Refused));
     assert_eq!(state_machine.dispatch_ended(DispatchEnd::Unknown, true, 4), NextStep::RequestAgain);
     state_machine.step(CallState::PermitRequested);
     assert_eq!(state_machine.permit_arrived(true, false), NextStep::GiveUp(CallState::Unknown));
--- a/packages/gateway/src/connection_pool.rs
+++ b/packages/gateway/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections kept between dispatches, each to one cell of one id at one address.
+//! Idle connections kept between dispatches, each to one instance id at one address.
 //!
-//! Whether a connection is kept and taken up again is decided by [`ConnectionUse`]; here the idle ones
-//! are stored and the system is asked what it knows of them.
+//! [`ConnectionUse`] decides whether a connection is kept and reused; this module stores the idle ones and
+//! checks the state of their sockets.
 
 use crate::connection_use::{ConnectionUse, IdleCheck, ResponseEnd};
 use actix_codec::Framed;
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// A stream to a cell, with the codec that reads its answers.
+/// A stream to an instance, with the codec that reads its responses.
 pub(crate) type InstanceStream = Framed<TcpStream, ClientCodec>;
 
-/// A connection to a cell.
+/// A connection to an instance.
 pub(crate) struct InstanceConnection {
     pub stream: InstanceStream,
-    /// Whose answers it may bring.
+    /// Decides which request its responses belong to, and whether it may be reused.
     pub usage: ConnectionUse<HeaderValue>,
 }
 
 impl InstanceConnection {
-    /// A connection that carried nothing yet.
+    /// A connection that has carried nothing yet.
     pub fn fresh(stream: TcpStream) -> InstanceConnection {
         InstanceConnection {
             stream: Framed::new(stream, ClientCodec::default()),
@@ -51,11 +51,11 @@
     swept_at: Option<Instant>,
 }
 
-/// Between two sweeps of connections that are over.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval between sweeps of expired connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes the connection to the cell that was used last, if one is sound.
-/// Example: `take("c1", address)` is `None` before the first dispatch.
+/// Takes the most recently used connection to the instance that may be reused, if there is one.
+/// Example: `check_out("c1", address)` is `None` before the first dispatch.
 pub(crate) fn check_out(instance: &str, address: SocketAddr) -> Option<InstanceConnection> {
     IDLE.with_borrow_mut(|idle| {
         let now = Instant::now();
@@ -64,7 +64,7 @@
             let check = IdleCheck {
                 is_same_address: kept.address == address,
                 is_expired: now >= kept.ends_at,
-                has_unread_bytes: !is_idle(&kept.connection.stream),
+                has_unread_bytes: !is_socket_idle(&kept.connection.stream),
             };
             if kept.connection.usage.may_reuse(check) {
                 return Some(kept.connection);
@@ -74,7 +74,8 @@
     })
 }
 
-/// Keeps a connection whose answer is read to its end, unless more came or it may not be kept.
+/// Keeps a connection whose response has been read to its end, unless more bytes arrived or it may not be
+/// kept.
 /// Example: `put_back("c1", address, connection, Duration::from_secs(3), 2)`.
 pub(crate) fn put_back(
     instance: &str,
@@ -93,7 +94,7 @@
     }
     IDLE.with_borrow_mut(|idle| {
         let now = Instant::now();
-        if idle.swept_at.is_none_or(|swept_at| now >= swept_at + SWEEP_EVERY) {
+        if idle.swept_at.is_none_or(|swept_at| now >= swept_at + SWEEP_INTERVAL) {
             idle.swept_at = Some(now);
             idle.by_instance.retain(|_, connections| {
                 connections.retain(|kept| now < kept.ends_at);
@@ -107,11 +108,12 @@
     });
 }
 
-/// Asks the system itself, not what the reactor last saw: nothing to read and not closed.
-fn is_idle(stream: &InstanceStream) -> bool {
+/// Whether the socket has nothing to read and is not closed. This asks the operating system itself, since the
+/// reactor's last readiness may be outdated.
+fn is_socket_idle(stream: &InstanceStream) -> bool {
     let mut byte = [MaybeUninit::<u8>::uninit()];
     match SockRef::from(stream.io_ref()).peek(&mut byte) {
         Ok(_) => false,
-        Err(failure) => failure.kind() == std::io::ErrorKind::WouldBlock,
+        Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
     }
 }
--- a/packages/gateway/src/connection_use.rs
+++ b/packages/gateway/src/connection_use.rs
@@ -1,43 +1,45 @@
-//! Whose an answer on a connection to a cell is, and whether the connection may carry another request.
+//! Decides which request a response on a connection to an instance belongs to, and whether the connection may
+//! carry another request.
 //!
-//! This is the whole decision, without a socket: `instance_dispatch` and `connection_pool` ask it, and
-//! `tests/call_model.rs` drives it through every order of events.
+//! This is the whole decision, without a socket: `instance_dispatch` and `connection_pool` use it, and
+//! `tests/call_model.rs` runs it through every order of events.
 
-/// Whose an answer is. Example: the late answer to the request before is [`ResponseOwner::Earlier`].
+/// The request that a response belongs to. Example: the late response to the previous request is
+/// [`ResponseOwner::Earlier`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseOwner {
-    /// The request that waits on the connection.
+    /// The request that waits for its response on the connection.
     Awaited,
-    /// A request before it: it is read to its end and handed to nobody.
+    /// An earlier request: the response is read to its end and discarded.
     Earlier,
-    /// No request known: nothing more that the connection brings is trusted.
+    /// No known request: nothing more that arrives on the connection is trusted.
     Nobody,
 }
 
-/// What is known of a connection once the awaited answer was read whole.
+/// What is known of a connection once the awaited response has been read whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ResponseEnd {
-    /// Bytes behind the answer were read with it.
+    /// Bytes after the response were read with it.
     pub has_unread_bytes: bool,
-    /// A part of the request was not sent yet.
+    /// A part of the request has not been sent yet.
     pub has_unsent_bytes: bool,
-    /// The cell lets the connection idle.
+    /// The instance lets the connection idle.
     pub instance_keeps_alive: bool,
 }
 
-/// What is known of an idle connection when a request looks for one.
+/// What is known of an idle connection when a request needs one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdleCheck {
-    /// It leads to the address where the cell listens.
+    /// It leads to the address where the instance listens.
     pub is_same_address: bool,
-    /// The time that it may idle is over.
+    /// Its idle time is over.
     pub is_expired: bool,
-    /// The cell sent something, or closed the connection.
+    /// The instance sent something, or closed the connection.
     pub has_unread_bytes: bool,
 }
 
-/// Late answers to requests before the awaited one that are read past; a second one ends the connection.
-const EARLIER_RESPONSES_MOST: u32 = 1;
+/// Late responses to earlier requests that are read and discarded; one more closes the connection.
+const MAX_EARLIER_RESPONSES: u32 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum UseState<Id> {
@@ -46,17 +48,17 @@
     Closed,
 }
 
-/// How one connection to a cell is used: one request at a time, known by its id.
+/// The use of one connection to an instance: one request at a time, identified by its id.
 /// Example: `ConnectionUse::<u8>::fresh().may_reuse(check)`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionUse<Id> {
     state: UseState<Id>,
-    /// Some request was answered on it before.
+    /// A request was answered on it before.
     is_reused: bool,
 }
 
 impl<Id: PartialEq> ConnectionUse<Id> {
-    /// A connection that carried nothing yet. Example: `ConnectionUse::<u8>::fresh()`.
+    /// A connection that has carried nothing yet. Example: `ConnectionUse::<u8>::fresh()`.
     pub fn fresh() -> ConnectionUse<Id> {
         ConnectionUse { state: UseState::Idle, is_reused: false }
     }
@@ -67,7 +69,7 @@
         self.state == UseState::Idle && check.is_same_address && !check.is_expired && !check.has_unread_bytes
     }
 
-    /// A request is sent; its answer bears this id. Example: `usage.request_sent(Some(7))`.
+    /// A request is sent; its response carries this id. Example: `usage.request_sent(Some(7))`.
     pub fn request_sent(&mut self, id: Option<Id>) {
         self.state = match self.state {
             UseState::Idle => UseState::Awaiting { id, earlier_responses: 0 },
@@ -75,8 +77,8 @@
         };
     }
 
-    /// An answer's head came. An answer without an id is the awaited one only if it says that the
-    /// request was not run, which cells say before they read an id, or if the request had no id.
+    /// A response's head arrived. A response without an id is the awaited one only if it says that the
+    /// request was not run, which instances may say before they read an id, or if the request had no id.
     /// Example: `usage.response_began(Some(&7), false) == ResponseOwner::Awaited`.
     pub fn response_began(&mut self, answered_id: Option<&Id>, reports_not_run: bool) -> ResponseOwner {
         let UseState::Awaiting { id, earlier_responses } = &mut self.state else {
@@ -90,7 +92,7 @@
         if is_awaited {
             return ResponseOwner::Awaited;
         }
-        if answered_id.is_some() && self.is_reused && *earlier_responses < EARLIER_RESPONSES_MOST {
+        if answered_id.is_some() && self.is_reused && *earlier_responses < MAX_EARLIER_RESPONSES {
             *earlier_responses += 1;
             return ResponseOwner::Earlier;
         }
@@ -98,9 +100,9 @@
         ResponseOwner::Nobody
     }
 
-    /// The awaited answer was read whole. Returns whether the connection is kept for another request:
-    /// never behind surplus bytes, and never where answers bear no ids by which they could be told
-    /// apart. Example: `usage.response_ended(end)`.
+    /// The awaited response was read whole. Returns whether the connection is kept for another request:
+    /// never after surplus bytes, and never where responses carry no ids to tell them apart.
+    /// Example: `usage.response_ended(end)`.
     pub fn response_ended(&mut self, end: ResponseEnd) -> bool {
         let has_id = matches!(&self.state, UseState::Awaiting { id: Some(_), .. });
         let is_kept = has_id && end.instance_keeps_alive && !end.has_unread_bytes && !end.has_unsent_bytes;
--- a/packages/gateway/src/gateway.rs
+++ b/packages/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The way of one call through the node, from its head to its answer.
+//! The gateway of a node: the processing of one call from its head to its response.
 
 mod admission;
 mod call_guards;
@@ -9,7 +9,7 @@
 mod response_bodies;
 
 use admission::{Admission, AdmissionRequest, Denial, permit_rank};
-use call_guards::{Held, PermitGuard, PermitRequestGuard};
+use call_guards::{CallReservation, PermitGuard, PermitRequestGuard};
 use instance_headers::instance_headers;
 pub use open_calls::OpenCalls;
 use open_calls::StageCount;
@@ -41,20 +41,20 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// Limits of the front. Example: `GatewaySettings::default().body_limit == 4 << 20`.
+/// Limits of the gateway. Example: `GatewaySettings::default().body_limit == 4 << 20`.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// The longest body of a call.
+    /// Maximum length of a request body, in bytes.
     pub body_limit: usize,
-    /// All bodies and answers held at once.
+    /// Memory for all request bodies and responses held at once, in bytes.
     pub memory_limit: usize,
-    /// Calls under way at once.
+    /// Calls open at once.
     pub calls_limit: usize,
-    /// Lateness of the node's clock events past which new calls are turned away.
+    /// Lag of the node's ticker beyond which new calls are refused.
     pub lag_limit: Micros,
     /// Dispatches of one call, the first included.
     pub dispatch_limit: u32,
-    /// Limits of one dispatch, and the headers that cells and visitors speak by.
+    /// Limits of one dispatch, and the headers used with instances and clients.
     pub dispatch: DispatchSettings,
 }
 
@@ -71,21 +71,21 @@
     }
 }
 
-/// The protocol's answer to an ask for a ticket.
+/// The protocol's response to a permit request.
 #[derive(Clone, Debug)]
 pub enum PermitResponse {
-    /// One dispatch to one cell.
+    /// The right to one dispatch to one instance.
     Granted(Permit),
-    /// None: it did not run. `is_missing` when the function is configured no more.
+    /// No permit: the call did not run. `is_missing` when the function is no longer configured.
     Refused { reason: String, retry_after: Micros, is_full: bool, is_missing: bool },
 }
 
-/// What the front says to the node's protocol.
+/// What the gateway sends to the node's protocol.
 #[derive(Debug)]
 pub enum GatewayMessage {
-    /// A call needs a ticket.
+    /// A call needs a permit.
     RequestPermit { call: u64, parameters: PermitParameters, reply: oneshot::Sender<PermitResponse> },
-    /// The call is over before a ticket came.
+    /// The call ended before a permit arrived.
     End { call: u64 },
     /// A dispatch ended.
     Done { permit: Permit, outcome: u8, latency: Micros },
@@ -93,12 +93,12 @@
 
 macro_rules! gateway_counters {
     ($($(#[$note:meta])* $field:ident as $text:literal,)*) => {
-        /// Counts for metrics. Example: `gateway.counts.answered.load(Ordering::Relaxed)`.
+        /// Counters for metrics. Example: `gateway.counts.answered.load(Ordering::Relaxed)`.
         #[derive(Debug, Default)]
         pub struct GatewayCounters { $($(#[$note])* pub $field: AtomicU64,)* }
 
         impl GatewayCounters {
-            /// All counts by name. Example: `gateway.counts.all()`.
+            /// All counters by their metric names. Example: `gateway.counts.all()`.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
                 vec![$(($text, self.$field.load(Ordering::Relaxed)),)*]
             }
@@ -109,40 +109,40 @@
 gateway_counters! {
     /// Calls whose head was read.
     received as "received",
-    /// Whole answers of cells.
+    /// Calls answered with a whole response of an instance.
     answered as "answered",
-    /// Refused as not run.
+    /// Calls refused with the outcome `not_run`.
     refused as "refused",
-    /// Of unknown fate.
+    /// Calls that ended with the outcome `unknown`.
     unknown as "unknown",
-    /// Calls without a lane.
+    /// Calls without a matching route.
     no_route as "no_lane",
-    /// Calls refused because their lane needs a key and they carried none.
+    /// Calls refused because their route needs a key and they carried none.
     no_key as "no_key",
-    /// Calls refused because no tenant is known by the key, or keys, that they carried.
+    /// Calls refused because the key, or keys, that they carried belong to no tenant.
     unknown_key as "unknown_key",
-    /// Dispatches beyond a call's first.
+    /// Dispatches after a call's first.
     extra_dispatches as "extra_dispatches",
-    /// Dispatches that a cell turned away.
+    /// Dispatches that an instance refused as busy.
     refused_busy as "turned_away",
-    /// Answers cut after their beginning had gone to the visitor.
+    /// Responses cut off after their beginning had been sent to the client.
     cut_responses as "cut_answers",
-    /// Microseconds spent waiting for tickets, and how many tickets came.
+    /// Microseconds that calls waited for the permits that arrived.
     permit_micros as "ticket_micros",
-    /// Tickets that came.
+    /// Permits that arrived.
     permits as "tickets",
     /// Calls made by running calls.
     nested as "nested",
 }
 
-/// A node's front. Example: `Gateway::new(GatewaySettings::default(), sender)`.
+/// A node's gateway. Example: `Gateway::new(GatewaySettings::default(), sender)`.
 #[derive(Debug)]
 pub struct Gateway {
     settings: GatewaySettings,
     routes: ArcSwap<RouteTable>,
-    /// Where cells run: a call from there is made by a running call.
+    /// The hosts of instances: a call from there is made by a running call.
     instance_hosts: ArcSwap<BTreeSet<IpAddr>>,
-    link: mpsc::Sender<GatewayMessage>,
+    protocol_sender: mpsc::Sender<GatewayMessage>,
     clock: MonotonicClock,
     next_call: AtomicU64,
     memory_used: AtomicUsize,
@@ -150,28 +150,28 @@
     awaiting_permit: Arc<StageCount>,
     at_instance: Arc<StageCount>,
     planned_stop: PlannedStop,
-    /// Until the node knows whether there is a configuration.
+    /// True until the node knows whether there is a configuration.
     awaits_configuration: AtomicBool,
-    /// The node does not know that its lanes and keys are the newest.
+    /// True while the node does not know whether its routes and keys are the newest.
     suspects_routes: AtomicBool,
     node_count: AtomicUsize,
     lag_micros: AtomicU64,
-    /// When the node's clock events last ran; zero before the first.
+    /// When the node's ticker last ran; zero before the first tick.
     ticked_at: AtomicU64,
     recorder: Option<Recorder>,
     traces: Option<TraceWriter>,
-    /// Counts for metrics.
+    /// Counters for metrics.
     pub counts: GatewayCounters,
 }
 
-/// A call with the lane that takes it and the tenant whose it is, by one generation.
+/// A call with its route and its tenant, by one configuration generation.
 struct MatchedCall {
-    applicant: AdmissionRequest,
+    admission_request: AdmissionRequest,
     route: RouteEntry,
     tenant: Option<TenantEntry>,
 }
 
-/// The answer to a visitor.
+/// The response to a client.
 pub type GatewayResponse = Response<BoxBody>;
 
 struct Refusal {
@@ -187,20 +187,21 @@
 }
 
 impl Gateway {
-    /// A front without lanes. Example: `Gateway::new(GatewaySettings::default(), sender).open_calls() == 0`.
-    pub fn new(settings: GatewaySettings, link: mpsc::Sender<GatewayMessage>) -> Gateway {
+    /// A gateway without routes.
+    /// Example: `Gateway::new(GatewaySettings::default(), sender).open_calls() == 0`.
+    pub fn new(settings: GatewaySettings, protocol_sender: mpsc::Sender<GatewayMessage>) -> Gateway {
         Gateway {
             settings,
             routes: ArcSwap::from_pointee(RouteTable::default()),
             instance_hosts: ArcSwap::from_pointee(BTreeSet::new()),
-            link,
+            protocol_sender,
             clock: MonotonicClock::start(),
             next_call: AtomicU64::new(1 << 32),
             memory_used: AtomicUsize::new(0),
             calls_open: AtomicUsize::new(0),
             awaiting_permit: Arc::default(),
             at_instance: Arc::default(),
-            planned_stop: PlannedStop::none_yet(),
+            planned_stop: PlannedStop::new(),
             awaits_configuration: AtomicBool::new(true),
             suspects_routes: AtomicBool::new(false),
             node_count: AtomicUsize::new(1),
@@ -212,16 +213,16 @@
         }
     }
 
-    /// Tells how late the node's own clock events run: past a limit the machine has more to do than
-    /// it can, and new calls are turned away before they take any more of it.
+    /// Sets the lag of the node's ticker. Beyond a limit the machine is overloaded, and new calls are refused
+    /// before they cost anything more.
     /// Example: `gateway.set_lag(Micros::from_millis(3))` at each tick.
     pub fn set_lag(&self, lag: Micros) {
         self.lag_micros.store(lag.0, Ordering::Relaxed);
         self.ticked_at.store(self.clock.now().0, Ordering::Relaxed);
     }
 
-    /// Whether the node's clock events stayed out so long that it may have slept: what the lanes say
-    /// may be long out of date until the protocol has looked again.
+    /// Whether the node's ticker has not run for so long that the process may have been suspended: the routes
+    /// may be far out of date until the protocol has checked them again.
     fn may_have_slept(&self) -> bool {
         let ticked_at = Micros(self.ticked_at.load(Ordering::Relaxed));
         ticked_at > Micros(0) && self.clock.now() > ticked_at + self.settings.lag_limit
@@ -237,18 +238,18 @@
         self.traces = Some(traces);
     }
 
-    /// Records lost because the disk was slower than the calls. Example: `gateway.records_dropped()`.
+    /// Records dropped because the disk was slower than the calls. Example: `gateway.records_dropped()`.
     pub fn records_dropped(&self) -> u64 {
         self.recorder.as_ref().map_or(0, Recorder::dropped)
     }
 
-    /// Swaps in a newer generation's lanes; a call that waits for its ticket is matched again by them.
+    /// Swaps in a newer generation's routes. Calls that wait for a permit are matched again by them.
     /// Example: `gateway.set_configuration(4, &configuration)`.
     pub fn set_configuration(&self, generation: u64, configuration: &Configuration) {
         self.routes.store(Arc::new(RouteTable::new(generation, configuration)));
     }
 
-    /// The same by what changed since the generation that holds here, where that is known whole.
+    /// The same, applying only what changed since the current generation if the deltas cover all of it.
     /// Example: `gateway.apply_changed_configuration(5, &configuration, &deltas)`.
     pub fn apply_changed_configuration(
         &self,
@@ -261,13 +262,13 @@
         self.routes.store(Arc::new(routes));
     }
 
-    /// Takes the hosts that cells run on. Calls from there are made by running calls and go first.
+    /// Sets the hosts that instances run on. Calls from there are made by running calls and are served first.
     /// Example: `gateway.set_instance_hosts(hosts)` when the platform's list shows others.
     pub fn set_instance_hosts(&self, hosts: BTreeSet<IpAddr>) {
         self.instance_hosts.store(Arc::new(hosts));
     }
 
-    /// Whether a running call made this one: it comes from a host of cells.
+    /// Whether a running call made this one: it arrives from a host of instances.
     fn is_nested(&self, request: &Request) -> bool {
         request.peer_addr().is_some_and(|peer| self.instance_hosts.load().contains(&peer.ip()))
     }
@@ -277,33 +278,35 @@
         self.routes.load().generation
     }
 
-    /// The node knows the newest configuration, even if there is none yet. Example: `gateway.mark_routes_current()`.
+    /// Marks that the node knows the newest configuration, even if there is none yet.
+    /// Example: `gateway.mark_routes_current()`.
     pub fn mark_routes_current(&self) {
         self.awaits_configuration.store(false, Ordering::Relaxed);
     }
 
-    /// Whether the node's lanes and keys may be outdated: until they are known to be the newest, a call that they
-    /// do not let in is asked to come back rather than refused for good. Example: `gateway.set_routes_suspect(true)`.
+    /// Sets whether the node's routes and keys may be outdated. While they may, a call that they do not admit
+    /// is asked to retry later rather than refused for good. Example: `gateway.set_routes_suspect(true)`.
     pub fn set_routes_suspect(&self, is_suspected: bool) {
         self.suspects_routes.store(is_suspected, Ordering::Relaxed);
     }
 
-    /// How many nodes share the connections that each cell takes. Example: `gateway.set_node_count(10)`.
+    /// Sets how many nodes share the connections that each instance accepts.
+    /// Example: `gateway.set_node_count(10)`.
     pub fn set_node_count(&self, node_count: usize) {
         self.node_count.store(node_count, Ordering::Relaxed);
     }
 
-    /// Bounds on visitors, as far as the configuration names them. Example: `gateway.client_limits()`.
+    /// Limits on clients, as far as the configuration sets them. Example: `gateway.client_limits()`.
     pub fn client_limits(&self) -> Option<ClientLimits> {
         self.routes.load().client_limits.clone()
     }
 
-    /// Calls under way. Example: `gateway.open_calls() == 0` before a drained node goes.
+    /// The number of open calls. Example: `gateway.open_calls() == 0` before a drained node exits.
     pub fn open_calls(&self) -> usize {
         self.calls_open.load(Ordering::Relaxed)
     }
 
-    /// Calls under way by what they wait for. Example: `gateway.open_calls_by_stage().awaiting_permit`.
+    /// Open calls by stage. Example: `gateway.open_calls_by_stage().awaiting_permit`.
     pub fn open_calls_by_stage(&self) -> OpenCalls {
         OpenCalls {
             all: self.open_calls(),
@@ -312,20 +315,20 @@
         }
     }
 
-    /// The process ends within this time. From now on answers ask clients to close their connections; calls
-    /// that find no cell in the first half of the time are refused, and those whose cell does not answer until
-    /// shortly before its end are answered as of unknown fate.
+    /// Begins a planned stop of a process that ends within this time. From now on responses ask clients to
+    /// close their connections. Calls that get no permit in the first half of the time are refused, and calls
+    /// whose instance does not respond until shortly before its end get the outcome `unknown`.
     /// Example: `gateway.begin_stop(Duration::from_secs(5))`.
     pub fn begin_stop(&self, within: Duration) {
         self.planned_stop.begin(self.clock.now(), within);
     }
 
-    /// Takes one call to its end. Example: the HTTP service calls `gateway.call(request)` for each.
+    /// Processes one call to its end. Example: the HTTP service calls `gateway.call(request)` for each.
     pub async fn call(self: Arc<Self>, request: Request) -> GatewayResponse {
         self.counts.received.fetch_add(1, Ordering::Relaxed);
         let open_before = self.calls_open.fetch_add(1, Ordering::Relaxed);
-        let mut held = Held { gateway: self.clone(), bytes: 0 };
-        let mut recorded = self.recorder.as_ref().map(|_| begun_record(&request, self.clock.now()));
+        let mut reservation = CallReservation { gateway: self.clone(), bytes: 0 };
+        let mut recorded = self.recorder.as_ref().map(|_| new_record(&request, self.clock.now()));
         let mut state_machine = CallStateMachine::begin();
         let parent = request.headers().get(TRACE_HEADER).and_then(|value| value.to_str().ok());
         let mut trace = self.traces.as_ref().and_then(|traces| traces.begin(parent));
@@ -333,15 +336,18 @@
         if recorded.is_some() || trace.is_some() {
             let routes = self.routes.load();
             route_name =
-                RequestTarget::of(&request).find(&routes).map(|row| row.name.clone()).unwrap_or_default();
+                RequestTarget::of(&request).find(&routes).map(|entry| entry.name.clone()).unwrap_or_default();
         }
         if let Some(record) = &mut recorded {
             record.route.clone_from(&route_name);
         }
-        let walked = self.clone().walk(request, &mut state_machine, &mut held, open_before, &mut trace).await;
-        let mut response = match walked {
-            Ok(instance_response) => self.answered(instance_response, held),
-            Err(refusal) => self.refused(&state_machine, refusal),
+        let processed = self
+            .clone()
+            .process(request, &mut state_machine, &mut reservation, open_before, &mut trace)
+            .await;
+        let mut response = match processed {
+            Ok(instance_response) => self.respond(instance_response, reservation),
+            Err(refusal) => self.respond_refused(&state_machine, refusal),
         };
         if let (Some(traces), Some(trace)) = (&self.traces, trace) {
             traces.end(trace, &route_name, outcome_name(&state_machine), response.status().as_u16());
@@ -358,11 +364,11 @@
         response
     }
 
-    async fn walk(
+    async fn process(
         self: Arc<Self>,
         mut request: Request,
         state_machine: &mut CallStateMachine,
-        held: &mut Held,
+        reservation: &mut CallReservation,
         open_before: usize,
         trace: &mut Option<CallTrace>,
     ) -> Result<(InstanceResponse, PermitGuard, Micros), Refusal> {
@@ -378,10 +384,10 @@
         }
         let routes = self.routes.load_full();
         let header_conventions = &self.settings.dispatch.header_conventions;
-        let applicant = AdmissionRequest::of(&request, header_conventions);
-        let (mut route, tenant) = match applicant.admission(&routes) {
+        let admission_request = AdmissionRequest::of(&request, header_conventions);
+        let (mut route, tenant) = match admission_request.admission(&routes) {
             Ok(Admission { route, tenant }) => (route.clone(), tenant.cloned()),
-            Err(denial) => return Err(refuse(state_machine, self.denied(denial, &routes))),
+            Err(denial) => return Err(refuse(state_machine, self.denial_refusal(denial, &routes))),
         };
         let ends_at = self.clock.now() + time_left(&request, &route, header_conventions);
         let head_limit = routes.client_limits.as_ref().and_then(|limits| limits.header_bytes);
@@ -392,11 +398,11 @@
         state_machine.step(CallState::Matched);
         let configured_limit = routes.client_limits.as_ref().and_then(|limits| limits.body_bytes);
         let body_limit = configured_limit.map_or(self.settings.body_limit, |bytes| bytes as usize);
-        if declared_body_bytes(&request).is_some_and(|reported| reported > body_limit as u64) {
-            return Err(refuse(state_machine, too_long_body()));
+        if declared_body_bytes(&request).is_some_and(|declared| declared > body_limit as u64) {
+            return Err(refuse(state_machine, long_body_refusal()));
         }
         let payload = request.take_payload();
-        let body = match self.read_body(payload, body_limit, held, ends_at).await {
+        let body = match self.read_body(payload, body_limit, reservation, ends_at).await {
             Ok(body) => body,
             Err(refusal) => return Err(refuse(state_machine, refusal)),
         };
@@ -406,7 +412,7 @@
         }
         route.function = route.pick(fastrand::f64()).to_owned();
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
-        // However the call ends, what it left at a cell hears of it.
+        // Cancelled when this call ends in any way, so that a dispatch still at an instance learns of it.
         let client_left = CancellationToken::new();
         let _ends_with_this_call = client_left.clone().drop_guard();
         let dispatch_call = DispatchCall {
@@ -424,13 +430,13 @@
             is_repeatable: route.repeatable,
         };
         drop(request);
-        let matched = MatchedCall { applicant, route, tenant };
-        self.dispatch_in_turn(call, matched, dispatch_call, ends_at, state_machine, trace).await
+        let matched = MatchedCall { admission_request, route, tenant };
+        self.dispatch_with_retries(call, matched, dispatch_call, ends_at, state_machine, trace).await
     }
 
-    /// The answer to a call that the lanes do not let in. It names no key.
-    fn denied(&self, denial: Denial, routes: &RouteTable) -> Refusal {
-        // Before this process has a configuration it knows of no lane, and says no more than that.
+    /// The refusal of a call that the routes do not admit. It names no key.
+    fn denial_refusal(&self, denial: Denial, routes: &RouteTable) -> Refusal {
+        // Before this process has a configuration it knows no routes, and cannot tell that none matches.
         let knows_nothing = routes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
         if denial == Denial::NoRoute && knows_nothing {
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "not ready yet", Some(NOT_READY_PAUSE));
@@ -450,12 +456,12 @@
         Refusal::new(status, reason, None)
     }
 
-    /// Reads the whole body before a ticket is asked for: a slow visitor holds no cell.
+    /// Reads the whole body before a permit is requested, so that a slow client does not occupy an instance.
     async fn read_body(
         &self,
         mut payload: Payload,
         body_limit: usize,
-        held: &mut Held,
+        reservation: &mut CallReservation,
         ends_at: Micros,
     ) -> Result<Bytes, Refusal> {
         let mut body = BytesMut::new();
@@ -464,7 +470,7 @@
             let next_chunk = tokio::time::timeout(time_left.duration(), payload.next());
             let chunk = tokio::select! {
                 chunk = next_chunk => chunk,
-                () = self.planned_stop.responses_are_due(&self.clock) => return Err(stopping()),
+                () = self.planned_stop.wait_for_response_deadline(&self.clock) => return Err(stop_refusal()),
             };
             let Ok(chunk) = chunk else {
                 return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time", None));
@@ -474,9 +480,9 @@
                 return Err(Refusal::new(StatusCode::BAD_REQUEST, "the body is damaged or cut", None));
             };
             if body.len() + chunk.len() > body_limit {
-                return Err(too_long_body());
+                return Err(long_body_refusal());
             }
-            if !held.grow(chunk.len()) {
+            if !reservation.reserve_memory(chunk.len()) {
                 let retry_after = Some(Micros::from_secs(1));
                 return Err(Refusal::new(
                     StatusCode::SERVICE_UNAVAILABLE,
@@ -488,9 +494,9 @@
         }
     }
 
-    /// Asks for tickets and dispatches until the call is answered or given up.
+    /// Requests permits and dispatches until the call is answered or given up.
     #[allow(clippy::too_many_arguments)]
-    async fn dispatch_in_turn(
+    async fn dispatch_with_retries(
         self: &Arc<Self>,
         call: u64,
         matched: MatchedCall,
@@ -499,7 +505,7 @@
         state_machine: &mut CallStateMachine,
         trace: &mut Option<CallTrace>,
     ) -> Result<(InstanceResponse, PermitGuard, Micros), Refusal> {
-        let MatchedCall { applicant, mut route, mut tenant } = matched;
+        let MatchedCall { admission_request, mut route, mut tenant } = matched;
         let mut dispatch_call = dispatch_call;
         let mut avoid = String::new();
         let mut last_reason = "";
@@ -516,16 +522,17 @@
             if let Some(trace) = trace {
                 trace.end_span(&[("vanelane.function", &route.function)]);
             }
-            // The generation that holds by now decides whether the call is let in, as whose, and where it may go.
+            // The current configuration generation decides whether the call is admitted, for which tenant,
+            // and which functions it may go to.
             let routes = self.routes.load_full();
-            let admission = applicant.admission(&routes);
-            let is_still_meant = admission.is_ok_and(|current| {
+            let admission = admission_request.admission(&routes);
+            let is_still_allowed = admission.is_ok_and(|current| {
                 current.route.allows(&route.function) && current.is_for(tenant.as_ref())
             }) && !self.may_have_slept();
             let began = self.clock.now();
             let (permit, step) = match requested {
-                Ok(permit) => (Some(permit), state_machine.permit_arrived(began < ends_at, is_still_meant)),
-                Err(refusal) if refusal.status == StatusCode::NOT_FOUND && !is_still_meant => {
+                Ok(permit) => (Some(permit), state_machine.permit_arrived(began < ends_at, is_still_allowed)),
+                Err(refusal) if refusal.status == StatusCode::NOT_FOUND && !is_still_allowed => {
                     last_reason = "the function is no longer configured";
                     (None, state_machine.permit_arrived(began < ends_at, false))
                 }
@@ -541,15 +548,15 @@
             };
             let mut guard = PermitGuard { gateway: self.clone(), permit, began_at: began, outcome: UNKNOWN };
             if step != NextStep::Dispatch {
-                guard.done(UNUSED);
+                guard.return_permit(UNUSED);
                 if step != NextStep::MatchAgain {
-                    return Err(no_time_left(state_machine));
+                    return Err(no_time_refusal(state_machine));
                 }
                 let current = match admission {
                     Ok(current) => current,
                     Err(denial) => {
                         state_machine.give_up();
-                        return Err(self.denied(denial, &routes));
+                        return Err(self.denial_refusal(denial, &routes));
                     }
                 };
                 route = current.route.clone();
@@ -576,27 +583,27 @@
                 || (String::new(), dispatch_call.address),
                 |permit| (permit.instance.0.clone(), permit.address.socket()),
             );
-            let own_dispatch = DispatchCall {
+            let attempt = DispatchCall {
                 headers,
                 instance: instance.clone(),
                 address,
                 time_left,
                 ..dispatch_call.clone()
             };
-            // A task of its own: a visitor that goes away ends neither the dispatch nor the count of
-            // what the cell is running.
+            // A task of its own: a client that disconnects ends neither the dispatch nor the count of what
+            // the instance is running.
             let idle_limit = routes.idle_limit(&route.function, self.node_count.load(Ordering::Relaxed));
-            let kept = self.settings.dispatch.idle_limit.min(idle_limit);
-            let dispatch_settings = DispatchSettings { idle_limit: kept, ..self.settings.dispatch.clone() };
+            let idle_limit = self.settings.dispatch.idle_limit.min(idle_limit);
+            let dispatch_settings = DispatchSettings { idle_limit, ..self.settings.dispatch.clone() };
             let dispatching = actix_rt::spawn(async move {
-                let outcome = dispatch(own_dispatch, &dispatch_settings).await;
+                let outcome = dispatch(attempt, &dispatch_settings).await;
                 guard.outcome = outcome_without_client(&outcome);
                 (outcome, guard)
             });
             let at_instance = self.at_instance.enter();
             let dispatched = tokio::select! {
                 dispatched = dispatching => Some(dispatched),
-                () = self.planned_stop.responses_are_due(&self.clock) => None,
+                () = self.planned_stop.wait_for_response_deadline(&self.clock) => None,
             };
             drop(at_instance);
             if let Some(trace) = trace {
@@ -624,7 +631,7 @@
                     last_reason = "the cell could not be reached";
                     DispatchEnd::NotRun
                 }
-                // Nobody is there to be told: these two end with the call.
+                // The client has left: these two end with the call and no response is sent.
                 DispatchOutcome::Withdrawn => DispatchEnd::NotRun,
                 DispatchOutcome::Abandoned => DispatchEnd::Unknown,
                 DispatchOutcome::RefusedBusy => {
@@ -637,7 +644,7 @@
                     DispatchEnd::Unknown
                 }
             };
-            guard.done(end.outcome());
+            guard.return_permit(end.outcome());
             if let NextStep::GiveUp(final_state) = state_machine.dispatch_ended(end, route.repeatable, limit)
             {
                 let status = match (final_state, end) {
@@ -651,7 +658,7 @@
         }
     }
 
-    /// What a call asks for at first, by its lane and whose it is.
+    /// The parameters of a call's first permit request, by its route and tenant.
     fn permit_parameters(
         &self,
         route: &RouteEntry,
@@ -665,9 +672,9 @@
             time_left: ends_at - now,
             dispatches: 0,
             avoid: String::new(),
-            // A visitor that comes back names less time than the lane's patience: its first try, from
-            // which lateness counts, was that much earlier. A nested call names what its caller has left,
-            // and is itself as young as any.
+            // A client that retries names less time than the route's timeout: its first attempt, from which
+            // lateness counts, was that much earlier. A nested call names the time that its caller has left,
+            // and is itself new.
             target_left: route.target.map(|target| match is_nested {
                 true => target,
                 false => (ends_at + target) - route.timeout - now,
@@ -686,25 +693,25 @@
         let requested_at = self.clock.now();
         let time_left = parameters.time_left;
         let retry_after = Some(Micros::from_secs(1));
-        let no_time_left =
+        let no_time_refusal =
             || Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no ticket in the time left", retry_after);
         if time_left == Micros(0) {
-            return Err(no_time_left());
+            return Err(no_time_refusal());
         }
         let (reply, response) = oneshot::channel();
-        if self.link.try_send(GatewayMessage::RequestPermit { call, parameters, reply }).is_err() {
+        if self.protocol_sender.try_send(GatewayMessage::RequestPermit { call, parameters, reply }).is_err() {
             return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "the node is overloaded", retry_after));
         }
-        let mut guard = PermitRequestGuard { gateway: self.clone(), call, response, is_open: true };
+        let mut guard = PermitRequestGuard { gateway: self.clone(), call, response, is_pending: true };
         let _awaiting_permit = self.awaiting_permit.enter();
-        // The protocol refuses at its next clock event; the visitor is not kept waiting for that.
+        // The protocol refuses only at its next tick; the client does not wait for that.
         let waiting = tokio::time::timeout(time_left.duration(), &mut guard.response);
         let waited = tokio::select! {
             waited = waiting => waited,
-            () = self.planned_stop.dispatch_is_over(&self.clock) => return Err(stopping()),
+            () = self.planned_stop.wait_for_dispatch_deadline(&self.clock) => return Err(stop_refusal()),
         };
-        let Ok(Ok(permit_response)) = waited else { return Err(no_time_left()) };
-        guard.is_open = false;
+        let Ok(Ok(permit_response)) = waited else { return Err(no_time_refusal()) };
+        guard.is_pending = false;
         match permit_response {
             PermitResponse::Granted(permit) => {
                 self.counts.permits.fetch_add(1, Ordering::Relaxed);
@@ -722,28 +729,31 @@
         }
     }
 
-    fn answered(
+    fn respond(
         self: &Arc<Self>,
         (instance_response, mut guard, ends_at): (InstanceResponse, PermitGuard, Micros),
-        mut held: Held,
+        mut reservation: CallReservation,
     ) -> GatewayResponse {
         let InstanceResponse { status, headers, body, rest } = instance_response;
         let mut response: GatewayResponse = match rest {
             None => {
-                guard.done(RAN);
-                held.grow(body.len());
+                guard.return_permit(RAN);
+                reservation.reserve_memory(body.len());
                 self.counts.answered.fetch_add(1, Ordering::Relaxed);
-                Response::with_body(status, BoxBody::new(BufferedBody { body: Some(body), _held: held }))
+                Response::with_body(
+                    status,
+                    BoxBody::new(BufferedBody { body: Some(body), _reservation: reservation }),
+                )
             }
             Some((rest, length)) => {
-                held.grow(body.len());
+                reservation.reserve_memory(body.len());
                 let body = StreamedBody {
                     begun: Some(body),
                     rest,
                     length,
                     passed: 0,
                     guard,
-                    _held: held,
+                    _reservation: reservation,
                     ends: Box::pin(tokio::time::sleep((ends_at - self.clock.now()).duration())),
                 };
                 Response::with_body(status, BoxBody::new(body))
@@ -758,7 +768,7 @@
         response
     }
 
-    fn refused(&self, state_machine: &CallStateMachine, refusal: Refusal) -> GatewayResponse {
+    fn respond_refused(&self, state_machine: &CallStateMachine, refusal: Refusal) -> GatewayResponse {
         let is_unknown = state_machine.state() == CallState::Unknown;
         let outcome = outcome_name(state_machine);
         let count = if is_unknown { &self.counts.unknown } else { &self.counts.refused };
@@ -788,14 +798,14 @@
     }
 }
 
-/// When to come back to a node that does not know its lanes yet.
+/// Retry-After of a node that does not know its current routes yet.
 const NOT_READY_PAUSE: Micros = Micros::from_millis(200);
 
-/// How a ticket is returned when its dispatch ends and the call has ended before.
+/// The outcome with which a permit is returned when its dispatch ends after the call has ended.
 fn outcome_without_client(outcome: &DispatchOutcome) -> u8 {
     match outcome {
         DispatchOutcome::Answered(instance_response) if instance_response.rest.is_none() => RAN,
-        // A long answer whose rest nobody reads.
+        // A long response whose rest is not read.
         DispatchOutcome::Answered(_) | DispatchOutcome::Abandoned => ABANDONED,
         DispatchOutcome::Withdrawn => UNUSED,
         DispatchOutcome::NotRun => NOT_RUN,
@@ -804,15 +814,15 @@
     }
 }
 
-/// When to come back, to another node, from one that stops.
+/// Retry-After of a node that stops; the retry goes to another node.
 const STOPPING_PAUSE: Micros = Micros::from_millis(100);
 
-/// The node stops before it could send the call to a cell.
-fn stopping() -> Refusal {
+/// The node stops before the call could be sent to an instance.
+fn stop_refusal() -> Refusal {
     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "the node stops", Some(STOPPING_PAUSE))
 }
 
-/// What visitors are told of their call's end.
+/// The outcome reported to clients.
 fn outcome_name(state_machine: &CallStateMachine) -> &'static str {
     match state_machine.state() {
         CallState::Answered => "ran",
@@ -821,10 +831,10 @@
     }
 }
 
-/// The W3C header by which traces are joined.
+/// The W3C header that links a call to its client's trace.
 const TRACE_HEADER: &str = "traceparent";
 
-fn begun_record(request: &Request, now: Micros) -> RecordedCall {
+fn new_record(request: &Request, now: Micros) -> RecordedCall {
     RecordedCall {
         at_micros: now.0,
         route: String::new(),
@@ -837,13 +847,13 @@
     }
 }
 
-fn no_time_left(state_machine: &CallStateMachine) -> Refusal {
+fn no_time_refusal(state_machine: &CallStateMachine) -> Refusal {
     match state_machine.state() {
         CallState::Unknown => Refusal::new(StatusCode::GATEWAY_TIMEOUT, "no time left", None),
         _ => Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no time left", Some(Micros::from_secs(1))),
     }
 }
 
-fn too_long_body() -> Refusal {
+fn long_body_refusal() -> Refusal {
     Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long", None)
 }
--- a/packages/gateway/src/gateway/admission.rs
+++ b/packages/gateway/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! Who is let in: on a lane that needs a tenant's key, only a call that carries one known key.
+//! Admission of calls: on a route that needs a tenant's key, only a call that carries one known key is
+//! admitted.
 
 use super::request_facts::RequestTarget;
 use crate::header_conventions::HeaderConventions;
@@ -7,17 +8,17 @@
 use actix_http::{HttpMessage, Request};
 use configuration_schema::ApiKey;
 
-/// What may stand around a header's value and is no part of it.
+/// Characters around a header's value that are no part of it.
 const OPTIONAL_WHITE_SPACE: [char; 2] = [' ', '\t'];
 
-/// The key that a request carries. Its `Debug` form hides it.
+/// The API key that a request carries. Its `Debug` form hides the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PresentedKey {
-    /// No header for it, or one empty header.
+    /// No API key header, or a single empty one.
     Absent,
-    /// More than one header for it, or bytes that are no text: no tenant is known by that.
+    /// More than one API key header, or a value that is not UTF-8: it belongs to no tenant.
     Malformed,
-    /// One header with this key.
+    /// A single header with this key.
     Single(ApiKey),
 }
 
@@ -37,49 +38,51 @@
     }
 }
 
-/// Why a configuration does not let a call in.
+/// Why a configuration does not admit a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Denial {
-    /// No lane takes it.
+    /// No route matches.
     NoRoute,
-    /// Its lane needs a key, and it carries none.
+    /// The route needs a key, and the call carries none.
     NoKey,
-    /// Its lane needs a key, and no tenant is known by what it carries.
+    /// The route needs a key, and what the call carries belongs to no tenant.
     UnknownKey,
 }
 
-/// How a configuration lets a call in.
+/// How a configuration admits a call.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Admission<'lanes> {
-    /// The lane that takes it.
-    pub(super) route: &'lanes RouteEntry,
-    /// Whose call it is; none where the lane needs no key.
-    pub(super) tenant: Option<&'lanes TenantEntry>,
+pub(super) struct Admission<'table> {
+    /// The matching route.
+    pub(super) route: &'table RouteEntry,
+    /// The tenant of the call; none where the route needs no key.
+    pub(super) tenant: Option<&'table TenantEntry>,
 }
 
 impl Admission<'_> {
-    /// Whether it is the call of this tenant, or of none: a ticket is used for the one it was asked for.
+    /// Whether the call is still this tenant's (or still nobody's): a permit is used only for the tenant that
+    /// it was requested for.
     pub(super) fn is_for(&self, tenant: Option<&TenantEntry>) -> bool {
-        self.tenant.map(|row| &row.name) == tenant.map(|row| &row.name)
+        self.tenant.map(|entry| &entry.name) == tenant.map(|entry| &entry.name)
     }
 }
 
-/// What a call is let in by. It is kept, since a newer generation may come while the call waits.
+/// The parts of a call that decide on its admission. They are kept, since a newer configuration generation
+/// may arrive while the call waits.
 pub(super) struct AdmissionRequest {
-    place: RequestTarget,
+    target: RequestTarget,
     key: PresentedKey,
 }
 
 impl AdmissionRequest {
     pub(super) fn of(request: &Request, header_conventions: &HeaderConventions) -> AdmissionRequest {
         AdmissionRequest {
-            place: RequestTarget::of(request),
+            target: RequestTarget::of(request),
             key: PresentedKey::of(request.headers(), header_conventions),
         }
     }
 
-    pub(super) fn admission<'lanes>(&self, routes: &'lanes RouteTable) -> Result<Admission<'lanes>, Denial> {
-        let route = self.place.find(routes).ok_or(Denial::NoRoute)?;
+    pub(super) fn admission<'table>(&self, routes: &'table RouteTable) -> Result<Admission<'table>, Denial> {
+        let route = self.target.find(routes).ok_or(Denial::NoRoute)?;
         if !routes.needs_key(route) {
             return Ok(Admission { route, tenant: None });
         }
@@ -93,17 +96,17 @@
     }
 }
 
-/// Bits of a ticket's rank that hold the lane's.
+/// Low bits of a permit's rank, which hold the route's rank.
 const ROUTE_RANK_BITS: u32 = 8;
-/// Ranks from this one on are told as this one.
-const RANK_MOST: u32 = (1 << ROUTE_RANK_BITS) - 1;
+/// Higher ranks are capped to this one.
+const MAX_RANK: u32 = (1 << ROUTE_RANK_BITS) - 1;
 
-/// The rank under which a ticket is asked for: the tenant's first, then the lane's. Zero goes first.
-/// A call without a tenant takes tenant rank zero: it is public, most often made by a running call that
-/// holds a cell, and no tenant's rank says that it may wait. Example: `permit_rank(Some(2), 3) == 515`.
+/// The rank of a permit request: the tenant's rank first, then the route's. Zero is served first. A call
+/// without a tenant has tenant rank zero: it is public, most often made by a running call that occupies an
+/// instance, and no tenant's rank says that it may wait. Example: `permit_rank(Some(2), 3) == 515`.
 pub(super) fn permit_rank(tenant_rank: Option<u32>, route_rank: u32) -> u16 {
-    let tenant_bits = tenant_rank.unwrap_or(0).min(RANK_MOST);
-    let rank = (tenant_bits << ROUTE_RANK_BITS) | route_rank.min(RANK_MOST);
+    let tenant_bits = tenant_rank.unwrap_or(0).min(MAX_RANK);
+    let rank = (tenant_bits << ROUTE_RANK_BITS) | route_rank.min(MAX_RANK);
     u16::try_from(rank).unwrap_or(u16::MAX)
 }
 
--- a/packages/gateway/src/gateway/instance_headers.rs
+++ b/packages/gateway/src/gateway/instance_headers.rs
@@ -1,12 +1,12 @@
-//! The headers of a request that go on to cells.
+//! The headers of a request that are forwarded to instances.
 
 use crate::header_conventions::HeaderConventions;
 use crate::instance_dispatch::end_to_end;
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{HttpMessage, Request};
 
-/// The visitor's headers without those of its connection, without its key, which is a secret whether or not
-/// any lane needs one, and without what it says of its tenant, which only this front tells cells.
+/// The client's headers without those of its connection, without its API key, which is a secret whether or
+/// not any route needs one, and without its tenant header: only the gateway names the tenant to instances.
 pub(super) fn instance_headers(request: &Request, header_conventions: &HeaderConventions) -> HeaderMap {
     let mut headers = end_to_end(request.headers(), header_conventions.own_prefix);
     for name in [&header_conventions.api_key, &header_conventions.tenant].into_iter().flatten() {
--- a/packages/gateway/src/gateway/open_calls.rs
+++ b/packages/gateway/src/gateway/open_calls.rs
@@ -1,17 +1,18 @@
-//! How many calls are under way, by what they wait for.
+//! Counts of open calls by stage.
 
 use std::fmt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Calls under way at one moment. Example: `gateway.open_calls_by_stage().at_instance`.
+/// Open calls at one moment. Example: `gateway.open_calls_by_stage().at_instance`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCalls {
-    /// All of them: those whose request is read or whose answer leaves are in neither count below.
+    /// All open calls. Those whose request is being read or whose response is being sent are in neither count
+    /// below.
     pub all: usize,
-    /// Asked for a ticket and got none yet: they reached no cell in this try.
+    /// Calls that requested a permit and have none yet: in this attempt they reached no instance.
     pub awaiting_permit: usize,
-    /// A cell was sent the call, or is being connected to.
+    /// Calls that were sent to an instance, or whose connection to it is being opened.
     pub at_instance: usize,
 }
 
@@ -20,19 +21,19 @@
         let OpenCalls { all, awaiting_permit, at_instance } = self;
         write!(
             formatter,
-            "{all} calls open ({awaiting_permit} wait for a ticket, {at_instance} are at a cell)"
+            "{all} open calls ({awaiting_permit} waiting for a permit, {at_instance} at an instance)"
         )
     }
 }
 
-/// Calls in one stage. A call leaves it when its place is dropped, however it ends.
+/// The number of calls in one stage. A call leaves the stage when its [`StagePlace`] is dropped.
 #[derive(Debug, Default)]
 pub(super) struct StageCount(AtomicUsize);
 
 impl StageCount {
-    pub(super) fn enter(self: &Arc<Self>) -> StagePlace {
+    pub(super) fn enter(self: &Arc<Self>) -> StageGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
-        StagePlace(self.clone())
+        StageGuard(self.clone())
     }
 
     pub(super) fn get(&self) -> usize {
@@ -41,9 +42,9 @@
 }
 
 /// One call's place in a stage.
-pub(super) struct StagePlace(Arc<StageCount>);
+pub(super) struct StageGuard(Arc<StageCount>);
 
-impl Drop for StagePlace {
+impl Drop for StageGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/packages/gateway/src/gateway/planned_stop.rs
+++ b/packages/gateway/src/gateway/planned_stop.rs
@@ -1,49 +1,52 @@
-//! What a planned stop means for calls: none is held past the time that the process has left.
+//! Deadlines of calls during a planned stop: no call is held past the time that the process has left.
 
 use monotonic_clock::{Micros, MonotonicClock};
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The part of a stop's time kept for answers to leave, and its bounds: a busy machine needs a while to write them.
-const RESPONSES_LEAVE_SHARE: u32 = 10;
-const RESPONSES_LEAVE_AT_LEAST: Duration = Duration::from_millis(50);
-const RESPONSES_LEAVE_AT_MOST: Duration = Duration::from_millis(500);
+/// The end of a stop, a tenth of its time within these bounds, is kept for writing the last responses: a busy
+/// machine needs a while for that.
+const RESPONSE_MARGIN_DIVISOR: u32 = 10;
+const RESPONSE_MARGIN_MIN: Duration = Duration::from_millis(50);
+const RESPONSE_MARGIN_MAX: Duration = Duration::from_millis(500);
 
-/// When calls end at the latest on a node that stops.
+/// The latest times for calls on a node that stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StopDeadlines {
-    /// From then on no call is sent to a cell: those that wait for a ticket are refused.
-    dispatch_until: Micros,
-    /// From then on no cell is waited for: calls at a cell get an answer of unknown fate.
-    response_until: Micros,
+    /// From then on no call is sent to an instance, and calls that wait for a permit are refused.
+    dispatch_deadline: Micros,
+    /// From then on no instance is waited for: calls at an instance get a response with the outcome
+    /// `unknown`.
+    response_deadline: Micros,
 }
 
 impl StopDeadlines {
-    /// The first half of a stop may still begin work, the second half is for work to end.
-    fn of_a_stop(began: Micros, within: Duration) -> StopDeadlines {
-        let leave = (within / RESPONSES_LEAVE_SHARE).clamp(RESPONSES_LEAVE_AT_LEAST, RESPONSES_LEAVE_AT_MOST);
+    /// Work may still begin in the first half of a stop; the second half is for it to end.
+    fn for_stop(began: Micros, within: Duration) -> StopDeadlines {
+        let response_margin =
+            (within / RESPONSE_MARGIN_DIVISOR).clamp(RESPONSE_MARGIN_MIN, RESPONSE_MARGIN_MAX);
         let after = |span: Duration| began + Micros(span.as_micros() as u64);
         StopDeadlines {
-            dispatch_until: after(within / 2),
-            response_until: after(within.saturating_sub(leave)),
+            dispatch_deadline: after(within / 2),
+            response_deadline: after(within.saturating_sub(response_margin)),
         }
     }
 }
 
-/// Whether the node stops, and what calls wait on to hear of it.
+/// Whether the node stops; calls subscribe to it.
 #[derive(Debug)]
 pub(super) struct PlannedStop(watch::Sender<Option<StopDeadlines>>);
 
 impl PlannedStop {
-    pub(super) fn none_yet() -> PlannedStop {
+    pub(super) fn new() -> PlannedStop {
         PlannedStop(watch::Sender::new(None))
     }
 
-    /// The stop begins, and the process ends within this time. A second word changes nothing.
+    /// Begins the stop of a process that ends within this time. A second call changes nothing.
     pub(super) fn begin(&self, now: Micros, within: Duration) {
         self.0.send_if_modified(|deadlines| {
             let is_first = deadlines.is_none();
-            deadlines.get_or_insert(StopDeadlines::of_a_stop(now, within));
+            deadlines.get_or_insert(StopDeadlines::for_stop(now, within));
             is_first
         });
     }
@@ -52,19 +55,19 @@
         self.0.borrow().is_some()
     }
 
-    /// Returns when no call may be sent to a cell any more.
-    pub(super) async fn dispatch_is_over(&self, clock: &MonotonicClock) {
-        self.reached(clock, |deadlines| deadlines.dispatch_until).await;
+    /// Waits until no call may be sent to an instance any more.
+    pub(super) async fn wait_for_dispatch_deadline(&self, clock: &MonotonicClock) {
+        self.wait_until(clock, |deadlines| deadlines.dispatch_deadline).await;
     }
 
-    /// Returns when no cell may be waited for any more.
-    pub(super) async fn responses_are_due(&self, clock: &MonotonicClock) {
-        self.reached(clock, |deadlines| deadlines.response_until).await;
+    /// Waits until no instance may be waited for any more.
+    pub(super) async fn wait_for_response_deadline(&self, clock: &MonotonicClock) {
+        self.wait_until(clock, |deadlines| deadlines.response_deadline).await;
     }
 
-    async fn reached(&self, clock: &MonotonicClock, deadline: impl Fn(&StopDeadlines) -> Micros) {
-        let mut reported = self.0.subscribe();
-        let until = match reported.wait_for(Option::is_some).await {
+    async fn wait_until(&self, clock: &MonotonicClock, deadline: impl Fn(&StopDeadlines) -> Micros) {
+        let mut deadlines_receiver = self.0.subscribe();
+        let until = match deadlines_receiver.wait_for(Option::is_some).await {
             Ok(deadlines) => deadlines.as_ref().map(&deadline),
             Err(_) => None,
         };
--- a/packages/gateway/src/gateway/request_facts.rs
+++ b/packages/gateway/src/gateway/request_facts.rs
@@ -1,4 +1,4 @@
-//! What the front reads from a request's head.
+//! What the gateway reads from a request's head.
 
 use crate::header_conventions::HeaderConventions;
 use crate::route_table::{RouteEntry, RouteTable};
@@ -6,7 +6,8 @@
 use actix_http::{HttpMessage, Request};
 use monotonic_clock::Micros;
 
-/// What lanes are matched by; kept, since a newer generation may come while the call waits.
+/// What routes are matched by. It is kept, since a newer configuration generation may arrive while the call
+/// waits.
 pub(super) struct RequestTarget {
     method: String,
     host: Option<String>,
@@ -23,18 +24,18 @@
         }
     }
 
-    pub(super) fn find<'lanes>(&self, routes: &'lanes RouteTable) -> Option<&'lanes RouteEntry> {
+    pub(super) fn find<'table>(&self, routes: &'table RouteTable) -> Option<&'table RouteEntry> {
         routes.find(&self.method, self.host.as_deref(), &self.path)
     }
 }
 
-/// The length that a request tells of its body.
+/// The body length that a request declares.
 pub(super) fn declared_body_bytes(request: &Request) -> Option<u64> {
-    let reported = request.headers().get(header::CONTENT_LENGTH)?;
-    reported.to_str().ok()?.trim().parse().ok()
+    let length_value = request.headers().get(header::CONTENT_LENGTH)?;
+    length_value.to_str().ok()?.trim().parse().ok()
 }
 
-/// The least number of bytes that this head takes on the wire.
+/// The minimum number of bytes that this head takes on the wire.
 pub(super) fn head_bytes(request: &Request) -> u64 {
     const REQUEST_LINE_REST: usize = "  HTTP/1.1\r\n".len();
     const HEADER_REST: usize = ":\r\n".len();
@@ -49,7 +50,7 @@
     (request_line + headers + HEAD_END) as u64
 }
 
-/// The lane's patience, or less if the visitor or a calling cell names less.
+/// The route's timeout, or less if the client or a calling instance names less.
 pub(super) fn time_left(
     request: &Request,
     route: &RouteEntry,
--- a/packages/gateway/src/gateway/response_bodies.rs
+++ b/packages/gateway/src/gateway/response_bodies.rs
@@ -1,6 +1,6 @@
-//! The bodies of answers on their way to visitors.
+//! The bodies of responses to clients.
 
-use super::call_guards::{Held, PermitGuard};
+use super::call_guards::{CallReservation, PermitGuard};
 use crate::instance_dispatch::ResponseRest;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
@@ -10,10 +10,10 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll};
 
-/// A whole answer that keeps its memory counted until it is handed over.
+/// A buffered response body that keeps its memory counted until the server has taken it.
 pub(super) struct BufferedBody {
     pub(super) body: Option<Bytes>,
-    pub(super) _held: Held,
+    pub(super) _reservation: CallReservation,
 }
 
 impl MessageBody for BufferedBody {
@@ -31,23 +31,23 @@
     }
 }
 
-/// A long answer on its way. A cut ends in a failure, which makes the server break the visitor's
-/// connection off instead of ending the answer cleanly.
+/// A streamed response body. If it is cut, it yields an error, which makes the server break the client's
+/// connection instead of ending the response cleanly.
 pub(super) struct StreamedBody {
     pub(super) begun: Option<Bytes>,
     pub(super) rest: Box<ResponseRest>,
     pub(super) length: Option<u64>,
     pub(super) passed: u64,
     pub(super) guard: PermitGuard,
-    pub(super) _held: Held,
+    pub(super) _reservation: CallReservation,
     pub(super) ends: Pin<Box<tokio::time::Sleep>>,
 }
 
 impl StreamedBody {
     fn cut(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
-        self.guard.done(UNKNOWN);
+        self.guard.return_permit(UNKNOWN);
         self.guard.gateway.counts.cut_responses.fetch_add(1, Ordering::Relaxed);
-        Poll::Ready(Some(Err(std::io::Error::other("the cell's answer was cut"))))
+        Poll::Ready(Some(Err(std::io::Error::other("the instance's response was cut off"))))
     }
 }
 
@@ -76,7 +76,7 @@
                 Poll::Ready(Some(Ok(chunk)))
             }
             Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.passed) => {
-                self.guard.done(RAN);
+                self.guard.return_permit(RAN);
                 self.guard.gateway.counts.answered.fetch_add(1, Ordering::Relaxed);
                 Poll::Ready(None)
             }
--- a/packages/gateway/src/header_conventions.rs
+++ b/packages/gateway/src/header_conventions.rs
@@ -1,37 +1,37 @@
 use actix_http::StatusCode;
 use actix_http::header::HeaderName;
 
-/// The headers by which visitors, cells and this front speak: plain data, so that a platform with
-/// other words needs other data and no other code. Example: `HeaderConventions::default().time_left`.
+/// The headers used between clients, the gateway and instances. They are plain data, so that a platform with
+/// other header names needs other data and no other code. Example: `HeaderConventions::default().time_left`.
 #[derive(Clone, Debug)]
 pub struct HeaderConventions {
-    /// Carries the time left in milliseconds, from visitors and to cells.
+    /// Carries the time left in milliseconds, from clients and to instances.
     pub time_left: HeaderName,
-    /// Names the cell a dispatch is meant for; every other cell answers 421.
+    /// Names the instance a dispatch is meant for; every other instance responds with 421.
     pub instance: HeaderName,
     /// Names the function a dispatch is meant for.
     pub function: Option<HeaderName>,
-    /// Tells visitors how their call ended: `ran`, `not_run` or `unknown`.
+    /// Tells clients how their call ended: `ran`, `not_run` or `unknown`.
     pub outcome: Option<HeaderName>,
-    /// By which a cell says that it did not run the call; with this value, or with any.
+    /// Says in an instance's response that it did not run the call; with this value, or with any.
     pub not_run: (HeaderName, Option<&'static str>),
-    /// Names the call; cells send it back, so that an answer to another call is known as such.
+    /// Identifies the call; instances send it back, so that a response to another call is recognized.
     pub call_id: Option<HeaderName>,
-    /// Carries the visitor's API key, where calls may carry one. It never goes on to a cell.
+    /// Carries the client's API key, where calls may carry one. It is never forwarded to an instance.
     pub api_key: Option<HeaderName>,
-    /// Tells the cell whose call it is. What visitors say in it counts for nothing and never goes on.
+    /// Tells the instance the tenant of the call. What clients send in it is ignored and never forwarded.
     pub tenant: Option<HeaderName>,
-    /// Tells the cell from where the visitor speaks.
+    /// Whether the client's address is appended to `X-Forwarded-For`.
     pub forwarded_for: bool,
-    /// Whether the time to come back is told in fractions of seconds.
+    /// Whether `Retry-After` is sent in fractions of seconds.
     pub fractional_retry_after: bool,
-    /// Headers that begin so are this front's own and are not taken over from visitors.
+    /// Headers with this prefix are the gateway's own and are not forwarded from clients.
     pub own_prefix: &'static str,
 }
 
 impl HeaderConventions {
-    /// Whether visitors read this status alone as a promise that the call did not run and never will.
-    /// Where an outcome header tells it, no status does.
+    /// Whether clients take this status alone as a promise that the call did not run and never will.
+    /// Where an outcome header says so, no status does.
     /// Example: `header_conventions.promises_not_run(StatusCode::TOO_MANY_REQUESTS)`.
     pub fn promises_not_run(&self, status: StatusCode) -> bool {
         self.outcome.is_none() && PROMISING_STATUSES.contains(&status)
--- a/packages/gateway/src/instance_dispatch.rs
+++ b/packages/gateway/src/instance_dispatch.rs
@@ -1,9 +1,9 @@
-//! One dispatch to one cell, over a kept connection to that very cell or a fresh one.
+//! One dispatch to one instance, over a kept connection to that instance or a fresh one.
 //!
-//! Nothing is resent behind our back, and a connection that does not come up is the only failure before
-//! any byte is out. Whose an answer is, is decided by [`crate::connection_use`].
-//! `actix-http`'s client codec reads the answer; the end of the stream before the end of the framing
-//! is seen here as a cut, never as an end.
+//! Nothing is resent implicitly, and a connection that cannot be opened is the only failure before any byte
+//! is sent. [`crate::connection_use`] decides which request a response belongs to. `actix-http`'s client
+//! codec reads the response; the end of the stream before the end of the framing counts as a truncated
+//! response, never as its end.
 
 use crate::connection_pool::{self, InstanceConnection, InstanceStream};
 use crate::connection_use::ResponseOwner;
@@ -26,49 +26,49 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What is carried to the cell. Example: see `Gateway`.
+/// A call as it is sent to an instance. Example: see `Gateway`.
 #[derive(Clone, Debug)]
 pub struct DispatchCall {
-    /// The visitor's method.
+    /// The client's method.
     pub method: Method,
-    /// The visitor's path and query.
+    /// The client's path and query.
     pub uri: Uri,
-    /// The visitor's headers without hop-by-hop ones.
+    /// The client's headers without hop-by-hop ones.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// The function named by the ticket.
+    /// The function named by the permit.
     pub function: String,
-    /// The tenant whose call it is, if one is known. The headers above tell of none.
+    /// The tenant of the call, if there is one. The headers above name none.
     pub tenant: Option<Arc<str>>,
-    /// A running call made it.
+    /// Whether a running call made it.
     pub is_nested: bool,
-    /// The cell named by the ticket.
+    /// The instance named by the permit.
     pub instance: String,
-    /// Where the cell listens.
+    /// The address where the instance listens.
     pub address: SocketAddr,
     /// The call's time left.
     pub time_left: Micros,
-    /// Cancelled when nobody waits for the answer any more. What was not sent by then is not sent.
+    /// Cancelled when nobody waits for the response any more. What has not been sent by then is not sent.
     pub client_left: CancellationToken,
-    /// The cell's work may be broken off when nobody waits for it: the call may run again.
+    /// Whether the instance's work may be aborted when nobody waits for it: the call may run again.
     pub is_repeatable: bool,
 }
 
 /// Limits of a dispatch. Example: `DispatchSettings::default().buffer_limit`.
 #[derive(Clone, Debug)]
 pub struct DispatchSettings {
-    /// Answers up to this length are held until they are whole; longer ones are streamed.
+    /// Responses up to this length are buffered until they are whole; longer ones are streamed.
     pub buffer_limit: usize,
-    /// How long connecting may take.
+    /// Timeout of opening a connection.
     pub connect_within: Duration,
-    /// Sent bytes that the machine beyond does not confirm for so long end the connection.
+    /// The connection fails when sent bytes are not acknowledged within this time.
     pub silence_within: Duration,
-    /// Idle connections kept to one cell; zero closes each after its answer.
+    /// Idle connections kept to one instance; zero closes each after its response.
     pub idle_limit: usize,
-    /// How long a connection is kept where the cell does not say how long it may idle.
+    /// How long a connection is kept where the instance does not say how long it may idle.
     pub idle_undeclared: Duration,
-    /// The headers that cells speak by.
+    /// The headers used with instances.
     pub header_conventions: Arc<HeaderConventions>,
 }
 
@@ -85,40 +85,40 @@
     }
 }
 
-/// The rest of an answer that is longer than the buffer.
+/// The rest of a response that is longer than the buffer.
 pub type ResponseRest = Framed<TcpStream, ClientPayloadCodec>;
 
-/// A cell's answer: whole, or its beginning with the rest to stream.
+/// An instance's response: whole, or its beginning with the rest to stream.
 pub struct InstanceResponse {
-    /// The cell's status.
+    /// The response's status.
     pub status: StatusCode,
     /// Its headers without hop-by-hop ones.
     pub headers: HeaderMap,
     /// The body, or its beginning.
     pub body: Bytes,
-    /// What is still to come, if the body is longer than the buffer; with its whole length if told.
+    /// The rest, if the body is longer than the buffer, with the whole body's length if declared.
     pub rest: Option<(Box<ResponseRest>, Option<u64>)>,
 }
 
 /// How a dispatch ended. Example: `DispatchOutcome::NotRun`.
 pub enum DispatchOutcome {
-    /// A whole answer, or the beginning of a long one.
+    /// A whole response, or the beginning of a long one.
     Answered(InstanceResponse),
-    /// The connection was refused, or the listener is not the cell meant: it did not run.
+    /// The connection was refused, or the listener is not the intended instance: the call did not run.
     NotRun,
-    /// The cell said that it did not run the call.
+    /// The instance said that it did not run the call.
     RefusedBusy,
-    /// Bytes may have reached the cell and no whole answer came.
+    /// Bytes may have reached the instance, and no valid response arrived.
     Unknown(&'static str),
     /// The same, and the call's time is over.
     TimedOut,
     /// The client left before a byte was sent.
     Withdrawn,
-    /// The client left while the cell may have been at work; its connection was closed.
+    /// The client left while the instance may have been at work; the connection to it was closed.
     Abandoned,
 }
 
-/// Dispatches once, within the call's time left. A connection that is not up by then carried nothing.
+/// Dispatches once, within the call's time left. A connection that is not open by then has carried nothing.
 /// Example: `dispatch(call, &DispatchSettings::default()).await`.
 pub async fn dispatch(call: DispatchCall, settings: &DispatchSettings) -> DispatchOutcome {
     let ends_at = Instant::now() + call.time_left.duration();
@@ -131,7 +131,7 @@
         return DispatchOutcome::Withdrawn;
     }
     let Some(connection) = connected else { return DispatchOutcome::NotRun };
-    // Connecting took a part of the call's time.
+    // Connecting took part of the call's time.
     let time_left = Micros(ends_at.saturating_duration_since(Instant::now()).as_micros() as u64);
     if time_left.millis() == 0 {
         return DispatchOutcome::NotRun;
@@ -149,7 +149,7 @@
     }
 }
 
-/// A kept connection to the cell, or a new one that came up in time.
+/// A kept connection to the instance, or a new one that was opened in time.
 async fn connect(
     call: &DispatchCall,
     settings: &DispatchSettings,
@@ -166,8 +166,8 @@
     Some(InstanceConnection::fresh(stream))
 }
 
-/// Sends the call and reads its answer. From here on bytes may reach the cell: nothing may say that it
-/// did not run, except the cell itself.
+/// Sends the call and reads its response. From here on bytes may reach the instance: only the instance itself
+/// can say that the call did not run.
 async fn exchange(
     call: DispatchCall,
     mut connection: InstanceConnection,
@@ -179,30 +179,30 @@
         true => BodySize::None,
         false => BodySize::Sized(body.len() as u64),
     };
-    let place = (call.instance.clone(), call.address);
+    let endpoint = (call.instance.clone(), call.address);
     let head = request_head(call, settings);
     let call_id =
         settings.header_conventions.call_id.as_ref().and_then(|name| head.headers.get(name).cloned());
     connection.usage.request_sent(call_id);
-    if connection.stream.write_whole(head, body_size, body).await.is_err() {
+    if connection.stream.write_request(head, body_size, body).await.is_err() {
         return DispatchOutcome::Unknown("the connection broke while sending");
     }
-    read_response(connection, is_head, place, settings).await
+    read_response(connection, is_head, endpoint, settings).await
 }
 
-trait WriteWhole {
-    async fn write_whole(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()>;
+trait WriteRequest {
+    async fn write_request(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()>;
 }
 
-impl WriteWhole for InstanceStream {
-    /// Head and body leave together, in one write where the connection takes it.
-    async fn write_whole(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()> {
+impl WriteRequest for InstanceStream {
+    /// Sends head and body together, in one write if the socket accepts it.
+    async fn write_request(&mut self, head: RequestHead, size: BodySize, body: Bytes) -> std::io::Result<()> {
         self.feed(Message::Item((RequestHeadType::from(head), size))).await?;
         if body.is_empty() {
             return self.flush().await;
         }
         self.feed(Message::Chunk(Some(body))).await?;
-        // A cell may answer before it read the whole body; its answer still counts if it is whole.
+        // An instance may respond before it has read the whole body; a whole response still counts.
         let _ = self.flush().await;
         Ok(())
     }
@@ -244,13 +244,13 @@
     head
 }
 
-/// How an answer's body is told to end.
+/// How the end of a response's body is declared.
 struct ResponseFraming {
     declared_length: Option<u64>,
     has_no_body: bool,
 }
 
-/// The framing of an answer, unless it is ambiguous or ends with the connection alone.
+/// The framing of a response, unless it is ambiguous or ends only with the connection.
 fn framing(head: &ResponseHead, is_head: bool) -> Result<ResponseFraming, &'static str> {
     let lengths: Vec<&HeaderValue> = head.headers.get_all(header::CONTENT_LENGTH).collect();
     let declared_length: Option<u64> =
@@ -269,14 +269,14 @@
     Ok(ResponseFraming { declared_length, has_no_body })
 }
 
-/// Whether the answer says that the cell did not run the call.
+/// Whether the response says that the instance did not run the call.
 fn reports_not_run(head: &ResponseHead, header_conventions: &HeaderConventions) -> bool {
-    let (name, meant) = &header_conventions.not_run;
-    let is_said = head
+    let (name, expected) = &header_conventions.not_run;
+    let is_reported = head
         .headers
         .get(name)
-        .is_some_and(|value| meant.is_none_or(|meant| value.as_bytes() == meant.as_bytes()));
-    is_said && !head.status.is_success()
+        .is_some_and(|value| expected.is_none_or(|expected| value.as_bytes() == expected.as_bytes()));
+    is_reported && !head.status.is_success()
 }
 
 async fn read_response(
@@ -318,7 +318,7 @@
         let idle_span = idle_span(&head, settings);
         let headers = end_to_end(head.headers(), header_conventions.own_prefix);
         let is_bodiless = has_no_body || stream.codec_ref().message_type() == MessageType::None;
-        let (body, back) = if is_bodiless {
+        let (body, next_stream) = if is_bodiless {
             (Bytes::new(), stream)
         } else {
             let mut payload = stream.into_map_codec(ClientCodec::into_payload_codec);
@@ -346,11 +346,11 @@
             (body.freeze(), payload.into_map_codec(ClientPayloadCodec::into_message_codec))
         };
         if !is_awaited {
-            // The late answer to an earlier call is read to its end; this call's follows.
-            stream = back;
+            // The late response to an earlier call has been read to its end; this call's follows.
+            stream = next_stream;
             continue;
         }
-        let connection = InstanceConnection { stream: back, usage };
+        let connection = InstanceConnection { stream: next_stream, usage };
         connection_pool::put_back(&instance, address, connection, idle_span, settings.idle_limit);
         if was_not_run {
             return DispatchOutcome::RefusedBusy;
@@ -359,8 +359,9 @@
     }
 }
 
-/// How long the connection may be kept: as the cell says, less a part of it, since the two clocks
-/// start apart; not at all when it says nothing or closes.
+/// How long the connection may be kept: 70 % of what the instance declares, since the two sides start
+/// counting at different times; `idle_undeclared` without a declaration; not at all when the instance closes
+/// the connection.
 fn idle_span(head: &ResponseHead, settings: &DispatchSettings) -> Duration {
     let closes = head.headers.get(header::CONNECTION).is_some_and(|value| {
         value.to_str().is_ok_and(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case("close")))
@@ -368,8 +369,8 @@
     if closes || head.version != Version::HTTP_11 {
         return Duration::ZERO;
     }
-    let reported = head.headers.get(header::HeaderName::from_static("keep-alive"));
-    let seconds = reported.and_then(|value| value.to_str().ok()).and_then(|text| {
+    let keep_alive = head.headers.get(header::HeaderName::from_static("keep-alive"));
+    let seconds = keep_alive.and_then(|value| value.to_str().ok()).and_then(|text| {
         text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok())
     });
     seconds.map_or(settings.idle_undeclared, |seconds| Duration::from_millis(seconds.min(3_600) * 700))
@@ -389,7 +390,7 @@
     "content-length",
 ];
 
-/// The headers without those that concern one connection only, and without vanelane's own.
+/// The headers without hop-by-hop ones and without the gateway's own.
 /// Example: `end_to_end(request.headers(), "x-vanelane-")` has no `connection`.
 pub(crate) fn end_to_end(headers: &HeaderMap, own_prefix: &str) -> HeaderMap {
     let named: Vec<String> = headers
--- a/packages/gateway/src/lib.rs
+++ b/packages/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The way of a call through a node: lane, ticket, dispatch, answer.
+//! The path of a call through a node: route, permit, dispatch, response.
 //!
-//! The lane table is swapped by read-copy-update and counters are atomics: no lock is taken on the
-//! way. The node's protocol is reached through [`GatewayMessage`] messages.
+//! The route table is swapped by read-copy-update and counters are atomics, so that no call takes a lock.
+//! The node's protocol is reached through [`GatewayMessage`] messages.
 
 mod call_state_machine;
 mod connection_pool;
@@ -24,13 +24,14 @@
 
 /// The header that says how the call ended: `ran`, `not_run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-vanelane-outcome";
-/// The header that carries the time left in milliseconds, to cells and from them through nodes.
+/// The header that carries the time left in milliseconds, to instances and on the calls that they make
+/// through nodes.
 pub const TIME_LEFT_HEADER: &str = "x-vanelane-time-left-ms";
 /// The header that names the function a dispatch is meant for.
 pub const FUNCTION_HEADER: &str = "x-vanelane-function";
-/// The header that names the cell a dispatch is meant for.
+/// The header that names the instance a dispatch is meant for.
 pub const INSTANCE_HEADER: &str = "x-vanelane-cell";
-/// The header that carries a visitor's API key; it never goes on to a cell.
+/// The header that carries a client's API key; it is never forwarded to an instance.
 pub const API_KEY_HEADER: &str = "x-vanelane-api-key";
-/// The header that tells a cell whose call it runs.
+/// The header that tells an instance the tenant of the call.
 pub const TENANT_HEADER: &str = "x-vanelane-tenant";
--- a/packages/gateway/src/recording.rs
+++ b/packages/gateway/src/recording.rs
@@ -2,16 +2,16 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// One call of a recorded day, as one JSON line.
+/// One recorded call, written as one JSON line.
 ///
 /// Example: `{"at_micros": 12, "lane": "proofs", "method": "POST", "path": "/proof/1", "size": 400,
 /// "status": 200, "outcome": "ran", "latency_micros": 61000}`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordedCall {
-    /// When the call came, in microseconds of the recording node.
+    /// When the call arrived, in microseconds of the recording node's clock.
     pub at_micros: u64,
-    /// The lane that took it; empty for none.
+    /// The route that matched; empty for none.
     #[serde(rename = "lane")]
     pub route: String,
     /// Its method.
@@ -20,15 +20,15 @@
     pub path: String,
     /// The length of its body.
     pub size: u64,
-    /// The answer's status.
+    /// The response's status.
     pub status: u16,
     /// `ran`, `not_run` or `unknown`.
     pub outcome: String,
-    /// From the call's head to its answer's head.
+    /// From the request's head to the response's head.
     pub latency_micros: u64,
 }
 
-/// Writes recorded calls to a bounded file without making them wait.
+/// Writes recorded calls to a bounded file without delaying them.
 /// Example: `Recorder::start(Path::new("day.jsonl"), 1 << 30)?.record(&call)`.
 #[derive(Debug)]
 pub struct Recorder {
@@ -36,19 +36,19 @@
 }
 
 impl Recorder {
-    /// Appends to a file until it has so many bytes. Example: `Recorder::start(path, 1 << 30)`.
-    pub fn start(path: &Path, most_bytes: u64) -> std::io::Result<Recorder> {
-        Ok(Recorder { file: LineFile::start(path, most_bytes)? })
+    /// Appends to a file up to a maximum size in bytes. Example: `Recorder::start(path, 1 << 30)`.
+    pub fn start(path: &Path, max_bytes: u64) -> std::io::Result<Recorder> {
+        Ok(Recorder { file: LineFile::start(path, max_bytes)? })
     }
 
-    /// Hands a call over without waiting. Example: `recorder.record(&call)`.
+    /// Queues a call to be written, without waiting. Example: `recorder.record(&call)`.
     pub fn record(&self, call: &RecordedCall) {
         if let Ok(line) = serde_json::to_vec(call) {
             self.file.write(line);
         }
     }
 
-    /// Records that were lost. Example: `recorder.dropped() == 0`.
+    /// The number of dropped records. Example: `recorder.dropped() == 0`.
     pub fn dropped(&self) -> u64 {
         self.file.dropped()
     }
--- a/packages/gateway/src/route_table.rs
+++ b/packages/gateway/src/route_table.rs
@@ -5,26 +5,26 @@
 use monotonic_clock::Micros;
 use std::sync::Arc;
 
-/// A lane as calls are matched to it. Example: `table.find("POST", None, "/proof/1").unwrap().function`.
+/// A route as calls are matched to it. Example: `table.find("POST", None, "/proof/1").unwrap().function`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteEntry {
-    /// The lane's name.
+    /// The route's name.
     pub name: String,
-    /// Where its calls go; the first of the split where it is split.
+    /// The function that its calls go to; the first of the split if there is one.
     pub function: String,
-    /// Where its calls go by weight; empty for a lane with one function.
+    /// The functions that its calls go to with their weights; empty for a route with one function.
     split: Vec<(String, f64)>,
-    /// Cells that one call may be sent to, if the lane says so.
+    /// The number of instances that one call may be sent to, if the route sets it.
     pub dispatch_limit: Option<u32>,
-    /// The time within which an answer is worth most.
+    /// The target response time.
     pub target: Option<Micros>,
-    /// Zero is served first.
+    /// Rank of its calls; zero is served first.
     pub rank: u32,
     /// Whether its calls need no tenant's key.
     pub is_public: bool,
-    /// Whether a call of unknown fate may be dispatched again.
+    /// Whether a call of unknown outcome may be dispatched again.
     pub repeatable: bool,
-    /// How long its calls may take.
+    /// The timeout of its calls.
     pub timeout: Micros,
     host: Option<String>,
     methods: Vec<String>,
@@ -32,21 +32,21 @@
 }
 
 impl RouteEntry {
-    /// The function for one call: by weight where the lane is split. `random` is within 0 and 1.
-    /// Example: a lane split 3 to 1 picks its first function for draws below 0.75.
+    /// The function for one call, by weight where the route is split. `random` is between 0 and 1.
+    /// Example: a route split 3 to 1 picks its first function for `random` below 0.75.
     pub fn pick(&self, random: f64) -> &str {
         let total: f64 = self.split.iter().map(|(_, weight)| weight).sum();
-        let mut left = random * total;
+        let mut remaining = random * total;
         for (function, weight) in &self.split {
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return function;
             }
         }
         &self.function
     }
 
-    /// Whether this lane may send calls to the function. Example: `row.allows("proof")`.
+    /// Whether this route may send calls to the function. Example: `route.allows("proof")`.
     pub fn allows(&self, function: &str) -> bool {
         self.function == function || self.split.iter().any(|(name, _)| name == function)
     }
@@ -60,7 +60,7 @@
             function: shares.first().map_or_else(String::new, |(function, _)| (*function).to_owned()),
             split: match route.split.is_empty() {
                 true => Vec::new(),
-                false => shares.into_iter().map(|(function, part)| (function.to_owned(), part)).collect(),
+                false => shares.into_iter().map(|(function, weight)| (function.to_owned(), weight)).collect(),
             },
             dispatch_limit: route.dispatch_limit,
             target: route.target_millis.map(Micros::from_millis),
@@ -74,50 +74,50 @@
         }
     }
 
-    /// The narrower lane of a prefix comes first: one with a host, then one with methods.
-    fn place(&self) -> (bool, bool, &str) {
+    /// Sort key within a prefix: the more specific route comes first, one with a host, then one with methods.
+    fn precedence(&self) -> (bool, bool, &str) {
         (self.host.is_none(), self.methods.is_empty(), &self.name)
     }
 }
 
-/// A tenant as calls are told by its keys. Example: `table.tenant_of("k1").unwrap().name`.
+/// A tenant as calls are matched to it by their API keys. Example: `table.tenant_of("k1").unwrap().name`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantEntry {
     /// The tenant's name.
     pub name: Arc<str>,
-    /// Goes before the rank of lanes; zero is served first.
+    /// Outweighs the rank of routes; zero is served first.
     pub rank: u32,
 }
 
-/// What one cell of a function takes.
+/// What one instance of a function accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct InstanceLimits {
-    /// Connections, from all nodes together, where they are bounded.
+    /// Connections from all nodes together, if they are limited.
     connections: Option<u32>,
     calls_at_once: u32,
 }
 
-/// All lanes of one generation, by path prefix. Its maps are persistent: the table of the next generation
-/// shares with this one all that did not change. Example: `RouteTable::new(4, &configuration)`.
+/// All routes of one configuration generation, by path prefix. Its maps are persistent: the table of the next
+/// generation shares everything unchanged with this one. Example: `RouteTable::new(4, &configuration)`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// The configuration's generation.
     pub generation: u64,
-    /// Bounds on visitors, as far as the configuration names them.
+    /// Limits on clients, as far as the configuration sets them.
     pub client_limits: Option<ClientLimits>,
     instance_limits: HashMap<String, InstanceLimits>,
     by_prefix: HashMap<String, Arc<Vec<RouteEntry>>>,
-    /// The prefix under which each lane stands.
+    /// The prefix of each route.
     prefixes: HashMap<String, String>,
-    /// Whether calls on lanes that are not public need a key.
+    /// Whether calls on routes that are not public need a key.
     needs_keys: bool,
     tenants_by_key: HashMap<ApiKey, TenantEntry>,
-    /// The keys under which each tenant stands.
+    /// The keys of each tenant.
     tenant_keys: HashMap<String, Vec<ApiKey>>,
 }
 
 impl RouteTable {
-    /// Lays out a configuration's lanes. Example: `RouteTable::new(0, &Configuration::empty())`.
+    /// Builds the table of a configuration. Example: `RouteTable::new(0, &Configuration::empty())`.
     pub fn new(generation: u64, configuration: &Configuration) -> RouteTable {
         let mut table = RouteTable {
             generation,
@@ -137,8 +137,8 @@
         table
     }
 
-    /// Becomes the table of a later generation: by what changed since this one, where the deltas tell all of
-    /// it, and anew otherwise. Example: `table.apply_changes(5, &configuration, &deltas)`.
+    /// Becomes the table of a later generation: by applying the deltas if they cover all changes since this
+    /// one, and by a rebuild otherwise. Example: `table.apply_changes(5, &configuration, &deltas)`.
     pub fn apply_changes(
         &mut self,
         generation: u64,
@@ -169,7 +169,7 @@
                 None => drop(self.instance_limits.remove(name)),
             }
         }
-        // A key may go from one tenant to another in one change: all that leave go first.
+        // A key may move from one tenant to another in one change: all removals are made first.
         for name in delta.tenants.keys() {
             self.remove_tenant(name);
         }
@@ -185,19 +185,19 @@
     }
 
     fn put_route(&mut self, name: &str, route: &Route) {
-        let row = RouteEntry::new(name, route);
-        self.prefixes.insert(name.to_owned(), row.prefix.clone());
-        let rows = self.by_prefix.entry(row.prefix.clone()).or_default();
-        let rows = Arc::make_mut(rows);
-        let place = rows.partition_point(|other| other.place() < row.place());
-        rows.insert(place, row);
+        let entry = RouteEntry::new(name, route);
+        self.prefixes.insert(name.to_owned(), entry.prefix.clone());
+        let entries = self.by_prefix.entry(entry.prefix.clone()).or_default();
+        let entries = Arc::make_mut(entries);
+        let index = entries.partition_point(|other| other.precedence() < entry.precedence());
+        entries.insert(index, entry);
     }
 
     fn remove_route(&mut self, name: &str) {
         let Some(prefix) = self.prefixes.remove(name) else { return };
-        let Some(rows) = self.by_prefix.get_mut(&prefix) else { return };
-        Arc::make_mut(rows).retain(|row| row.name != name);
-        if rows.is_empty() {
+        let Some(entries) = self.by_prefix.get_mut(&prefix) else { return };
+        Arc::make_mut(entries).retain(|entry| entry.name != name);
+        if entries.is_empty() {
             self.by_prefix.remove(&prefix);
         }
     }
@@ -209,9 +209,9 @@
     }
 
     fn put_tenant(&mut self, name: &str, tenant: &Tenant) {
-        let row = TenantEntry { name: Arc::from(name), rank: tenant.rank };
+        let entry = TenantEntry { name: Arc::from(name), rank: tenant.rank };
         for key in &tenant.keys {
-            self.tenants_by_key.insert(key.clone(), row.clone());
+            self.tenants_by_key.insert(key.clone(), entry.clone());
         }
         self.tenant_keys.insert(name.to_owned(), tenant.keys.clone());
     }
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Whether a call on this lane needs a tenant's key. Example: `!table.needs_key(public_lane)`.
+    /// Whether a call on this route needs a tenant's key. Example: `!table.needs_key(public_route)`.
     pub fn needs_key(&self, route: &RouteEntry) -> bool {
         self.needs_keys && !route.is_public
     }
@@ -232,39 +232,39 @@
         self.tenants_by_key.get(key)
     }
 
-    /// Idle connections that one of so many nodes may keep to each cell of a function.
-    /// Example: 106 connections over 10 nodes, for cells of six calls at once, are six.
+    /// The number of idle connections that each of `node_count` nodes may keep to one instance of a function.
+    /// Example: 106 connections over 10 nodes, for instances of six calls at once, are six.
     pub fn idle_limit(&self, function: &str, node_count: usize) -> usize {
         let Some(limits) = self.instance_limits.get(function) else { return 0 };
         let calls_at_once = limits.calls_at_once as usize;
         limits.connections.map_or(calls_at_once, |all| (all as usize / node_count.max(1)).min(calls_at_once))
     }
 
-    /// The lane for a call: the longest prefix of whole segments wins.
-    /// Example: `/proof` takes `/proof` and `/proof/1`, not `/proofs`.
+    /// The route for a call: the longest prefix of whole path segments wins.
+    /// Example: `/proof` matches `/proof` and `/proof/1`, not `/proofs`.
     pub fn find(&self, method: &str, host: Option<&str>, path: &str) -> Option<&RouteEntry> {
-        // A path that names its parents could be read as another by the cell: it has no lane.
+        // An instance could resolve a path with `.` or `..` segments to another path: it matches no route.
         if path.split('/').any(|segment| segment == ".." || segment == ".") {
             return None;
         }
         let host_name = host.map(|named| named.split(':').next().unwrap_or(named).to_ascii_lowercase());
         let mut prefix = path.trim_end_matches('/');
         loop {
-            let fitting = self.by_prefix.get(prefix).and_then(|rows| {
-                rows.iter().find(|row| {
-                    (row.host.is_none() || row.host == host_name)
-                        && (row.methods.is_empty() || row.methods.iter().any(|named| named == method))
+            let matching = self.by_prefix.get(prefix).and_then(|entries| {
+                entries.iter().find(|entry| {
+                    (entry.host.is_none() || entry.host == host_name)
+                        && (entry.methods.is_empty() || entry.methods.iter().any(|named| named == method))
                 })
             });
-            if fitting.is_some() {
-                return fitting;
+            if matching.is_some() {
+                return matching;
             }
             let cut_at = prefix.rfind('/')?;
             prefix = &prefix[..cut_at];
         }
     }
 
-    /// How many lanes there are. Example: `table.count() == 158`.
+    /// The number of routes. Example: `table.count() == 158`.
     pub fn count(&self) -> usize {
         self.prefixes.len()
     }
--- a/packages/gateway/src/route_table/tests.rs
+++ b/packages/gateway/src/route_table/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn the_longest_whole_prefix_and_the_narrower_route_win() {
+fn the_longest_prefix_of_whole_segments_and_the_more_specific_route_win() {
     let document = r#"{"allowances": {"all": {"weight": 1}},
         "functions": {"f": {"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 1}},
         "lanes": {"root": {"function": "f", "path_prefix": "/"},
@@ -11,9 +11,9 @@
             "hosted": {"function": "f", "path_prefix": "/proof/", "host": "rush.example"},
             "deep": {"function": "f", "path_prefix": "/proof/rush"}}}"#;
     let configuration =
-        configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document");
+        configuration_schema::check(&document.parse().expect("JSON")).expect("a valid configuration");
     let table = RouteTable::new(1, &configuration);
-    let name = |method, host, path| table.find(method, host, path).map(|row| row.name.as_str());
+    let name = |method, host, path| table.find(method, host, path).map(|route| route.name.as_str());
     assert_eq!(name("GET", None, "/proof/1"), Some("proof"));
     assert_eq!(name("POST", None, "/proof"), Some("posted"));
     assert_eq!(name("POST", Some("RUSH.example:80"), "/proof"), Some("hosted"));
@@ -23,7 +23,7 @@
     assert_eq!(RouteTable::default().find("GET", None, "/"), None);
 }
 
-/// A lane drawn so that many share a prefix and differ by host, methods, split or target.
+/// A random route; many share a prefix and differ by host, methods or target.
 fn random_route(rng: &mut fastrand::Rng) -> Route {
     let host = rng.bool().then(|| format!("host-{}.example", rng.u8(..3)));
     let methods = if rng.bool() { vec!["POST".to_owned()] } else { Vec::new() };
@@ -35,10 +35,11 @@
         "is_public": rng.bool(),
         "target_millis": rng.u64(1..500),
     });
-    serde_json::from_value(document).expect("a lane")
+    serde_json::from_value(document).expect("a valid route")
 }
 
-/// Tenants come, go and change, a key goes from one to another, and the whole group comes and goes.
+/// A random change of tenants: one is added, changed or removed, a key moves to another tenant, or the whole
+/// section is added or removed.
 fn random_change_of_tenants(rng: &mut fastrand::Rng, configuration: &mut Configuration) {
     if rng.u8(..12) == 0 {
         configuration.tenants = rng.bool().then(BTreeMap::new);
@@ -56,7 +57,7 @@
     let none = Tenant { keys: Vec::new(), rank: rng.u32(..3), annotations: None };
     let tenant = tenants.entry(name).or_insert(none);
     tenant.rank = rng.u32(..3);
-    // One that its own tenant lists twice does no harm.
+    // A tenant may list the same key twice.
     tenant.keys.extend(std::iter::repeat_n(key, rng.usize(1..3)));
 }
 
@@ -71,7 +72,7 @@
                     "allowance": "all", "cell_memory_mb": 1, "calls_at_once": rng.u32(1..9),
                     "connection_limit": rng.u32(1..99),
                 });
-                let function = serde_json::from_value(document).expect("a function");
+                let function = serde_json::from_value(document).expect("a valid function");
                 configuration.functions.insert(format!("f-{}", rng.u8(..5)), function);
             }
             3 => drop(configuration.routes.insert(route, random_route(rng))),
@@ -83,8 +84,8 @@
         rng.bool().then(|| serde_json::from_value(serde_json::json!({ "body_bytes": body_bytes })).unwrap());
 }
 
-/// Over hundreds of random changes, some taken one by one, some several at once, some after a gap that no
-/// delta fills, the table is the one that the whole configuration makes.
+/// Guards against a table that diverges from its configuration when deltas are applied: over hundreds of
+/// random changes, applied one by one, several at once, or with a delta missing.
 #[test]
 fn a_changed_table_equals_the_one_built_from_the_whole_configuration() {
     for seed in 0..20 {
@@ -102,16 +103,16 @@
                 deltas.push(ConfigurationDelta::between(base, (generation, &configuration)));
             }
             match rng.u8(..8) {
-                // What this node had was older than the deltas build on.
+                // This node's table is older than the base of the remaining deltas.
                 0 => drop(deltas.remove(0)),
-                // It had some of them already, as after a catch-up by another way.
+                // It has applied some of them already, as after a catch-up by another path.
                 1 => table.apply_changes(deltas[0].generation, &configuration, &deltas[..1]),
                 _ => {}
             }
             let before = table.clone();
             table.apply_changes(generation, &configuration, &deltas);
             assert_eq!(table, RouteTable::new(generation, &configuration), "seed {seed}");
-            // A call that began under the older table goes on by it.
+            // A call that began with the older table still holds it unchanged.
             assert!(before.generation <= generation);
         }
     }
@@ -125,14 +126,15 @@
     if let Some(tenants) = tenants {
         document["tenants"] = tenants;
     }
-    RouteTable::new(1, &configuration_schema::check(&document).expect("a checked document"))
+    RouteTable::new(1, &configuration_schema::check(&document).expect("a valid configuration"))
 }
 
-/// Guards against ROUTE on the duties: a lane that is not public needs a key of a tenant, even where the
-/// document names no tenant, and no key where it does not name the group at all.
+/// Guards against violations of ROUTE: where the document has a `tenants` section, even an empty one, a route
+/// that is not public needs a tenant's key; without the section no route needs one.
 #[test]
-fn a_key_is_needed_where_tenants_are_named_and_the_route_is_not_public() {
-    let needs = |table: &RouteTable, path| table.needs_key(table.find("GET", None, path).expect("a lane"));
+fn a_key_is_needed_where_tenants_are_configured_and_the_route_is_not_public() {
+    let needs =
+        |table: &RouteTable, path| table.needs_key(table.find("GET", None, path).expect("a matching route"));
     let acme =
         serde_json::json!({"acme": {"keys": ["SECRET-1", "SECRET-2"], "rank": 3}, "new": {"keys": []}});
     for (tenants, is_needed) in
@@ -147,5 +149,5 @@
     for unknown in ["", "SECRET", "SECRET-11", "secret-1", "acme"] {
         assert_eq!(table.tenant_of(unknown), None);
     }
-    assert!(!format!("{table:?}").contains("SECRET"), "a table hides its keys");
+    assert!(!format!("{table:?}").contains("SECRET"), "the Debug form of a table shows keys");
 }
--- a/packages/gateway/tests/call_model.rs
+++ b/packages/gateway/tests/call_model.rs
@@ -1,7 +1,8 @@
-//! Every order of events for two calls, two cells and a few faults, through the real call chart, the
-//! real use of connections and the real ledger of tickets: breadth first, each state once.
+//! Model check of every order of events for two calls, two instances and a few faults, with the real call
+//! state machine, the real connection use and the real permit ledger: breadth first, each state once.
 //!
-//! The model plays callers, stewards, network and cells. Planted faults show that each rule bites.
+//! The model simulates clients, leaders, network and instances. Planted bugs show that each rule detects
+//! violations.
 
 use gateway::{
     CallState, CallStateMachine, ConnectionUse, DispatchEnd, IdleCheck, NextStep, ResponseEnd, ResponseOwner,
@@ -12,45 +13,45 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Cells that one call may be sent to.
-const TRIES: u32 = 2;
+/// The number of instances that one call may be sent to.
+const DISPATCH_LIMIT: u32 = 2;
 /// The first call may not be repeated, the second may.
 const REPEATABLE: [bool; 2] = [false, true];
 const CALLS_END_AT: Micros = Micros::from_secs(1);
-const AFTER_A_FREEZE: Micros = Micros::from_secs(2);
+const AFTER_SUSPENSION: Micros = Micros::from_secs(2);
 
-/// A rule that some order of events broke.
+/// A rule violated by some order of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Violation {
     /// An unrepeatable call was sent again though it may have run, or ran twice.
-    Twice,
+    CallRepeated,
     /// A call that was refused as not run has run, or still may.
     RefusedAndRan,
-    /// An answer was handed to a call whose id it does not bear.
+    /// A response was delivered to a call whose id it does not carry.
     AnotherCallsResponse,
-    /// A connection with something to read carried another request.
+    /// A connection with unread bytes carried another request.
     UnreadBytes,
-    /// A call reached more cells than its lane allows.
+    /// A call reached more instances than its route allows.
     TooManyInstances,
-    /// One ticket was used for two dispatches.
-    PermitTwice,
-    /// A call was sent after its time.
-    TooLate,
+    /// One permit was used for two dispatches.
+    PermitReused,
+    /// A call was dispatched after its deadline.
+    DispatchedAfterDeadline,
 }
 
-/// A mistake put into the front on purpose.
+/// A bug planted in the gateway's decisions on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Planted {
+enum PlantedBug {
     LostCountsAsNotRun,
     TimeoutCountsAsNotRun,
     IdsAreIgnored,
     UnreadBytesAreIgnored,
     OneInstanceMore,
     RepeatedPermitsAreUsed,
-    TimeIsNotLookedAt,
+    TimeIsNotChecked,
 }
 
-/// How far a model goes.
+/// The bounds of a model.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     instances: usize,
@@ -58,12 +59,12 @@
     faults: u8,
 }
 
-/// One cell, whose connections both calls use, and two faults.
+/// One instance, whose connections both calls use, and two faults.
 const ONE_INSTANCE: Bounds = Bounds { instances: 1, permits: 3, faults: 2 };
-/// Two cells and one fault.
+/// Two instances and one fault.
 const TWO_INSTANCES: Bounds = Bounds { instances: 2, permits: 3, faults: 1 };
 
-/// What stands on a connection for the front to read.
+/// What the gateway can read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bytes {
     Response { id: u8, reports_not_run: bool },
@@ -75,7 +76,7 @@
 struct Connection {
     usage: ConnectionUse<u8>,
     unread: Vec<Bytes>,
-    /// The cell may still repeat its answer to this call, later.
+    /// The instance may later send its response to this call once more.
     extra_response: Option<u8>,
     is_fresh: bool,
 }
@@ -88,8 +89,8 @@
         instance: usize,
         connection: Connection,
     },
-    Over(CallState),
-    /// Its caller is gone.
+    Ended(CallState),
+    /// Its client has left.
     Dropped,
 }
 
@@ -97,10 +98,10 @@
 struct Call {
     state_machine: CallStateMachine,
     stage: Stage,
-    /// Requests of it that cells have and may still run.
+    /// Requests of it that instances have received and may still run.
     undecided: u8,
     runs: u8,
-    /// Requests that reached a cell.
+    /// Requests that reached an instance.
     arrivals: u32,
 }
 
@@ -109,7 +110,7 @@
     bounds: Bounds,
     calls: [Call; 2],
     idle: Vec<Vec<Connection>>,
-    /// Grants on their way to the node.
+    /// Grants in transit to the node.
     grants: Vec<(usize, u64, usize)>,
     used_permits: Vec<u64>,
     permits: u64,
@@ -118,8 +119,8 @@
     now: Micros,
 }
 
-/// The worlds that follow, or the rule that a step broke.
-type Followers = Vec<Result<Model, Violation>>;
+/// The successor states, or the rule that a step violated.
+type Successors = Vec<Result<Model, Violation>>;
 
 impl Model {
     fn begin(bounds: Bounds) -> Model {
@@ -143,13 +144,13 @@
         }
     }
 
-    /// Rules on what has been, however it came about.
+    /// Checks the rules on the calls' history.
     fn check(self) -> Result<Model, Violation> {
         for (call, repeatable) in self.calls.iter().zip(REPEATABLE) {
             if !repeatable && call.runs > 1 {
-                return Err(Violation::Twice);
+                return Err(Violation::CallRepeated);
             }
-            let is_refused = matches!(call.stage, Stage::Over(CallState::Refused));
+            let is_refused = matches!(call.stage, Stage::Ended(CallState::Refused));
             if is_refused && (call.runs > 0 || call.undecided > 0) {
                 return Err(Violation::RefusedAndRan);
             }
@@ -157,91 +158,91 @@
         Ok(self)
     }
 
-    /// The same world with one fault more, while there may be more.
+    /// The same state with one more fault, if the bounds allow it.
     fn with_fault(&self) -> Option<Model> {
         let faults = self.faults + 1;
         (faults <= self.bounds.faults).then(|| Model { faults, ..self.clone() })
     }
 
-    fn followers(&self, planted: Option<Planted>) -> Followers {
-        let mut followers = Vec::new();
+    fn successors(&self, planted: Option<PlantedBug>) -> Successors {
+        let mut successors = Vec::new();
         for call in 0..self.calls.len() {
-            self.steps_of_call(call, planted, &mut followers);
+            self.steps_of_call(call, planted, &mut successors);
         }
         for grant in 0..self.grants.len() {
-            self.steps_of_grant(grant, planted, &mut followers);
+            self.steps_of_grant(grant, planted, &mut successors);
         }
         for instance in 0..self.bounds.instances {
-            self.steps_of_idle(instance, &mut followers);
+            self.steps_of_idle(instance, &mut successors);
         }
-        if self.now < AFTER_A_FREEZE
-            && let Some(frozen) = self.with_fault()
+        if self.now < AFTER_SUSPENSION
+            && let Some(suspended) = self.with_fault()
         {
-            followers.push(Ok(Model { now: AFTER_A_FREEZE, ..frozen }));
+            successors.push(Ok(Model { now: AFTER_SUSPENSION, ..suspended }));
         }
-        followers.into_iter().map(|follower| follower.and_then(Model::check)).collect()
+        successors.into_iter().map(|successor| successor.and_then(Model::check)).collect()
     }
 
-    fn steps_of_call(&self, call: usize, planted: Option<Planted>, followers: &mut Followers) {
+    fn steps_of_call(&self, call: usize, planted: Option<PlantedBug>, successors: &mut Successors) {
         match &self.calls[call].stage {
             Stage::New => {
                 let mut next = self.clone();
                 next.calls[call].state_machine.step(CallState::Matched);
                 next.calls[call].state_machine.step(CallState::PermitRequested);
                 next.calls[call].stage = Stage::WaitsForPermit;
-                followers.push(Ok(next));
+                successors.push(Ok(next));
             }
             Stage::WaitsForPermit => {
-                let under_way = self.grants.iter().any(|(granted, ..)| *granted == call);
-                if self.permits < self.bounds.permits && (!under_way || self.faults < self.bounds.faults) {
+                let in_transit = self.grants.iter().any(|(granted, ..)| *granted == call);
+                if self.permits < self.bounds.permits && (!in_transit || self.faults < self.bounds.faults) {
                     for instance in 0..self.bounds.instances {
                         let mut next = self.clone();
                         next.permits += 1;
                         next.grants.push((call, next.permits, instance));
-                        followers.push(Ok(next));
+                        successors.push(Ok(next));
                     }
                 }
                 let mut next = self.clone();
                 next.calls[call].stage = Stage::Dropped;
-                followers.push(Ok(next));
+                successors.push(Ok(next));
                 if self.now >= CALLS_END_AT {
                     let mut next = self.clone();
                     let final_state = next.calls[call].state_machine.give_up();
-                    next.calls[call].stage = Stage::Over(final_state);
-                    followers.push(Ok(next));
+                    next.calls[call].stage = Stage::Ended(final_state);
+                    successors.push(Ok(next));
                 }
             }
-            Stage::Dispatched { .. } => self.steps_of_dispatch(call, planted, followers),
-            Stage::Over(_) | Stage::Dropped => {}
+            Stage::Dispatched { .. } => self.steps_of_dispatch(call, planted, successors),
+            Stage::Ended(_) | Stage::Dropped => {}
         }
-        // A cell runs late, or never, what it was sent by a dispatch that the front gave up.
+        // An instance runs a request late, or never, after the gateway gave up its dispatch.
         let is_dispatched = matches!(self.calls[call].stage, Stage::Dispatched { .. });
         if self.calls[call].undecided > u8::from(is_dispatched) {
             for runs in [0, 1] {
                 let mut next = self.clone();
                 next.calls[call].undecided -= 1;
                 next.calls[call].runs += runs;
-                followers.push(Ok(next));
+                successors.push(Ok(next));
             }
         }
     }
 
-    /// A grant arrives; a fault has it arrive once more later.
-    fn steps_of_grant(&self, grant: usize, planted: Option<Planted>, followers: &mut Followers) {
+    /// A grant arrives; with a fault it arrives once more later.
+    fn steps_of_grant(&self, grant: usize, planted: Option<PlantedBug>, successors: &mut Successors) {
         let mut arrived = self.clone();
         let (call, permit, instance) = arrived.grants.remove(grant);
-        followers.push(arrived.take_grant(call, permit, instance, planted));
-        if let Some(kept) = self.with_fault() {
-            followers.push(kept.take_grant(call, permit, instance, planted));
+        successors.push(arrived.receive_grant(call, permit, instance, planted));
+        if let Some(duplicated) = self.with_fault() {
+            successors.push(duplicated.receive_grant(call, permit, instance, planted));
         }
     }
 
-    fn take_grant(
+    fn receive_grant(
         mut self,
         call: usize,
         permit_id: u64,
         instance: usize,
-        planted: Option<Planted>,
+        planted: Option<PlantedBug>,
     ) -> Result<Model, Violation> {
         let waits = matches!(self.calls[call].stage, Stage::WaitsForPermit);
         let permit = Permit {
@@ -252,9 +253,9 @@
             instance: "c".into(),
             address: Address::from(SocketAddr::from(([127, 0, 0, 1], 1))),
         };
-        let now = if planted == Some(Planted::TimeIsNotLookedAt) { Micros(0) } else { self.now };
+        let now = if planted == Some(PlantedBug::TimeIsNotChecked) { Micros(0) } else { self.now };
         let mut admission = self.ledger.admit(&permit, waits.then_some(CALLS_END_AT), false, now);
-        if planted == Some(Planted::RepeatedPermitsAreUsed) && waits {
+        if planted == Some(PlantedBug::RepeatedPermitsAreUsed) && waits {
             admission = PermitAdmission::Used;
         }
         if admission != PermitAdmission::Used {
@@ -263,7 +264,7 @@
         match self.calls[call].state_machine.permit_arrived(now < CALLS_END_AT, true) {
             NextStep::Dispatch => self.begin_dispatch(call, permit_id, instance, planted),
             NextStep::GiveUp(final_state) => {
-                self.calls[call].stage = Stage::Over(final_state);
+                self.calls[call].stage = Stage::Ended(final_state);
                 Ok(self)
             }
             other => unreachable!("{other:?}"),
@@ -275,32 +276,33 @@
         call: usize,
         permit_id: u64,
         instance: usize,
-        planted: Option<Planted>,
+        planted: Option<PlantedBug>,
     ) -> Result<Model, Violation> {
-        let sent = &self.calls[call];
-        if !REPEATABLE[call] && (sent.runs > 0 || sent.undecided > 0) {
-            return Err(Violation::Twice);
+        let previous = &self.calls[call];
+        if !REPEATABLE[call] && (previous.runs > 0 || previous.undecided > 0) {
+            return Err(Violation::CallRepeated);
         }
         if self.used_permits.contains(&permit_id) {
-            return Err(Violation::PermitTwice);
+            return Err(Violation::PermitReused);
         }
         if self.now >= CALLS_END_AT {
-            return Err(Violation::TooLate);
+            return Err(Violation::DispatchedAfterDeadline);
         }
         self.used_permits.push(permit_id);
-        let mut taken = None;
+        let mut reused = None;
         while let Some(kept) = self.idle[instance].pop() {
-            let has_unread_bytes = !kept.unread.is_empty() && planted != Some(Planted::UnreadBytesAreIgnored);
+            let has_unread_bytes =
+                !kept.unread.is_empty() && planted != Some(PlantedBug::UnreadBytesAreIgnored);
             let check = IdleCheck { is_same_address: true, is_expired: false, has_unread_bytes };
             if kept.usage.may_reuse(check) {
-                taken = Some(kept);
+                reused = Some(kept);
                 break;
             }
         }
-        if taken.as_ref().is_some_and(|connection| !connection.unread.is_empty()) {
+        if reused.as_ref().is_some_and(|connection| !connection.unread.is_empty()) {
             return Err(Violation::UnreadBytes);
         }
-        let mut connection = taken.unwrap_or_else(|| Connection {
+        let mut connection = reused.unwrap_or_else(|| Connection {
             usage: ConnectionUse::fresh(),
             unread: Vec::new(),
             extra_response: None,
@@ -313,8 +315,8 @@
         Ok(self)
     }
 
-    /// What cell, network and front may do while a dispatch is under way.
-    fn steps_of_dispatch(&self, call: usize, planted: Option<Planted>, followers: &mut Followers) {
+    /// What instance, network and gateway may do during a dispatch.
+    fn steps_of_dispatch(&self, call: usize, planted: Option<PlantedBug>, successors: &mut Successors) {
         let Stage::Dispatched { connection, .. } = &self.calls[call].stage else { return };
         let id = call as u8;
         let has_replied = connection.unread.iter().any(|bytes| match bytes {
@@ -322,50 +324,50 @@
             Bytes::Garbage | Bytes::End => true,
         });
         if !has_replied && self.calls[call].undecided > 0 {
-            let sound = Bytes::Response { id, reports_not_run: false };
-            followers.push(Ok(self.replied(call, 1, sound)));
-            followers.push(Ok(self.replied(call, 0, Bytes::Response { id, reports_not_run: true })));
+            let valid = Bytes::Response { id, reports_not_run: false };
+            successors.push(Ok(self.with_reply(call, 1, valid)));
+            successors.push(Ok(self.with_reply(call, 0, Bytes::Response { id, reports_not_run: true })));
             if let Some(faulty) = self.with_fault() {
                 for (runs, bytes) in [(0, Bytes::End), (1, Bytes::End), (1, Bytes::Garbage)] {
-                    followers.push(Ok(faulty.replied(call, runs, bytes)));
+                    successors.push(Ok(faulty.with_reply(call, runs, bytes)));
                 }
-                let mut twofold = faulty.replied(call, 1, sound);
-                if let Stage::Dispatched { connection, .. } = &mut twofold.calls[call].stage {
+                let mut repeated = faulty.with_reply(call, 1, valid);
+                if let Stage::Dispatched { connection, .. } = &mut repeated.calls[call].stage {
                     connection.extra_response = Some(id);
                 }
-                followers.push(Ok(twofold));
+                successors.push(Ok(repeated));
                 if connection.is_fresh {
                     let mut refused = faulty;
                     refused.calls[call].undecided -= 1;
                     refused.calls[call].arrivals -= 1;
-                    followers.push(refused.end_dispatch(call, DispatchEnd::NotRun, planted));
+                    successors.push(refused.end_dispatch(call, DispatchEnd::NotRun, planted));
                 }
             }
         }
-        // An answer to an earlier call comes late, in the place of this one's or behind it.
+        // A late response to an earlier call arrives, before this call's response or after it.
         if let Some(earlier) = connection.extra_response {
             let mut next = self.clone();
             if let Stage::Dispatched { connection, .. } = &mut next.calls[call].stage {
                 connection.extra_response = None;
                 connection.unread.push(Bytes::Response { id: earlier, reports_not_run: false });
             }
-            followers.push(Ok(next));
+            successors.push(Ok(next));
         }
         if !connection.unread.is_empty() {
-            followers.push(self.read_bytes(call, planted));
+            successors.push(self.read_bytes(call, planted));
         }
         if self.now >= CALLS_END_AT {
-            followers.push(self.clone().end_dispatch(call, DispatchEnd::TimedOut, planted));
+            successors.push(self.clone().end_dispatch(call, DispatchEnd::TimedOut, planted));
         }
         if let Some(faulty) = self.with_fault() {
-            followers.push(faulty.clone().end_dispatch(call, DispatchEnd::TimedOut, planted));
-            // A reset with the request on its way: the cell may have it.
-            followers.push(faulty.end_dispatch(call, DispatchEnd::Unknown, planted));
+            successors.push(faulty.clone().end_dispatch(call, DispatchEnd::TimedOut, planted));
+            // A reset while the request is in transit: the instance may have received it.
+            successors.push(faulty.end_dispatch(call, DispatchEnd::Unknown, planted));
         }
     }
 
-    /// The cell decides on the request and sends something.
-    fn replied(&self, call: usize, runs: u8, bytes: Bytes) -> Model {
+    /// The instance runs the request or not, and sends something.
+    fn with_reply(&self, call: usize, runs: u8, bytes: Bytes) -> Model {
         let mut next = self.clone();
         next.calls[call].undecided -= 1;
         next.calls[call].runs += runs;
@@ -375,15 +377,15 @@
         next
     }
 
-    /// The front reads what comes first.
-    fn read_bytes(&self, call: usize, planted: Option<Planted>) -> Result<Model, Violation> {
+    /// The gateway reads what arrived first.
+    fn read_bytes(&self, call: usize, planted: Option<PlantedBug>) -> Result<Model, Violation> {
         let mut next = self.clone();
         let Stage::Dispatched { instance, connection } = &mut next.calls[call].stage else { return Ok(next) };
         let instance = *instance;
         let Bytes::Response { id, reports_not_run } = connection.unread.remove(0) else {
             return next.end_dispatch(call, DispatchEnd::Unknown, planted);
         };
-        let seen_id = if planted == Some(Planted::IdsAreIgnored) { call as u8 } else { id };
+        let seen_id = if planted == Some(PlantedBug::IdsAreIgnored) { call as u8 } else { id };
         match connection.usage.response_began(Some(&seen_id), reports_not_run) {
             ResponseOwner::Nobody => return next.end_dispatch(call, DispatchEnd::Unknown, planted),
             ResponseOwner::Earlier => return Ok(next),
@@ -409,21 +411,22 @@
         mut self,
         call: usize,
         end: DispatchEnd,
-        planted: Option<Planted>,
+        planted: Option<PlantedBug>,
     ) -> Result<Model, Violation> {
         let reported = match (planted, end) {
-            (Some(Planted::LostCountsAsNotRun), DispatchEnd::Unknown) => DispatchEnd::NotRun,
-            (Some(Planted::TimeoutCountsAsNotRun), DispatchEnd::TimedOut) => DispatchEnd::NotRun,
+            (Some(PlantedBug::LostCountsAsNotRun), DispatchEnd::Unknown) => DispatchEnd::NotRun,
+            (Some(PlantedBug::TimeoutCountsAsNotRun), DispatchEnd::TimedOut) => DispatchEnd::NotRun,
             _ => end,
         };
-        let tries = if planted == Some(Planted::OneInstanceMore) { TRIES + 1 } else { TRIES };
-        if self.calls[call].arrivals > TRIES {
+        let dispatch_limit =
+            if planted == Some(PlantedBug::OneInstanceMore) { DISPATCH_LIMIT + 1 } else { DISPATCH_LIMIT };
+        if self.calls[call].arrivals > DISPATCH_LIMIT {
             return Err(Violation::TooManyInstances);
         }
         let ended = &mut self.calls[call];
-        ended.stage = match ended.state_machine.dispatch_ended(reported, REPEATABLE[call], tries) {
-            NextStep::Response => Stage::Over(CallState::Answered),
-            NextStep::GiveUp(final_state) => Stage::Over(final_state),
+        ended.stage = match ended.state_machine.dispatch_ended(reported, REPEATABLE[call], dispatch_limit) {
+            NextStep::Response => Stage::Ended(CallState::Answered),
+            NextStep::GiveUp(final_state) => Stage::Ended(final_state),
             NextStep::RequestAgain => {
                 ended.state_machine.step(CallState::PermitRequested);
                 Stage::WaitsForPermit
@@ -433,42 +436,42 @@
         Ok(self)
     }
 
-    /// An idle connection gets a late answer, bytes that are none, or its end.
-    fn steps_of_idle(&self, instance: usize, followers: &mut Followers) {
-        for place in 0..self.idle[instance].len() {
-            if let Some(id) = self.idle[instance][place].extra_response {
+    /// An idle connection receives a late response, invalid bytes, or its end.
+    fn steps_of_idle(&self, instance: usize, successors: &mut Successors) {
+        for index in 0..self.idle[instance].len() {
+            if let Some(id) = self.idle[instance][index].extra_response {
                 let mut next = self.clone();
-                next.idle[instance][place].extra_response = None;
-                next.idle[instance][place].unread.push(Bytes::Response { id, reports_not_run: false });
-                followers.push(Ok(next));
+                next.idle[instance][index].extra_response = None;
+                next.idle[instance][index].unread.push(Bytes::Response { id, reports_not_run: false });
+                successors.push(Ok(next));
             }
-            if self.idle[instance][place].unread.is_empty()
+            if self.idle[instance][index].unread.is_empty()
                 && let Some(faulty) = self.with_fault()
             {
                 for bytes in [Bytes::Garbage, Bytes::End] {
                     let mut next = faulty.clone();
-                    next.idle[instance][place].unread.push(bytes);
-                    followers.push(Ok(next));
+                    next.idle[instance][index].unread.push(bytes);
+                    successors.push(Ok(next));
                 }
             }
         }
     }
 }
 
-/// All states that can be reached, each once. Returns how many there are and every rule broken.
-fn explore(bounds: Bounds, planted: Option<(Planted, Violation)>) -> (usize, BTreeSet<Violation>) {
+/// Visits all reachable states, each once. Returns their number and every rule violated.
+fn explore(bounds: Bounds, planted: Option<(PlantedBug, Violation)>) -> (usize, BTreeSet<Violation>) {
     let mut violations = BTreeSet::new();
     let mut seen = HashSet::new();
-    let mut waiting = VecDeque::from([Model::begin(bounds)]);
-    while let Some(model) = waiting.pop_front() {
-        for follower in model.followers(planted.map(|(planted, _)| planted)) {
-            match follower {
+    let mut queue = VecDeque::from([Model::begin(bounds)]);
+    while let Some(model) = queue.pop_front() {
+        for successor in model.successors(planted.map(|(planted, _)| planted)) {
+            match successor {
                 Err(violation) => {
                     violations.insert(violation);
                 }
                 Ok(next) => {
-                    if seen.insert(key(&next)) {
-                        waiting.push_back(next);
+                    if seen.insert(fingerprint(&next)) {
+                        queue.push_back(next);
                     }
                 }
             }
@@ -480,38 +483,38 @@
     (seen.len(), violations)
 }
 
-/// A state's whole content, hashed.
-fn key(model: &Model) -> u128 {
+/// A hash of a state's whole content.
+fn fingerprint(model: &Model) -> u128 {
     let text = format!("{model:?}");
     let half = |salt: &str| u128::from(peer_messages::stable_hash(format!("{salt}{text}").as_bytes()));
     (half("a") << 64) | half("b")
 }
 
 #[test]
-fn no_order_of_events_breaks_a_rule() {
+fn no_order_of_events_violates_a_rule() {
     for bounds in [ONE_INSTANCE, TWO_INSTANCES] {
         let (states, violations) = explore(bounds, None);
         println!("{bounds:?}: {states} states");
         assert_eq!(violations, BTreeSet::new());
-        assert!(states > 10_000, "the model is too small to show anything: {states}");
+        assert!(states > 10_000, "the model is too small to be meaningful: {states} states");
     }
 }
 
 #[test]
-fn every_rule_bites() {
+fn every_rule_detects_a_planted_bug() {
     let expected = [
-        (Planted::LostCountsAsNotRun, Violation::Twice),
-        (Planted::TimeoutCountsAsNotRun, Violation::Twice),
-        (Planted::TimeoutCountsAsNotRun, Violation::RefusedAndRan),
-        (Planted::IdsAreIgnored, Violation::AnotherCallsResponse),
-        (Planted::UnreadBytesAreIgnored, Violation::UnreadBytes),
-        (Planted::OneInstanceMore, Violation::TooManyInstances),
-        (Planted::RepeatedPermitsAreUsed, Violation::PermitTwice),
-        (Planted::TimeIsNotLookedAt, Violation::TooLate),
+        (PlantedBug::LostCountsAsNotRun, Violation::CallRepeated),
+        (PlantedBug::TimeoutCountsAsNotRun, Violation::CallRepeated),
+        (PlantedBug::TimeoutCountsAsNotRun, Violation::RefusedAndRan),
+        (PlantedBug::IdsAreIgnored, Violation::AnotherCallsResponse),
+        (PlantedBug::UnreadBytesAreIgnored, Violation::UnreadBytes),
+        (PlantedBug::OneInstanceMore, Violation::TooManyInstances),
+        (PlantedBug::RepeatedPermitsAreUsed, Violation::PermitReused),
+        (PlantedBug::TimeIsNotChecked, Violation::DispatchedAfterDeadline),
     ];
     for (planted, violation) in expected {
         let (states, violations) = explore(ONE_INSTANCE, Some((planted, violation)));
         println!("{planted:?}: {violations:?} after {states} states");
-        assert!(violations.contains(&violation), "{planted:?} was not found: {violations:?}");
+        assert!(violations.contains(&violation), "{planted:?} was not detected: {violations:?}");
     }
 }
--- a/packages/gateway/tests/dispatch_faults.rs
+++ b/packages/gateway/tests/dispatch_faults.rs
@@ -1,5 +1,5 @@
-//! Every way in which a cell or its connection may fail one dispatch, and what the front makes of it:
-//! only what surely did not run is said not to have run.
+//! Every way in which an instance or its connection may fail one dispatch, and the outcome that the gateway
+//! derives: only a call that certainly did not run may be reported as not run.
 
 mod scripted_instance;
 
@@ -12,10 +12,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 const LONG_TIMEOUT: Micros = Micros::from_secs(30);
-/// For calls whose time is to run out.
-const SHORT: Micros = Micros::from_millis(60);
+/// For calls that are to time out.
+const SHORT_TIMEOUT: Micros = Micros::from_millis(60);
 
-fn reported(outcome: &DispatchOutcome) -> String {
+fn outcome_text(outcome: &DispatchOutcome) -> String {
     match outcome {
         DispatchOutcome::Answered(answered) => {
             format!("answered {} {}", answered.status.as_u16(), String::from_utf8_lossy(&answered.body))
@@ -38,24 +38,24 @@
     actix_rt::System::new().block_on(async {
         let mut outcomes = Vec::new();
         for id in ids {
-            outcomes.push(reported(&dispatch(call_to(address, id, time_left), settings).await));
+            outcomes.push(outcome_text(&dispatch(call_to(address, id, time_left), settings).await));
         }
         outcomes
     })
 }
 
-/// One dispatch over a fresh connection to a cell that replies so.
+/// The outcome of one dispatch over a fresh connection to an instance that sends these bytes.
 fn fresh(bytes: Vec<u8>, after: After, header_conventions: HeaderConventions, time_left: Micros) -> String {
     let instance = ScriptedInstance::start(move |_, _| Reply { bytes: bytes.clone(), after });
     dispatched(instance.address, &["a"], time_left, &keeping(header_conventions)).remove(0)
 }
 
 #[test]
-fn what_was_sent_and_got_no_whole_response_may_have_run() {
+fn a_sent_call_without_a_valid_response_is_of_unknown_outcome() {
     let cut_chunks = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
     let whole = sound_response("a");
     let half = &whole[..whole.len() - 3];
-    let spoilt: [(&str, &[u8]); 6] = [
+    let invalid_responses: [(&str, &[u8]); 6] = [
         ("nothing", b""),
         ("a part of the head", b"HTTP/1.1 200 OK\r\nrequ"),
         ("a part of the body", half),
@@ -63,7 +63,7 @@
         ("no HTTP", b"\x00\x17 no http \xff\xfe\r\n\r\n"),
         ("an interim answer", b"HTTP/1.1 100 Continue\r\n\r\n"),
     ];
-    for (name, bytes) in spoilt {
+    for (name, bytes) in invalid_responses {
         for after in [After::Close, After::Reset] {
             assert_eq!(
                 fresh(bytes.to_vec(), after, platform_conventions(), LONG_TIMEOUT),
@@ -72,28 +72,29 @@
             );
         }
     }
-    // Half-open: the connection stands and brings nothing more.
+    // Half-open: the connection stays open and nothing more arrives.
     for bytes in [&b""[..], half, &cut_chunks[..]] {
-        assert_eq!(fresh(bytes.to_vec(), After::Silence, platform_conventions(), SHORT), "timed out");
+        assert_eq!(fresh(bytes.to_vec(), After::Silence, platform_conventions(), SHORT_TIMEOUT), "timed out");
     }
 }
 
 #[test]
-fn a_connection_that_did_not_come_up_carried_nothing() {
-    let refusing = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+fn a_call_whose_connection_did_not_open_is_reported_as_not_run() {
+    let refusing =
+        TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("a bound socket");
     assert_eq!(dispatched(refusing, &["a"], LONG_TIMEOUT, &keeping(platform_conventions())), ["not run"]);
-    // A listener whose queue is full leaves new connections without a word until the time is over.
+    // A listener with a full accept queue does not respond to new connections until the time is over.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    listener.listen(0).expect("listens");
-    let silent = listener.local_addr().expect("bound").as_socket().expect("an address");
-    let queued = TcpStream::connect(silent).expect("queued");
-    assert_eq!(dispatched(silent, &["a"], SHORT, &keeping(platform_conventions())), ["not run"]);
+    listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+    listener.listen(0).expect("a listening socket");
+    let silent = listener.local_addr().expect("a bound socket").as_socket().expect("an address");
+    let queued = TcpStream::connect(silent).expect("a queued connection");
+    assert_eq!(dispatched(silent, &["a"], SHORT_TIMEOUT, &keeping(platform_conventions())), ["not run"]);
     drop(queued);
 }
 
 #[test]
-fn only_the_instances_own_word_says_that_a_call_did_not_run() {
+fn only_the_instances_own_statement_reports_a_call_as_not_run() {
     let reply = |status: &str, headers: &str, header_conventions: HeaderConventions| {
         fresh(response_bytes(status, headers, "word"), After::Close, header_conventions, LONG_TIMEOUT)
     };
@@ -104,23 +105,24 @@
     }
     let misdirected = "421 Misdirected Request";
     assert_eq!(reply(misdirected, "", platform_conventions()), "not run");
-    // These statuses are promises to visitors: without the cell's word the front does not make them.
+    // Clients take these statuses as a promise that the call did not run: the gateway does not pass them on
+    // unless the instance says so.
     for status in ["503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"] {
         assert_eq!(reply(status, "request-id: a\r\n", platform_conventions()), "unknown", "{status}");
     }
     for status in ["500 Internal Server Error", "504 Gateway Timeout", "404 Not Found"] {
-        let code = status.split(' ').next().expect("a code");
+        let code = status.split(' ').next().expect("a status code");
         assert_eq!(
             reply(status, "request-id: a\r\n", platform_conventions()),
             format!("answered {code} word")
         );
     }
-    // A success is one, whatever stands beside it.
+    // A success status counts, whatever the headers say.
     assert_eq!(
         reply("200 OK", "request-id: a\r\nnot-run: 1\r\n", platform_conventions()),
         "answered 200 word"
     );
-    // Where an outcome header tells it, statuses are the functions' own.
+    // With an outcome header, statuses are the functions' own.
     let native = HeaderConventions::default;
     assert_eq!(reply("503 Service Unavailable", "", native()), "answered 503 word");
     let not_run = "x-vanelane-outcome: not_run\r\n";
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn a_response_that_bears_no_id_or_anothers_is_handed_to_nobody() {
+fn a_response_without_an_id_or_with_another_calls_id_is_discarded() {
     for headers in ["", "request-id: b\r\n"] {
         let bytes = response_bytes("200 OK", headers, "stray");
         assert_eq!(fresh(bytes, After::Next, platform_conventions(), LONG_TIMEOUT), "unknown", "{headers:?}");
@@ -138,8 +140,8 @@
 }
 
 #[test]
-fn a_call_without_an_id_never_takes_a_late_response() {
-    // The second request on a connection first meets a repeat of the first's answer.
+fn a_call_without_an_id_never_accepts_a_late_response() {
+    // The second request on a connection first gets a repeat of the first one's response.
     let instance = ScriptedInstance::start(|number, id| {
         let mut bytes = if number == 1 { sound_response("a") } else { Vec::new() };
         bytes.extend(match id {
@@ -155,18 +157,18 @@
 }
 
 #[test]
-fn connections_are_kept_only_where_answers_bear_ids() {
+fn connections_are_kept_only_where_responses_carry_ids() {
     let instance =
         || ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next });
-    let known = instance();
-    dispatched(known.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(platform_conventions()));
-    let unknown = instance();
-    dispatched(unknown.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(HeaderConventions::default()));
-    assert_eq!((known.connections(), unknown.connections()), (1, 3));
+    let with_ids = instance();
+    dispatched(with_ids.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(platform_conventions()));
+    let without_ids = instance();
+    dispatched(without_ids.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(HeaderConventions::default()));
+    assert_eq!((with_ids.connections(), without_ids.connections()), (1, 3));
 }
 
 #[test]
-fn a_kept_connection_that_failed_is_used_no_more() {
+fn a_kept_connection_that_failed_is_not_reused() {
     for after in [After::Close, After::Reset, After::Silence] {
         let instance = ScriptedInstance::start(move |number, id| match (number, id) {
             (0, id) => Reply { bytes: sound_response(id), after: After::Next },
@@ -180,7 +182,7 @@
         );
         let failed = if after == After::Silence { "timed out" } else { "unknown" };
         assert_eq!(outcomes, ["answered 200 answer to a", failed, "answered 200 answer to c"], "{after:?}");
-        // The failed call reached the cell once: nothing was sent again behind the front's back.
+        // The failed call reached the instance once: nothing was resent implicitly.
         assert_eq!(instance.requests(), ["a", "b", "c"], "{after:?}");
     }
 }
--- a/packages/gateway/tests/gateway_calls.rs
+++ b/packages/gateway/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Calls through a whole front: a protocol written by the test grants tickets for cells on loopback.
+//! Calls through a whole gateway: a protocol scripted by the test grants permits for instances on loopback.
 
 mod scripted_instance;
 
@@ -18,11 +18,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// What a call may be held past its lane's patience at most, on a machine without trouble.
-const HELD_PAST: Duration = Duration::from_millis(250);
+/// How much longer than its route's timeout a call may be held, on a machine without faults.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the protocol heard, and whether it answers asks.
+/// What the protocol received.
 #[derive(Default)]
 struct Received {
     requests: usize,
@@ -37,10 +37,10 @@
                 "g": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}}}},
             {route_settings}}}"#
     );
-    configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
+    configuration_schema::check(&document.parse().expect("JSON")).expect("a valid configuration")
 }
 
-/// One lane, impatient.
+/// One route with a short timeout.
 fn one_route(more: &str) -> configuration_schema::Configuration {
     let timeout = TIMEOUT.as_millis();
     routes(&format!(
@@ -48,29 +48,30 @@
     ))
 }
 
-fn route_with_timeout() -> configuration_schema::Configuration {
+fn route_with_long_timeout() -> configuration_schema::Configuration {
     routes(r#""lanes": {"l": {"function": "f", "path_prefix": "/", "patience_millis": 30000}}"#)
 }
 
-/// A front whose protocol grants the first `grants` asks a ticket for the cell, and is silent then.
+/// A gateway whose protocol grants the first `grants` requests a permit for the instance and leaves later
+/// requests unanswered.
 fn gateway(
     configuration: &configuration_schema::Configuration,
     instance: SocketAddr,
     grants: usize,
 ) -> (Arc<Gateway>, Arc<Mutex<Received>>) {
-    let (link, mut links) = mpsc::channel(64);
+    let (protocol_sender, mut messages) = mpsc::channel(64);
     let settings =
         GatewaySettings { dispatch: keeping(platform_conventions()), ..GatewaySettings::default() };
-    let gateway = Gateway::new(settings, link);
+    let gateway = Gateway::new(settings, protocol_sender);
     gateway.set_configuration(1, configuration);
     let received = Arc::new(Mutex::new(Received::default()));
-    let hearing = received.clone();
+    let protocol_received = received.clone();
     actix_rt::spawn(async move {
-        // Asks that are not answered are held: a reply that is dropped would be an answer.
+        // Unanswered requests are held: dropping the reply sender would count as a response.
         let mut unanswered = Vec::new();
-        while let Some(said) = links.recv().await {
-            let mut received = hearing.lock().expect("no test broke");
-            match said {
+        while let Some(message) = messages.recv().await {
+            let mut received = protocol_received.lock().expect("the mutex is not poisoned");
+            match message {
                 GatewayMessage::RequestPermit { reply, parameters, .. } => {
                     received.requests += 1;
                     if received.requests > grants {
@@ -109,41 +110,41 @@
     actix_http::body::to_bytes(response.into_body()).await.map_err(|failure| failure.to_string())
 }
 
-fn nowhere() -> SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound")
+fn closed_port() -> SocketAddr {
+    std::net::TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("a bound socket")
 }
 
 fn run(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
-/// The answer's status, which comes when the patience is over and not much later.
+/// The response to a call, which must arrive when the timeout expires and not much later.
 async fn held_until_timeout(gateway: Arc<Gateway>, request: Request) -> GatewayResponse {
     let began = Instant::now();
     let response = gateway.call(request).await;
     let held = began.elapsed();
     assert!(held >= TIMEOUT - Duration::from_millis(20), "{held:?}");
-    assert!(held < TIMEOUT + HELD_PAST, "{held:?}");
+    assert!(held < TIMEOUT + TIMEOUT_MARGIN, "{held:?}");
     response
 }
 
 #[test]
 fn a_call_that_waits_for_a_permit_is_refused_when_its_timeout_expires() {
     run(async {
-        let (gateway, received) = gateway(&one_route(""), nowhere(), 0);
+        let (gateway, received) = gateway(&one_route(""), closed_port(), 0);
         let response = held_until_timeout(gateway, request(b"x")).await;
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert!(response.headers().contains_key(header::RETRY_AFTER));
         actix_rt::task::yield_now().await;
-        let received = received.lock().expect("no test broke");
+        let received = received.lock().expect("the mutex is not poisoned");
         assert_eq!((received.requests, received.withdrawn), (1, 1));
     });
 }
 
 #[test]
-fn a_call_that_names_less_time_is_held_no_longer_than_that() {
+fn a_call_that_names_a_shorter_timeout_is_held_no_longer() {
     run(async {
-        let (gateway, _) = gateway(&route_with_timeout(), nowhere(), 0);
+        let (gateway, _) = gateway(&route_with_long_timeout(), closed_port(), 0);
         let mut request = request(b"x");
         let name = HeaderName::from_static("x-vanelane-time-left-ms");
         request.headers_mut().insert(name, HeaderValue::from_str(&TIMEOUT.as_millis().to_string()).unwrap());
@@ -153,14 +154,18 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_is_refused_when_the_timeout_expires() {
+fn a_body_that_does_not_arrive_is_refused_when_the_timeout_expires() {
     run(async {
-        let (gateway, received) = gateway(&one_route(""), nowhere(), 1);
+        let (gateway, received) = gateway(&one_route(""), closed_port(), 1);
         let (_sender, payload) = actix_http::h1::Payload::create(false);
         let request = request(b"").replace_payload(Payload::from(payload)).0;
         let response = held_until_timeout(gateway, request).await;
         assert_eq!(response.status(), StatusCode::REQUEST_TIMEOUT);
-        assert_eq!(received.lock().expect("no test broke").requests, 0, "no ticket is asked for half a call");
+        assert_eq!(
+            received.lock().expect("the mutex is not poisoned").requests,
+            0,
+            "no permit is requested before the body is whole"
+        );
     });
 }
 
@@ -184,18 +189,18 @@
         let (gateway, received) = gateway(&one_route(r#", "repeatable": true"#), instance.address, 1);
         let response = held_until_timeout(gateway, request(b"x")).await;
         assert_eq!(response.status(), StatusCode::GATEWAY_TIMEOUT);
-        assert_eq!(received.lock().expect("no test broke").requests, 2);
+        assert_eq!(received.lock().expect("the mutex is not poisoned").requests, 2);
     });
 }
 
 #[test]
-fn an_instance_that_cannot_be_reached_is_no_unknown_outcome() {
+fn a_call_whose_instance_cannot_be_reached_is_refused_as_not_run() {
     run(async {
-        let (gateway, received) = gateway(&one_route(""), nowhere(), 1);
+        let (gateway, received) = gateway(&one_route(""), closed_port(), 1);
         let response = held_until_timeout(gateway, request(b"x")).await;
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert!(response.headers().contains_key(header::RETRY_AFTER));
-        assert_eq!(received.lock().expect("no test broke").requests, 2);
+        assert_eq!(received.lock().expect("the mutex is not poisoned").requests, 2);
     });
 }
 
@@ -213,55 +218,56 @@
         assert_eq!(response.status(), StatusCode::OK);
         assert_eq!(response.body().size(), BodySize::Sized(900_000));
         assert!(body_of(response).await.is_err());
-        assert!(began.elapsed() < TIMEOUT + HELD_PAST, "{:?}", began.elapsed());
+        assert!(began.elapsed() < TIMEOUT + TIMEOUT_MARGIN, "{:?}", began.elapsed());
     });
 }
 
 #[test]
-fn a_permit_that_comes_as_its_call_ends_is_returned_unused() {
+fn a_permit_that_arrives_as_its_call_ends_is_returned_unused() {
     run(async {
-        let (gateway, received) = gateway(&route_with_timeout(), nowhere(), 1);
-        // The call runs until it asked and is dropped before it looks at the answer.
+        let (gateway, received) = gateway(&route_with_long_timeout(), closed_port(), 1);
+        // The call is polled until it has requested a permit, and is dropped before it reads the response.
         let mut call = Box::pin(gateway.call(request(b"x")));
         let is_pending = futures_util::poll!(call.as_mut()).is_pending();
         assert!(is_pending);
-        while received.lock().expect("no test broke").requests == 0 {
+        while received.lock().expect("the mutex is not poisoned").requests == 0 {
             actix_rt::task::yield_now().await;
         }
         drop(call);
-        while received.lock().expect("no test broke").returned.is_empty() {
+        while received.lock().expect("the mutex is not poisoned").returned.is_empty() {
             actix_rt::task::yield_now().await;
         }
-        let received = received.lock().expect("no test broke");
+        let received = received.lock().expect("the mutex is not poisoned");
         assert_eq!((received.returned.as_slice(), received.withdrawn), (&[UNUSED][..], 0));
     });
 }
 
-/// Longer than any of these tests takes.
+/// Longer than any of these tests runs.
 const LONG_STOP: Duration = Duration::from_secs(30);
 
-/// A call is at its cell when something is done to the front; it gets its whole answer all the same.
-fn answered_across(disturbance: impl Fn(&Gateway), long: bool) -> GatewayResponse {
-    let mut taken = None;
+/// Applies a change to the gateway while a call is at its instance, and checks that the call still gets its
+/// whole response.
+fn response_despite(change: impl Fn(&Gateway), long: bool) -> GatewayResponse {
+    let mut final_response = None;
     let system = actix_rt::System::new();
     system.block_on(async {
         let (arrived, has_arrived) = thread_channel::channel();
-        let (go_on, goes_on) = thread_channel::channel::<()>();
-        let goes_on = Mutex::new(goes_on);
+        let (resume, resumed) = thread_channel::channel::<()>();
+        let resumed = Mutex::new(resumed);
         let instance = ScriptedInstance::start(move |_, id| {
             arrived.send(()).expect("the test waits");
-            let _ = goes_on.lock().expect("no test broke").recv();
+            let _ = resumed.lock().expect("the mutex is not poisoned").recv();
             let body = if long { "x".repeat(600_000) } else { format!("answer to {id}") };
             Reply { bytes: response_bytes("200 OK", "request-id: a\r\n", &body), after: After::Close }
         });
-        let (gateway, _) = gateway(&route_with_timeout(), instance.address, 1);
+        let (gateway, _) = gateway(&route_with_long_timeout(), instance.address, 1);
         let call = actix_rt::spawn(gateway.clone().call(request(b"x")));
         while has_arrived.try_recv().is_err() {
             actix_rt::task::yield_now().await;
         }
-        disturbance(&gateway);
+        change(&gateway);
         actix_rt::task::yield_now().await;
-        go_on.send(()).expect("the cell waits");
+        resume.send(()).expect("the instance waits");
         let response = call.await.expect("the call ended");
         assert_eq!(response.status(), StatusCode::OK);
         let head = response.head().connection_type();
@@ -269,33 +275,34 @@
         assert_eq!(body.len(), if long { 600_000 } else { "answer to a".len() });
         let mut seen: GatewayResponse = actix_http::Response::new(StatusCode::OK).map_into_boxed_body();
         seen.head_mut().set_connection_type(head);
-        taken = Some(seen);
+        final_response = Some(seen);
     });
-    taken.expect("an answer")
+    final_response.expect("a response")
 }
 
 #[test]
 fn a_new_configuration_cuts_no_call_that_is_at_its_instance() {
     for long in [false, true] {
-        // The lane is gone, leads elsewhere, or is less patient than the call has waited.
-        answered_across(|gateway| gateway.set_configuration(2, &routes(r#""lanes": {}"#)), long);
-        let elsewhere = r#""lanes": {"l": {"function": "g", "path_prefix": "/"}}"#;
-        answered_across(|gateway| gateway.set_configuration(2, &routes(elsewhere)), long);
-        let impatient = r#""lanes": {"l": {"function": "f", "path_prefix": "/", "patience_millis": 1}}"#;
-        answered_across(|gateway| gateway.set_configuration(2, &routes(impatient)), long);
+        // The route is removed, leads to another function, or has a timeout shorter than the call has waited.
+        response_despite(|gateway| gateway.set_configuration(2, &routes(r#""lanes": {}"#)), long);
+        let other_function = r#""lanes": {"l": {"function": "g", "path_prefix": "/"}}"#;
+        response_despite(|gateway| gateway.set_configuration(2, &routes(other_function)), long);
+        let shorter_timeout =
+            r#""lanes": {"l": {"function": "f", "path_prefix": "/", "patience_millis": 1}}"#;
+        response_despite(|gateway| gateway.set_configuration(2, &routes(shorter_timeout)), long);
     }
 }
 
 #[test]
 fn a_planned_stop_cuts_no_call_that_is_at_its_instance() {
     for long in [false, true] {
-        let response = answered_across(|gateway| gateway.begin_stop(LONG_STOP), long);
+        let response = response_despite(|gateway| gateway.begin_stop(LONG_STOP), long);
         assert_eq!(response.head().connection_type(), ConnectionType::Close);
     }
 }
 
 #[test]
-fn heads_and_bodies_over_the_configurations_limits_are_refused_unread() {
+fn heads_and_bodies_over_the_configured_limits_are_refused_unread() {
     run(async {
         let limits = r#""lanes": {"l": {"function": "f", "path_prefix": "/"}},
             "visitor_limits": {"header_bytes": 300, "body_bytes": 10}"#;
@@ -303,11 +310,11 @@
             ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next });
         let (gateway, received) = gateway(&routes(limits), instance.address, 1);
         let mut long_head = request(b"");
-        let value = HeaderValue::from_str(&"x".repeat(300)).expect("a value");
+        let value = HeaderValue::from_str(&"x".repeat(300)).expect("a valid header value");
         long_head.headers_mut().insert(HeaderName::from_static("x-long"), value);
         let response = gateway.clone().call(long_head).await;
         assert_eq!(response.status(), StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
-        // A body that tells its length is refused before any of it is read.
+        // A body with a declared length is refused before any of it is read.
         let mut long_body = request(b"").replace_payload(Payload::None).0;
         long_body.headers_mut().insert(header::CONTENT_LENGTH, HeaderValue::from_static("11"));
         assert_eq!(gateway.clone().call(long_body).await.status(), StatusCode::PAYLOAD_TOO_LARGE);
@@ -315,16 +322,16 @@
             gateway.clone().call(request(b"eleven byte")).await.status(),
             StatusCode::PAYLOAD_TOO_LARGE
         );
-        assert_eq!(received.lock().expect("no test broke").requests, 0);
-        // At the limit it passes.
+        assert_eq!(received.lock().expect("the mutex is not poisoned").requests, 0);
+        // A body at the limit is accepted.
         assert_eq!(gateway.call(request(b"ten bytes!")).await.status(), StatusCode::OK);
     });
 }
 
 const STOP_WITHIN: Duration = Duration::from_millis(600);
 
-/// The answer to a call on a front whose stop begins at once, and how long it took.
-async fn answered_in_a_stop(gateway: Arc<Gateway>, request: Request) -> (GatewayResponse, Duration) {
+/// The response to a call on a gateway whose stop begins at once, and how long it took.
+async fn response_during_stop(gateway: Arc<Gateway>, request: Request) -> (GatewayResponse, Duration) {
     let began = Instant::now();
     let call = actix_rt::spawn(gateway.clone().call(request));
     actix_rt::task::yield_now().await;
@@ -337,18 +344,18 @@
 #[test]
 fn a_call_that_waits_for_a_permit_is_refused_halfway_through_a_stop() {
     run(async {
-        let (gateway, received) = gateway(&route_with_timeout(), nowhere(), 0);
-        let (response, took) = answered_in_a_stop(gateway, request(b"x")).await;
+        let (gateway, received) = gateway(&route_with_long_timeout(), closed_port(), 0);
+        let (response, took) = response_during_stop(gateway, request(b"x")).await;
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert!(response.headers().contains_key(header::RETRY_AFTER));
         assert!(took < STOP_WITHIN * 3 / 4, "{took:?}");
         actix_rt::task::yield_now().await;
-        assert_eq!(received.lock().expect("no test broke").withdrawn, 1);
+        assert_eq!(received.lock().expect("the mutex is not poisoned").withdrawn, 1);
     });
 }
 
 #[test]
-fn a_call_at_a_silent_instance_is_told_its_unknown_outcome_before_a_stop_ends() {
+fn a_call_at_a_silent_instance_gets_an_unknown_outcome_before_a_stop_ends() {
     run(async {
         let instance = ScriptedInstance::start(|_, _| Reply { bytes: Vec::new(), after: After::Silence });
         for repeatable in ["", r#", "repeatable": true"#] {
@@ -356,45 +363,49 @@
                 r#""lanes": {{"l": {{"function": "f", "path_prefix": "/", "patience_millis": 30000{repeatable}}}}}"#
             );
             let (gateway, received) = gateway(&routes(&route), instance.address, 1);
-            let (response, took) = answered_in_a_stop(gateway, request(b"x")).await;
+            let (response, took) = response_during_stop(gateway, request(b"x")).await;
             assert_eq!(response.status(), StatusCode::GATEWAY_TIMEOUT);
             assert!(!response.headers().contains_key(header::RETRY_AFTER), "it may have run");
             assert!(took > STOP_WITHIN / 2 && took < STOP_WITHIN, "{took:?}");
-            assert_eq!(received.lock().expect("no test broke").requests, 1, "no second cell is asked for");
+            assert_eq!(
+                received.lock().expect("the mutex is not poisoned").requests,
+                1,
+                "no second permit is requested"
+            );
         }
     });
 }
 
 #[test]
-fn a_body_that_does_not_come_is_refused_before_a_stop_ends() {
+fn a_body_that_does_not_arrive_is_refused_before_a_stop_ends() {
     run(async {
-        let (gateway, _) = gateway(&route_with_timeout(), nowhere(), 0);
+        let (gateway, _) = gateway(&route_with_long_timeout(), closed_port(), 0);
         let (_sender, payload) = actix_http::h1::Payload::create(false);
         let request = request(b"").replace_payload(Payload::from(payload)).0;
-        let (response, took) = answered_in_a_stop(gateway, request).await;
+        let (response, took) = response_during_stop(gateway, request).await;
         assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert!(response.headers().contains_key(header::RETRY_AFTER));
         assert!(took < STOP_WITHIN, "{took:?}");
     });
 }
 
-/// What a cell that never answers saw of its connections.
-enum InstanceSaw {
+/// What an instance that never responds observed on its connections.
+enum Observed {
     Request,
-    /// The connection ended.
+    /// The connection was closed.
     End,
 }
 
-/// A cell that reads requests and never answers, and what it sees.
-fn watching_instance() -> (SocketAddr, thread_channel::Receiver<InstanceSaw>) {
-    let (seen, sees) = thread_channel::channel();
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    std::thread::spawn(move || watch_connections(&listener, &seen));
-    (address, sees)
+/// An instance that reads requests and never responds, and what it observes.
+fn watching_instance() -> (SocketAddr, thread_channel::Receiver<Observed>) {
+    let (observer, observations) = thread_channel::channel();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound socket");
+    std::thread::spawn(move || watch_connections(&listener, &observer));
+    (address, observations)
 }
 
-fn watch_connections(listener: &std::net::TcpListener, seen: &thread_channel::Sender<InstanceSaw>) {
+fn watch_connections(listener: &std::net::TcpListener, observer: &thread_channel::Sender<Observed>) {
     use std::io::Read;
     let mut bytes = [0; 4096];
     for stream in listener.incoming() {
@@ -402,69 +413,79 @@
         if !matches!(stream.read(&mut bytes), Ok(count) if count > 0) {
             continue;
         }
-        let _ = seen.send(InstanceSaw::Request);
+        let _ = observer.send(Observed::Request);
         while matches!(stream.read(&mut bytes), Ok(count) if count > 0) {}
-        let _ = seen.send(InstanceSaw::End);
+        let _ = observer.send(Observed::End);
     }
 }
 
-async fn next_seen(sees: &thread_channel::Receiver<InstanceSaw>, within: Duration) -> Option<InstanceSaw> {
+async fn next_observed(
+    observations: &thread_channel::Receiver<Observed>,
+    within: Duration,
+) -> Option<Observed> {
     let began = Instant::now();
     while began.elapsed() < within {
-        if let Ok(seen) = sees.try_recv() {
-            return Some(seen);
+        if let Ok(observed) = observations.try_recv() {
+            return Some(observed);
         }
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
     None
 }
 
-/// A cell is to stop its work soon after the client left, if the call may be repeated.
-const ENDS_WITH_ITS_CLIENT: Duration = Duration::from_millis(400);
+/// How soon after the client left an instance must be able to abort a repeatable call.
+const ABORT_WITHIN: Duration = Duration::from_millis(400);
 
 #[test]
-fn a_repeatable_call_at_its_instance_ends_with_its_client() {
+fn only_a_repeatable_call_at_its_instance_is_aborted_when_its_client_leaves() {
     run(async {
         for is_repeatable in [true, false] {
-            let (instance, sees) = watching_instance();
+            let (instance, observations) = watching_instance();
             let route = format!(
                 r#""lanes": {{"l": {{"function": "f", "path_prefix": "/", "patience_millis": 30000,
                     "repeatable": {is_repeatable}}}}}"#
             );
             let (gateway, received) = gateway(&routes(&route), instance, 1);
             let call = actix_rt::spawn(gateway.clone().call(request(b"x")));
-            let reached = next_seen(&sees, Duration::from_secs(5)).await;
-            assert!(matches!(reached, Some(InstanceSaw::Request)));
+            let reached = next_observed(&observations, Duration::from_secs(5)).await;
+            assert!(matches!(reached, Some(Observed::Request)));
             call.abort();
-            let ended = next_seen(&sees, ENDS_WITH_ITS_CLIENT).await;
-            assert_eq!(ended.is_some(), is_repeatable, "one that may not run twice is left to its end");
+            let ended = next_observed(&observations, ABORT_WITHIN).await;
+            assert_eq!(
+                ended.is_some(),
+                is_repeatable,
+                "a call that may not run twice is left to run to its end"
+            );
             assert_eq!(gateway.open_calls(), 0);
-            // The place at the cell counts as taken for a while: nothing tells whether it stopped.
-            let returned = received.lock().expect("no test broke").returned.clone();
+            // The slot at the instance stays occupied for a while: nothing tells whether the work stopped.
+            let returned = received.lock().expect("the mutex is not poisoned").returned.clone();
             assert_eq!(returned.len(), usize::from(is_repeatable));
             assert!(!returned.contains(&UNUSED));
         }
     });
 }
+
 #[test]
-fn a_call_whose_client_leaves_while_its_connection_comes_up_is_not_sent() {
+fn a_call_whose_client_leaves_while_its_connection_opens_is_not_sent() {
     run(async {
-        // Connections beyond the listener's queue hang until it accepts.
+        // Connections beyond the listener's accept queue hang until it accepts.
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        listener.listen(0).expect("listening");
-        let address = listener.local_addr().expect("bound").as_socket().expect("IPv4");
+        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+        listener.listen(0).expect("a listening socket");
+        let address = listener.local_addr().expect("a bound socket").as_socket().expect("an IPv4 address");
         let listener = std::net::TcpListener::from(listener);
-        let _first = std::net::TcpStream::connect(address).expect("the queue takes one");
-        let (link, mut links) = mpsc::channel(64);
+        let _first = std::net::TcpStream::connect(address).expect("the queue holds one");
+        let (protocol_sender, mut messages) = mpsc::channel(64);
         let mut dispatch = keeping(platform_conventions());
         dispatch.connect_within = Duration::from_secs(20);
-        let gateway =
-            Arc::new(Gateway::new(GatewaySettings { dispatch, ..GatewaySettings::default() }, link));
-        gateway.set_configuration(1, &route_with_timeout());
+        let gateway = Arc::new(Gateway::new(
+            GatewaySettings { dispatch, ..GatewaySettings::default() },
+            protocol_sender,
+        ));
+        gateway.set_configuration(1, &route_with_long_timeout());
         let call = actix_rt::spawn(gateway.clone().call(request(b"x")));
-        let Some(GatewayMessage::RequestPermit { reply, parameters, .. }) = links.recv().await else {
-            panic!("no ask")
+        let Some(GatewayMessage::RequestPermit { reply, parameters, .. }) = messages.recv().await else {
+            panic!("expected a permit request")
         };
         let permit = Permit {
             id: 1,
@@ -477,11 +498,14 @@
         assert!(reply.send(PermitResponse::Granted(permit)).is_ok());
         actix_rt::time::sleep(Duration::from_millis(100)).await;
         call.abort();
-        let returned = tokio::time::timeout(ENDS_WITH_ITS_CLIENT, links.recv()).await;
+        let returned = tokio::time::timeout(ABORT_WITHIN, messages.recv()).await;
         assert!(matches!(returned, Ok(Some(GatewayMessage::Done { outcome: UNUSED, .. }))), "{returned:?}");
-        // The system sends the opening packet again after a second: the connection may come up now.
-        let (seen, sees) = thread_channel::channel();
-        std::thread::spawn(move || watch_connections(&listener, &seen));
-        assert!(next_seen(&sees, Duration::from_millis(2_500)).await.is_none(), "it was sent");
+        // The operating system retransmits the SYN after a second: the connection may open now.
+        let (observer, observations) = thread_channel::channel();
+        std::thread::spawn(move || watch_connections(&listener, &observer));
+        assert!(
+            next_observed(&observations, Duration::from_millis(2_500)).await.is_none(),
+            "the call was sent"
+        );
     });
 }
--- a/packages/gateway/tests/kept_connections.rs
+++ b/packages/gateway/tests/kept_connections.rs
@@ -1,4 +1,5 @@
-//! Kept connections never mix answers: a cell that sends an extra answer, late, at every point.
+//! Guards against mixed-up responses on kept connections: the instance sends an extra response at every
+//! point.
 
 mod scripted_instance;
 
@@ -13,17 +14,17 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// When the cell sends its extra answer, beside the answers that are due.
+/// When the instance sends its extra response, in addition to the expected ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Extra {
     Never,
-    /// In one piece with the answer it belongs to.
+    /// In one write with the response that it repeats.
     WithResponse,
-    /// Once the answer has been read, before the next call.
+    /// After the response, before the next call.
     AfterResponse,
-    /// In the place where the next call's answer should come.
+    /// Immediately before the next call's response.
     BeforeNext,
-    /// Bytes that are no answer, behind the answer.
+    /// Bytes that are no response, after the response.
     Garbage,
 }
 
@@ -35,15 +36,15 @@
     )
 }
 
-fn instance(extra: Extra, connections: Arc<AtomicUsize>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+fn start_instance(extra: Extra, connections: Arc<AtomicUsize>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound socket");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             connections.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || {
-                let mut lines = BufReader::new(stream.try_clone().expect("a clone"));
+                let mut lines = BufReader::new(stream.try_clone().expect("a cloned stream"));
                 let mut previous: Option<String> = None;
                 loop {
                     let mut id = String::new();
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn an_extra_response_at_any_point_is_never_handed_on() {
+fn an_extra_response_at_any_point_is_never_delivered_to_another_call() {
     let header_conventions = HeaderConventions {
         call_id: Some(HeaderName::from_static("request-id")),
         ..HeaderConventions::default()
@@ -111,24 +112,32 @@
     for extra in [Extra::Never, Extra::WithResponse, Extra::AfterResponse, Extra::BeforeNext, Extra::Garbage]
     {
         let connections = Arc::new(AtomicUsize::new(0));
-        let address = instance(extra, connections.clone());
+        let address = start_instance(extra, connections.clone());
         actix_rt::System::new().block_on(async {
             for number in 0..20 {
                 let id = format!("{extra:?}-{number}").to_ascii_lowercase();
-                // One answer to an earlier call may stand before the right one, which then follows; any
-                // other surplus may cost the call its answer, and never gives it another's.
+                // One response to an earlier call may precede the right one and is discarded; any other
+                // surplus may cost the call its response, but never gives it another call's.
                 if let Some(body) = call(address, &id, &settings).await {
                     assert_eq!(body, format!("answer to {id}"), "{extra:?}");
                 } else {
                     assert_ne!(extra, Extra::Never);
-                    assert_ne!(extra, Extra::BeforeNext, "it is known by its id and passed over");
+                    assert_ne!(
+                        extra,
+                        Extra::BeforeNext,
+                        "the late response is recognized by its id and discarded"
+                    );
                 }
             }
         });
         let opened = connections.load(Ordering::SeqCst);
         match extra {
-            Extra::Never | Extra::BeforeNext => assert_eq!(opened, 1, "{extra:?} is kept"),
-            Extra::WithResponse | Extra::Garbage => assert_eq!(opened, 20, "{extra:?} is closed"),
+            Extra::Never | Extra::BeforeNext => {
+                assert_eq!(opened, 1, "{extra:?}: the connection was not kept")
+            }
+            Extra::WithResponse | Extra::Garbage => {
+                assert_eq!(opened, 20, "{extra:?}: a connection was reused")
+            }
             Extra::AfterResponse => assert!(opened >= 1),
         }
     }
