--- a/packages/gateway/tests/key_bench/mod.rs
+++ b/packages/gateway/tests/key_bench/mod.rs
@@ -1,4 +1,5 @@
-//! A whole front behind a real HTTP/1.1 server on loopback, with a protocol that grants tickets for one cell.
+//! A whole gateway behind a real HTTP/1.1 server on loopback, with a protocol that grants permits for one
+//! instance.
 
 use actix_http::header::HeaderName;
 use actix_http::{HttpService, StatusCode};
@@ -18,12 +19,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// An answer that does not come within this time never comes.
+/// Timeout of an expected response.
 const RESPONSE_WITHIN: Duration = Duration::from_secs(20);
-/// How long a client looks for an answer that should not come.
+/// How long a client waits for a response that should not arrive.
 const SURPLUS_WITHIN: Duration = Duration::from_millis(300);
 
-/// The words of a dialect for the key and the tenant, in lower case.
+/// Header names for the key and the tenant, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
     pub api_key: &'static str,
@@ -34,7 +35,7 @@
 impl HeaderNames {
     pub const NATIVE: HeaderNames =
         HeaderNames { api_key: "x-vanelane-api-key", tenant: "x-vanelane-tenant", has_outcome: true };
-    /// A platform's own words, beyond the native prefix.
+    /// A platform's own header names, without the native prefix.
     pub const PLATFORM: HeaderNames =
         HeaderNames { api_key: "api-key", tenant: "tenant", has_outcome: false };
     pub const ALL: [HeaderNames; 2] = [HeaderNames::NATIVE, HeaderNames::PLATFORM];
@@ -59,7 +60,7 @@
                 "g": {{"allowance": "all", "cell_memory_mb": 1, "calls_at_once": 4}}}},
             {settings}}}"#
     );
-    configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
+    configuration_schema::check(&document.parse().expect("JSON")).expect("a valid configuration")
 }
 
 fn head(path: &str, lines: &[String], framing: &str) -> String {
@@ -67,35 +68,36 @@
     format!("POST {path} HTTP/1.1\r\nHost: here\r\nRequest-Id: a\r\n{lines}{framing}\r\n\r\n")
 }
 
-/// A whole request with these header lines and a body with a length.
+/// A whole request with these header lines and a body with a declared length.
 pub fn request_bytes(path: &str, lines: &[String], body: &str) -> Vec<u8> {
     let framing = format!("Content-Length: {}", body.len());
     format!("{}{body}", head(path, lines, &framing)).into_bytes()
 }
 
-/// The head of a request whose body comes in chunks.
+/// The head of a request with a chunked body.
 pub fn chunked_head(path: &str, lines: &[String]) -> String {
     head(path, lines, "Transfer-Encoding: chunked")
 }
 
-/// Where a front writes what calls it had.
+/// The files that a gateway records its calls in.
 pub struct Writers {
     pub recorder: Recorder,
     pub traces: TraceWriter,
 }
 
+/// A running gateway with its server, its scripted protocol and one instance.
 pub struct Bench {
     pub gateway: Arc<Gateway>,
     address: SocketAddr,
     instance: SocketAddr,
-    /// Until all asks are granted.
-    links: Option<mpsc::Receiver<GatewayMessage>>,
+    /// The protocol's messages, until requests are granted automatically.
+    messages: Option<mpsc::Receiver<GatewayMessage>>,
     parameter_sets: Arc<Mutex<Vec<PermitParameters>>>,
     connections: Arc<AtomicUsize>,
 }
 
 impl Bench {
-    /// A front whose every ask is granted at once.
+    /// A gateway whose every permit request is granted at once.
     pub async fn start(
         header_names: &HeaderNames,
         configuration: &Configuration,
@@ -106,7 +108,7 @@
         bench
     }
 
-    /// A front whose asks wait for the test.
+    /// A gateway whose permit requests wait for the test.
     pub async fn start_holding(
         header_names: &HeaderNames,
         configuration: &Configuration,
@@ -131,44 +133,52 @@
         instance: SocketAddr,
         writers: Option<Writers>,
     ) -> Bench {
-        let (link, links) = mpsc::channel(64);
+        let (protocol_sender, messages) = mpsc::channel(64);
         let dispatch = crate::scripted_instance::keeping(header_names.header_conventions());
-        let mut gateway = Gateway::new(GatewaySettings { dispatch, ..GatewaySettings::default() }, link);
+        let mut gateway =
+            Gateway::new(GatewaySettings { dispatch, ..GatewaySettings::default() }, protocol_sender);
         if let Some(writers) = writers {
             gateway.record_with(writers.recorder);
             gateway.trace_with(writers.traces);
         }
         gateway.set_configuration(1, configuration);
         let gateway = Arc::new(gateway);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound socket");
         let connections = Arc::new(AtomicUsize::new(0));
         actix_rt::spawn(serve(listener, gateway.clone(), connections.clone()));
-        Bench { gateway, address, instance, links: Some(links), parameter_sets: Arc::default(), connections }
+        Bench {
+            gateway,
+            address,
+            instance,
+            messages: Some(messages),
+            parameter_sets: Arc::default(),
+            connections,
+        }
     }
 
-    /// Grants every ask from now on.
+    /// Grants every permit request from now on.
     pub fn grant_all(&mut self) {
-        let Some(mut links) = self.links.take() else { return };
+        let Some(mut messages) = self.messages.take() else { return };
         let (instance, parameter_sets) = (self.instance, self.parameter_sets.clone());
         actix_rt::spawn(async move {
-            while let Some(said) = links.recv().await {
-                if let GatewayMessage::RequestPermit { parameters, .. } = &said {
-                    parameter_sets.lock().expect("no test broke").push(parameters.clone());
+            while let Some(message) = messages.recv().await {
+                if let GatewayMessage::RequestPermit { parameters, .. } = &message {
+                    parameter_sets.lock().expect("the mutex is not poisoned").push(parameters.clone());
                 }
-                grant(said, instance);
+                grant(message, instance);
             }
         });
     }
 
-    /// The next ask for a ticket, which waits.
+    /// The next permit request, which waits.
     pub async fn next_permit_request(&mut self) -> GatewayMessage {
-        let links = self.links.as_mut().expect("asks wait");
+        let messages = self.messages.as_mut().expect("requests are not granted automatically");
         loop {
-            let said = tokio::time::timeout(RESPONSE_WITHIN, links.recv()).await;
-            let said = said.expect("no ask came").expect("the front is there");
-            if matches!(said, GatewayMessage::RequestPermit { .. }) {
-                return said;
+            let message = tokio::time::timeout(RESPONSE_WITHIN, messages.recv()).await;
+            let message = message.expect("a permit request in time").expect("a running gateway");
+            if matches!(message, GatewayMessage::RequestPermit { .. }) {
+                return message;
             }
         }
     }
@@ -177,17 +187,17 @@
         grant(permit_request, self.instance);
     }
 
-    /// All asks of a front that grants them at once.
+    /// The parameters of all requests that were granted automatically.
     pub fn parameter_sets(&self) -> Vec<PermitParameters> {
-        self.parameter_sets.lock().expect("no test broke").clone()
+        self.parameter_sets.lock().expect("the mutex is not poisoned").clone()
     }
 
     pub fn count(&self, name: &str) -> u64 {
         let counts = self.gateway.counts.all();
-        counts.iter().find(|(named, _)| *named == name).map(|(_, count)| *count).expect("a count")
+        counts.iter().find(|(counter, _)| *counter == name).map(|(_, count)| *count).expect("a known counter")
     }
 
-    /// Connections of clients so far.
+    /// The number of client connections so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
@@ -196,20 +206,20 @@
         Client::connect(self.address).await
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a connection of its own.
     pub async fn call(&self, request: &[u8]) -> HttpReply {
         self.connect().await.exchange(request).await
     }
 
-    /// The same, while the test does something else.
+    /// The same in the background.
     pub fn begin(&self, request: &[u8]) -> actix_rt::task::JoinHandle<HttpReply> {
         let (address, request) = (self.address, request.to_vec());
         actix_rt::spawn(async move { Client::connect(address).await.exchange(&request).await })
     }
 }
 
-fn grant(said: GatewayMessage, instance: SocketAddr) {
-    let GatewayMessage::RequestPermit { call, parameters, reply } = said else { return };
+fn grant(message: GatewayMessage, instance: SocketAddr) {
+    let GatewayMessage::RequestPermit { call, parameters, reply } = message else { return };
     let permit = Permit {
         id: call,
         granted_by: 1,
@@ -237,12 +247,12 @@
     }
 }
 
-/// An answer as it came.
+/// A response as received.
 #[derive(Debug)]
 pub struct HttpReply {
     pub status: StatusCode,
     pub body: String,
-    /// Head and body.
+    /// Head and body together.
     pub whole: String,
 }
 
@@ -261,11 +271,11 @@
 
 impl Client {
     async fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).await.expect("connected");
+        let stream = TcpStream::connect(address).await.expect("a connection");
         Client { stream, unread: Vec::new() }
     }
 
-    /// Sends bytes, on a connection that the server may have closed.
+    /// Sends bytes on a connection that the server may have closed.
     pub async fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
     }
@@ -273,15 +283,15 @@
     pub async fn exchange(&mut self, request: &[u8]) -> HttpReply {
         self.send(request).await;
         let response = tokio::time::timeout(RESPONSE_WITHIN, self.read_response()).await;
-        response.expect("an answer in time").expect("an answer")
+        response.expect("a response in time").expect("a response")
     }
 
-    /// An answer that may or may not come.
+    /// The next response, if one arrives.
     pub async fn next_response(&mut self) -> Option<HttpReply> {
         tokio::time::timeout(SURPLUS_WITHIN, self.read_response()).await.ok().flatten()
     }
 
-    /// Reads a head and a body with a length; none at the connection's end.
+    /// Reads a head and a body with a declared length; none at the connection's end.
     async fn read_response(&mut self) -> Option<HttpReply> {
         loop {
             if let Some((response, length)) = whole_response(&self.unread) {
@@ -295,9 +305,9 @@
     }
 }
 
-/// The first answer in these bytes and its length, once it is whole.
+/// The first response in these bytes and its length, once it is whole.
 fn whole_response(bytes: &[u8]) -> Option<(HttpReply, usize)> {
-    let text = std::str::from_utf8(bytes).expect("text");
+    let text = std::str::from_utf8(bytes).expect("UTF-8");
     let (head, rest) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let length: usize = head
@@ -310,7 +320,7 @@
     Some((HttpReply { status, body, whole: text[..end].to_owned() }, end))
 }
 
-/// What these files hold once each has so many lines.
+/// The contents of these files once each has at least this many lines.
 pub async fn written_lines(paths: &[&Path], lines: usize) -> String {
     let began = Instant::now();
     loop {
@@ -319,7 +329,7 @@
         if texts.iter().all(|text| text.lines().count() >= lines) {
             return texts.concat();
         }
-        assert!(began.elapsed() < RESPONSE_WITHIN, "not written: {texts:?}");
+        assert!(began.elapsed() < RESPONSE_WITHIN, "the files were not written in time: {texts:?}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/packages/gateway/tests/scripted_instance/mod.rs
+++ b/packages/gateway/tests/scripted_instance/mod.rs
@@ -1,5 +1,5 @@
-//! A cell on loopback whose every reply is written by the test.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! An instance on loopback whose every response is scripted by the test.
+#![allow(dead_code, reason = "each test file uses only a part of it")]
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Uri};
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// What the cell does once its bytes are sent.
+/// What the instance does after sending its bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum After {
     /// Waits for the next request on the connection.
     Next,
-    /// Closes in order.
+    /// Closes the connection cleanly.
     Close,
     /// Resets the connection.
     Reset,
@@ -27,34 +27,34 @@
     Silence,
 }
 
-/// The answer to one request.
+/// The reply to one request.
 pub struct Reply {
     pub bytes: Vec<u8>,
     pub after: After,
 }
 
-/// Replies by the request's number on its connection and its id.
+/// Produces a reply from the request's number on its connection and its id.
 type Script = Box<dyn Fn(usize, &str) -> Reply + Send + Sync>;
 
-/// A running cell, with what it saw.
+/// A running instance, with what it received.
 pub struct ScriptedInstance {
     pub address: SocketAddr,
     connections: Arc<AtomicUsize>,
     requests: Arc<Mutex<Vec<SeenRequest>>>,
 }
 
-/// One request as the cell read it.
+/// One request as the instance read it.
 #[derive(Clone)]
 struct SeenRequest {
     id: String,
-    /// Its head and body as they came.
+    /// Its head and body as received.
     text: String,
 }
 
 impl ScriptedInstance {
     pub fn start(script: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> ScriptedInstance {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("a bound socket");
         let (connections, requests) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
         let script: Arc<Script> = Arc::new(Box::new(script));
         let (seen_connections, seen_requests) = (connections.clone(), requests.clone());
@@ -76,20 +76,25 @@
 
     /// The ids of all requests read whole so far, in order.
     pub fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("no cell thread broke").iter().map(|seen| seen.id.clone()).collect()
+        self.requests.lock().expect("the mutex is not poisoned").iter().map(|seen| seen.id.clone()).collect()
     }
 
     /// Head and body of all requests read whole so far, in order.
     pub fn received(&self) -> Vec<String> {
-        self.requests.lock().expect("no cell thread broke").iter().map(|seen| seen.text.clone()).collect()
+        self.requests
+            .lock()
+            .expect("the mutex is not poisoned")
+            .iter()
+            .map(|seen| seen.text.clone())
+            .collect()
     }
 }
 
 fn converse(mut stream: TcpStream, script: &Script, requests: &Mutex<Vec<SeenRequest>>) {
-    let mut lines = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut lines = BufReader::new(stream.try_clone().expect("a cloned stream"));
     for number in 0.. {
         let Some(seen) = read_request(&mut lines) else { return };
-        requests.lock().expect("no cell thread broke").push(seen.clone());
+        requests.lock().expect("the mutex is not poisoned").push(seen.clone());
         let reply = script(number, &seen.id);
         if stream.write_all(&reply.bytes).is_err() {
             return;
@@ -135,12 +140,12 @@
     Some(SeenRequest { id, text })
 }
 
-/// A whole answer with these headers (each with its line end).
+/// A whole response with these headers (each with its line end).
 pub fn response_bytes(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// The sound answer to a request, on a connection that may be kept.
+/// A valid response to a request, on a connection that may be kept.
 pub fn sound_response(id: &str) -> Vec<u8> {
     response_bytes(
         "200 OK",
@@ -149,7 +154,8 @@
     )
 }
 
-/// Words of a platform whose calls have ids and whose statuses are promises.
+/// Header conventions of a platform whose calls have ids and whose statuses alone promise that a call did not
+/// run.
 pub fn platform_conventions() -> HeaderConventions {
     HeaderConventions {
         call_id: Some(HeaderName::from_static("request-id")),
@@ -168,11 +174,14 @@
     }
 }
 
-/// A call for the cell at this address; an empty id is none.
+/// A call to the instance at this address; an empty id means no id.
 pub fn call_to(address: SocketAddr, id: &str, time_left: Micros) -> DispatchCall {
     let mut headers = HeaderMap::new();
     if !id.is_empty() {
-        headers.insert(HeaderName::from_static("request-id"), HeaderValue::from_str(id).expect("a value"));
+        headers.insert(
+            HeaderName::from_static("request-id"),
+            HeaderValue::from_str(id).expect("a valid header value"),
+        );
     }
     DispatchCall {
         method: Method::POST,
--- a/packages/gateway/tests/tenant_keys.rs
+++ b/packages/gateway/tests/tenant_keys.rs
@@ -1,4 +1,5 @@
-//! Tenants' keys at the front: who is let in, what cells are told of it, and that keys go nowhere else.
+//! Tenants' API keys at the gateway: which calls are admitted, what instances are told, and that keys are
+//! sent nowhere else.
 
 mod key_bench;
 mod scripted_instance;
@@ -12,7 +13,7 @@
 
 const SEEDS: u64 = 200;
 
-/// Two tenants with ranks, and lanes of both kinds.
+/// Two tenants with ranks, a private and a public route.
 const WITH_TENANTS: &str = r#"
     "tenants": {"lomi": {"keys": ["key-of-lomi", "second-key-of-lomi"], "rank": 2},
         "fifi": {"keys": ["key-of-fifi"]}},
@@ -30,29 +31,29 @@
     actix_rt::System::new().block_on(test);
 }
 
-/// The text in a random mix of cases.
-fn any_case(rng: &mut fastrand::Rng, text: &str) -> String {
+/// The text with each letter in random case.
+fn random_case(rng: &mut fastrand::Rng, text: &str) -> String {
     text.chars().map(|letter| if rng.bool() { letter.to_ascii_uppercase() } else { letter }).collect()
 }
 
-/// White space that may stand around a header's value.
-fn any_space(rng: &mut fastrand::Rng) -> &'static str {
+/// Random optional white space around a header's value.
+fn random_space(rng: &mut fastrand::Rng) -> &'static str {
     ["", " ", "\t", "  \t "][rng.usize(..4)]
 }
 
-/// One header line, its name and the space around its value drawn.
-fn any_line(rng: &mut fastrand::Rng, name: &str, value: &str) -> String {
-    format!("{}:{}{value}{}", any_case(rng, name), any_space(rng), any_space(rng))
+/// One header line with its name in random case and random white space around its value.
+fn random_line(rng: &mut fastrand::Rng, name: &str, value: &str) -> String {
+    format!("{}:{}{value}{}", random_case(rng, name), random_space(rng), random_space(rng))
 }
 
-/// A request's head and body, with what the client sent of a key and of a tenant.
+/// A request as sent, and its body.
 struct RandomRequest {
     bytes: Vec<u8>,
     body: String,
 }
 
-/// Draws a request: its own tenant headers, names listed in `Connection`, a body with a length, or in
-/// chunks with trailers that name both headers.
+/// A random request: with forged tenant headers, names listed in `Connection`, and a body with a declared
+/// length or in chunks with trailers that name both headers.
 fn random_request(
     rng: &mut fastrand::Rng,
     header_names: &HeaderNames,
@@ -62,19 +63,19 @@
     let mut lines = key_lines.to_vec();
     for _ in 0..rng.u8(..3) {
         let forged = ["fifi", "lomi", "", "root", "lomi, fifi"][rng.usize(..5)];
-        lines.push(any_line(rng, header_names.tenant, forged));
+        lines.push(random_line(rng, header_names.tenant, forged));
     }
     if rng.bool() {
         let listed = [header_names.api_key, header_names.tenant, "x-other"][rng.usize(..3)];
-        lines.push(format!("Connection: keep-alive, {}", any_case(rng, listed)));
+        lines.push(format!("Connection: keep-alive, {}", random_case(rng, listed)));
     }
     rng.shuffle(&mut lines);
     let body = "body".repeat(rng.usize(..4));
     if !rng.bool() {
         return RandomRequest { bytes: request_bytes(path, &lines, &body), body };
     }
-    let api_key = any_case(rng, header_names.api_key);
-    let tenant = any_case(rng, header_names.tenant);
+    let api_key = random_case(rng, header_names.api_key);
+    let tenant = random_case(rng, header_names.tenant);
     lines.push(format!("Trailer: {api_key}, {tenant}"));
     let trailers = format!("{api_key}: key-of-fifi\r\n{tenant}: forged-in-trailer\r\n");
     let chunk = if body.is_empty() { String::new() } else { format!("{:x}\r\n{body}\r\n", body.len()) };
@@ -82,7 +83,7 @@
     RandomRequest { bytes: text.into_bytes(), body }
 }
 
-/// Checks what a cell got: exactly this tenant and nothing of any key.
+/// Checks that an instance received exactly this tenant and nothing of any key.
 fn assert_instance_saw(
     received: &str,
     header_names: &HeaderNames,
@@ -92,9 +93,9 @@
 ) {
     let lower = received.to_ascii_lowercase();
     let (head, received_body) = lower.split_once("\r\n\r\n").expect("a head and a body");
-    assert!(!lower.contains("key-of-"), "{context}: a key went on: {received}");
-    assert!(!lower.contains(&format!("{}:", header_names.api_key)), "{context}: a key header went on");
-    assert!(!lower.contains("forged"), "{context}: a trailer went on: {received}");
+    assert!(!lower.contains("key-of-"), "{context}: a key was forwarded: {received}");
+    assert!(!lower.contains(&format!("{}:", header_names.api_key)), "{context}: a key header was forwarded");
+    assert!(!lower.contains("forged"), "{context}: a trailer was forwarded: {received}");
     let prefix = format!("{}:", header_names.tenant);
     let tenants: Vec<&str> =
         head.split("\r\n").filter_map(|line| line.strip_prefix(&prefix)).map(str::trim).collect();
@@ -104,15 +105,19 @@
 
 fn assert_refused(response: &HttpReply, header_names: &HeaderNames, context: &str) {
     assert_eq!(response.status, StatusCode::UNAUTHORIZED, "{context}");
-    assert!(!response.has_header("retry-after"), "{context}: no time to come back helps");
+    assert!(!response.has_header("retry-after"), "{context}: a retry cannot help");
     assert!(response.body.contains(r#""outcome":"not_run""#), "{context}: {}", response.body);
-    assert!(!response.whole.contains("key-of-"), "{context}: the answer tells a key: {}", response.whole);
+    assert!(
+        !response.whole.contains("key-of-"),
+        "{context}: the response contains a key: {}",
+        response.whole
+    );
     if header_names.has_outcome {
         assert!(response.has_header("x-vanelane-outcome"), "{context}");
     }
 }
 
-/// Guards against UNASKED and ROUTE: calls ran whose key no configuration ever held.
+/// Guards against violations of UNASKED and ROUTE: calls run although no configuration ever held their key.
 #[test]
 fn calls_without_one_known_key_are_refused_where_a_route_needs_one() {
     run(async {
@@ -121,36 +126,39 @@
             let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
             for seed in 0..SEEDS {
                 let mut rng = fastrand::Rng::with_seed(seed);
-                let wrong =
+                let wrong_keys =
                     ["key-of-nobody", "key-of-lom", "key-of-lomi2", "KEY-OF-LOMI", "key-of-lomi,key-of-lomi"];
-                let wrong = wrong[rng.usize(..wrong.len())];
-                let (values, is_key_sent): (&[&str], bool) = match rng.u8(..6) {
+                let wrong_key = wrong_keys[rng.usize(..wrong_keys.len())];
+                let (values, has_key): (&[&str], bool) = match rng.u8(..6) {
                     0 => (&[], false),
                     1 => (&[""], false),
-                    2 => (&[wrong], true),
+                    2 => (&[wrong_key], true),
                     3 => (&["key-of-lomi", "key-of-lomi"], true),
                     4 => (&["key-of-lomi", ""], true),
                     _ => (&["key-of-fifi", "key-of-nobody", "key-of-lomi"], true),
                 };
                 let lines: Vec<String> =
-                    values.iter().map(|value| any_line(&mut rng, header_names.api_key, value)).collect();
+                    values.iter().map(|value| random_line(&mut rng, header_names.api_key, value)).collect();
                 let context = format!("{} seed {seed} {lines:?}", header_names.tenant);
                 let before = (bench.count("no_key"), bench.count("unknown_key"));
                 let request = random_request(&mut rng, &header_names, "/private/x", &lines);
                 assert_refused(&bench.call(&request.bytes).await, &header_names, &context);
                 let after = (bench.count("no_key"), bench.count("unknown_key"));
-                let counted = (before.0 + u64::from(!is_key_sent), before.1 + u64::from(is_key_sent));
+                let counted = (before.0 + u64::from(!has_key), before.1 + u64::from(has_key));
                 assert_eq!(after, counted, "{context}");
             }
-            assert!(bench.parameter_sets().is_empty(), "no ticket is asked for a call that is not let in");
+            assert!(
+                bench.parameter_sets().is_empty(),
+                "a permit was requested for a call that is not admitted"
+            );
             assert!(instance.received().is_empty());
         }
     });
 }
 
-/// Guards against UNASKED: a cell was shown a key, or the tenant that the client had named.
+/// Guards against violations of UNASKED: an instance is sent a key, or the tenant that the client named.
 #[test]
-fn an_instance_is_told_the_tenant_of_the_key_once_and_never_a_key() {
+fn an_instance_is_sent_the_tenant_of_the_key_once_and_never_a_key() {
     run(async {
         for header_names in HeaderNames::ALL {
             for (settings, has_tenants) in [(WITH_TENANTS, true), (WITHOUT_TENANTS, false)] {
@@ -162,11 +170,11 @@
                     let keys =
                         [("key-of-lomi", "lomi"), ("second-key-of-lomi", "lomi"), ("key-of-fifi", "fifi")];
                     let (key, tenant) = keys[rng.usize(..3)];
-                    let mut lines = vec![any_line(&mut rng, header_names.api_key, key)];
+                    let mut lines = vec![random_line(&mut rng, header_names.api_key, key)];
                     if is_public || !has_tenants {
-                        // Where no key is needed none has to be right, and none goes on.
+                        // Where no key is needed, keys need not be valid, and none is forwarded.
                         for _ in 0..rng.u8(..3) {
-                            lines.push(any_line(&mut rng, header_names.api_key, "key-of-nobody"));
+                            lines.push(random_line(&mut rng, header_names.api_key, "key-of-nobody"));
                         }
                     }
                     let path = if is_public { "/public/x" } else { "/private/x" };
@@ -175,7 +183,7 @@
                     let response = bench.call(&request.bytes).await;
                     assert_eq!(response.status, StatusCode::OK, "{context}");
                     let tenant = (has_tenants && !is_public).then_some(tenant);
-                    let received = instance.received().pop().expect("it reached the cell");
+                    let received = instance.received().pop().expect("a request at the instance");
                     assert_instance_saw(&received, &header_names, tenant, &request.body, &context);
                 }
                 assert_eq!((bench.count("no_key"), bench.count("unknown_key")), (0, 0));
@@ -184,9 +192,9 @@
     });
 }
 
-/// Guards against UNASKED on further tries: each is told the tenant anew.
+/// Guards against violations of UNASKED on retries: each attempt is sent the tenant anew.
 #[test]
-fn a_second_try_is_told_the_same_tenant_and_no_key() {
+fn a_retry_is_sent_the_same_tenant_and_no_key() {
     run(async {
         for header_names in HeaderNames::ALL {
             let instance = ScriptedInstance::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
@@ -196,15 +204,16 @@
             let response = bench.call(&request_bytes("/private/x", &lines, "b")).await;
             assert_eq!(response.status, StatusCode::BAD_GATEWAY);
             let received = instance.received();
-            assert!(received.len() > 1, "it was tried once: {received:?}");
+            assert!(received.len() > 1, "the call was not retried: {received:?}");
             for (number, received) in received.iter().enumerate() {
-                assert_instance_saw(received, &header_names, Some("lomi"), "b", &format!("try {number}"));
+                assert_instance_saw(received, &header_names, Some("lomi"), "b", &format!("attempt {number}"));
             }
         }
     });
 }
 
-/// Guards against UNASKED on connections to cells that are kept from one tenant's call to another's.
+/// Guards against violations of UNASKED on kept connections to instances, which calls of several tenants use
+/// in turn.
 #[test]
 fn each_call_on_a_kept_connection_to_an_instance_has_its_own_tenant() {
     run(async {
@@ -221,14 +230,14 @@
             let (path, key, tenant) = calls[fastrand::Rng::with_seed(seed).usize(..calls.len())];
             let lines = [format!("{}: {key}", header_names.api_key)];
             assert_eq!(bench.call(&request_bytes(path, &lines, "")).await.status, StatusCode::OK);
-            let received = instance.received().pop().expect("it reached the cell");
+            let received = instance.received().pop().expect("a request at the instance");
             assert_instance_saw(&received, &header_names, tenant, "", &format!("call {seed}"));
         }
-        assert_eq!(instance.connections(), 1, "the connection was kept");
+        assert_eq!(instance.connections(), 1, "the connection was not kept");
     });
 }
 
-/// What a call that waits for its ticket meets once another configuration holds.
+/// A configuration change while a call waits for its permit, and the expected result.
 struct Change {
     name: &'static str,
     path: &'static str,
@@ -304,10 +313,10 @@
     },
 ];
 
-/// Guards against UNASKED and CONFIG: a call that waited while the configuration changed ran as the older
-/// one allowed, or under a tenant that its key is not.
+/// Guards against violations of UNASKED and CONFIG: a call that waited while the configuration changed runs
+/// as the older one allowed, or under a tenant that its key does not belong to.
 #[test]
-fn a_call_that_waits_is_let_in_anew_by_a_later_configuration() {
+fn a_waiting_call_is_admitted_again_by_a_later_configuration() {
     run(async {
         for header_names in HeaderNames::ALL {
             for change in &CHANGES {
@@ -318,7 +327,7 @@
                 let call = bench.begin(&request_bytes(change.path, &lines, "b"));
                 let permit_request = bench.next_permit_request().await;
                 let GatewayMessage::RequestPermit { parameters, .. } = &permit_request else {
-                    unreachable!("an ask")
+                    unreachable!("next_permit_request returns only permit requests")
                 };
                 let requested_for = parameters.tenant.clone();
                 bench.gateway.set_configuration(2, &routes(change.later));
@@ -331,21 +340,22 @@
                 if change.status == StatusCode::OK {
                     assert_eq!(received.len(), 1, "{context}");
                     assert_instance_saw(&received[0], &header_names, change.tenant, "b", &context);
-                    // A ticket is used for the tenant that it was asked for alone: usage is counted by it.
+                    // A permit is used only for the tenant that it was requested for: usage is counted by it.
                     let again = bench.parameter_sets().pop().map(|parameters| parameters.tenant);
                     assert_eq!(again.unwrap_or(requested_for).as_deref(), change.tenant, "{context}");
                 } else {
                     assert_refused(&response, &header_names, &context);
-                    assert!(received.is_empty(), "{context}: it reached a cell");
+                    assert!(received.is_empty(), "{context}: the call reached an instance");
                 }
             }
         }
     });
 }
 
-/// Guards against REFUSED: a call that may have run is not told that it was not, whatever became of its key.
+/// Guards against violations of REFUSED: a call that may have run is reported as not run after its key was
+/// revoked.
 #[test]
-fn a_call_that_may_have_run_is_of_unknown_outcome_after_its_key_is_taken_away() {
+fn a_call_that_may_have_run_is_of_unknown_outcome_after_its_key_is_revoked() {
     run(async {
         for header_names in HeaderNames::ALL {
             let instance = ScriptedInstance::start(|_, _| Reply { bytes: Vec::new(), after: After::Reset });
@@ -364,26 +374,27 @@
             assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
             assert!(response.body.contains(r#""outcome":"unknown""#), "{}", response.body);
             assert!(!response.has_header("retry-after"));
-            assert_eq!(instance.received().len(), 1, "no second cell runs it");
+            assert_eq!(instance.received().len(), 1, "the call reached a second instance");
         }
     });
 }
 
-fn key_change(keys: &str) -> Configuration {
+fn with_keys(keys: &str) -> Configuration {
     routes(&format!(
         r#""tenants": {{"lomi": {{"keys": [{keys}]}}}},
             "lanes": {{"private": {{"function": "f", "path_prefix": "/private"}}}}"#
     ))
 }
 
-/// Guards against CONFIG after a revocation: an open connection kept what its first call had been allowed.
+/// Guards against violations of CONFIG after a revocation: an open connection keeps what its first call was
+/// allowed.
 #[test]
-fn keys_that_are_taken_away_or_added_count_on_connections_that_are_open() {
+fn revoked_and_added_keys_take_effect_on_open_connections() {
     run(async {
         for header_names in HeaderNames::ALL {
             for by_delta in [false, true] {
                 let instance = answering_instance();
-                let first = key_change(r#""key-of-lomi""#);
+                let first = with_keys(r#""key-of-lomi""#);
                 let bench = Bench::start(&header_names, &first, instance.address).await;
                 let mut client = bench.connect().await;
                 let call = |key: &str| {
@@ -392,31 +403,36 @@
                 assert_eq!(client.exchange(&call("key-of-lomi")).await.status, StatusCode::OK);
                 let added = client.exchange(&call("second-key-of-lomi")).await;
                 assert_eq!(added.status, StatusCode::UNAUTHORIZED);
-                let second = key_change(r#""second-key-of-lomi""#);
+                let second = with_keys(r#""second-key-of-lomi""#);
                 if by_delta {
                     let delta = ConfigurationDelta::between((1, &first), (2, &second));
                     bench.gateway.apply_changed_configuration(2, &second, &[delta]);
                 } else {
                     bench.gateway.set_configuration(2, &second);
                 }
-                assert_refused(&client.exchange(&call("key-of-lomi")).await, &header_names, "taken away");
+                assert_refused(&client.exchange(&call("key-of-lomi")).await, &header_names, "key revoked");
                 assert_eq!(client.exchange(&call("second-key-of-lomi")).await.status, StatusCode::OK);
-                // A tenant that is gone takes its keys along.
+                // The keys of a removed tenant are removed with it.
                 bench.gateway.set_configuration(3, &routes(r#""tenants": {}, "lanes": {"private": {"function": "f", "path_prefix": "/private"}}"#));
-                assert_refused(&client.exchange(&call("second-key-of-lomi")).await, &header_names, "gone");
-                assert_eq!(bench.connections(), 1, "all on one connection");
+                assert_refused(
+                    &client.exchange(&call("second-key-of-lomi")).await,
+                    &header_names,
+                    "tenant removed",
+                );
+                assert_eq!(bench.connections(), 1, "all calls use one connection");
             }
         }
     });
 }
 
-/// Guards against CONFIG late in force: a node that knew that a newer configuration stood refused calls by its own.
+/// Guards against violations of CONFIG: a node that knew of a newer configuration refused calls for good by
+/// its own older one.
 #[test]
-fn a_call_that_doubted_routes_do_not_let_in_is_asked_to_come_back() {
+fn a_call_that_suspect_routes_do_not_admit_is_asked_to_retry() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let instance = answering_instance();
-        let bench = Bench::start(&header_names, &key_change(r#""key-of-lomi""#), instance.address).await;
+        let bench = Bench::start(&header_names, &with_keys(r#""key-of-lomi""#), instance.address).await;
         let call =
             |path: &str, key: &str| request_bytes(path, &[format!("{}: {key}", header_names.api_key)], "");
         let refused = [call("/nowhere", "key-of-lomi"), call("/private/x", "another-key")];
@@ -433,7 +449,7 @@
     });
 }
 
-/// Guards against UNASKED: what stands in the body of a call that is not let in was read as a call.
+/// Guards against violations of UNASKED: a request hidden in the body of a refused call is read as a call.
 #[test]
 fn a_refused_calls_unread_body_is_never_read_as_a_request() {
     run(async {
@@ -441,16 +457,16 @@
         let instance = answering_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         let key_line = [format!("{}: key-of-lomi", header_names.api_key)];
-        let hidden = String::from_utf8(request_bytes("/private/hidden", &key_line, "")).expect("text");
-        // All at once, or the body only after the answer.
+        let hidden = String::from_utf8(request_bytes("/private/hidden", &key_line, "")).expect("UTF-8");
+        // The request is sent at once, or its body only after the response.
         for is_split in [false, true] {
-            let refused = String::from_utf8(request_bytes("/private/x", &[], &hidden)).expect("text");
+            let refused = String::from_utf8(request_bytes("/private/x", &[], &hidden)).expect("UTF-8");
             let mut client = bench.connect().await;
             let sent = if is_split { refused.len() - hidden.len() } else { refused.len() };
             let response = client.exchange(&refused.as_bytes()[..sent]).await;
             assert_refused(&response, &header_names, "with a length");
             client.send(&refused.as_bytes()[sent..]).await;
-            assert!(client.next_response().await.is_none(), "the body was answered");
+            assert!(client.next_response().await.is_none(), "the body was read as a request");
 
             let head = key_bench::chunked_head("/private/x", &[]);
             let chunked = format!("{head}{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
@@ -460,7 +476,7 @@
             assert_refused(&response, &header_names, "in chunks");
             client.send(&chunked.as_bytes()[sent..]).await;
             client.send(&request_bytes("/private/next", &key_line, "")).await;
-            // The connection may be closed; if it is not, the next call's answer is the only one.
+            // The connection may be closed; if it is not, only the next call gets a response.
             if let Some(response) = client.next_response().await {
                 assert_eq!(response.status, StatusCode::OK);
                 assert!(client.next_response().await.is_none());
@@ -471,30 +487,30 @@
     });
 }
 
-/// Guards against tenants that are served without regard to their rank.
+/// Guards against tenants that are served regardless of their rank.
 #[test]
-fn a_permit_is_asked_for_under_the_tenant_and_its_rank() {
+fn a_permit_is_requested_under_the_tenant_and_its_rank() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let instance = answering_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
-        let requested = [
+        let expected = [
             ("/private/x", "key-of-lomi", Some("lomi"), (2 << 8) | 3),
             ("/private/x", "key-of-fifi", Some("fifi"), 3),
             ("/public/x", "key-of-lomi", None, 1),
         ];
-        for (path, key, tenant, rank) in requested {
+        for (path, key, tenant, rank) in expected {
             let lines = [format!("{}: {key}", header_names.api_key)];
             assert_eq!(bench.call(&request_bytes(path, &lines, "")).await.status, StatusCode::OK);
-            let parameters = bench.parameter_sets().pop().expect("an ask");
+            let parameters = bench.parameter_sets().pop().expect("a permit request");
             assert_eq!((parameters.tenant.as_deref(), parameters.rank), (tenant, rank), "{path} {key}");
         }
     });
 }
 
-/// Guards against calls of running calls that are let in without a key on lanes that need one.
+/// Guards against nested calls that are admitted without a key on routes that need one.
 #[test]
-fn a_call_made_by_a_running_call_needs_a_key_like_any_other() {
+fn a_nested_call_needs_a_key_like_any_other() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let instance = answering_instance();
@@ -512,9 +528,9 @@
     });
 }
 
-/// Guards against keys that are written where others read them.
+/// Guards against keys in records, traces and the node's protocol.
 #[test]
-fn no_key_is_in_records_traces_or_what_the_protocol_is_told() {
+fn no_key_is_in_records_traces_or_messages_to_the_protocol() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let instance = answering_instance();
@@ -545,9 +561,9 @@
     });
 }
 
-/// Guards against a 401 that costs more than the look at the head: it comes before the body does.
+/// Guards against reading the body of a call that its head already refuses.
 #[test]
-fn a_call_that_is_not_let_in_is_refused_before_its_body_comes() {
+fn a_call_that_is_not_admitted_is_refused_before_its_body_is_read() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), answering_instance().address).await;
@@ -556,7 +572,7 @@
         let response = tokio::time::timeout(Duration::from_secs(5), async {
             bench.connect().await.exchange(&whole[..head]).await
         });
-        let response = response.await.expect("it waited for the body");
+        let response = response.await.expect("a response before the body");
         assert_refused(&response, &header_names, "no body yet");
         assert!(response.has_header(header::CONTENT_TYPE.as_str()));
     });
--- a/packages/platform_client/src/lib.rs
+++ b/packages/platform_client/src/lib.rs
@@ -1,5 +1,5 @@
-//! The narrow seam to the platform: list, start, stop, report usage. [`PlatformApi`] is what the program needs of any
-//! platform; [`PlatformClient`] speaks vanelane's own form of it (`docs/design.md`).
+//! The interface to the platform: list, start, stop, report usage. [`PlatformApi`] is what the program needs
+//! of any platform; [`PlatformClient`] implements it over vanelane's own HTTP API (`docs/design.md`).
 
 use awc::Client;
 use awc::http::StatusCode;
@@ -11,7 +11,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Maximum size of a list response, in bytes.
 const LIST_LIMIT: usize = 8 * 1024 * 1024;
+/// Maximum size of any other response, in bytes.
 const RESPONSE_LIMIT: usize = 64 * 1024;
 
 macro_rules! platform_documents {
@@ -25,24 +27,26 @@
 platform_documents! {
     /// A worker in the list; `state` is `ready` or `draining`, `zone` may be left out.
     WorkerDocument { id: String, memory_mb: u64, state: String, #[serde(default)] zone: String, }
-    /// A cell in the list; `state` is `running` or `leaving`. Booting cells count as running.
+    /// An instance in the list; `state` is `running` or `leaving` (draining). Booting instances count as
+    /// running.
     #[serde(rename = "CellDocument")]
     InstanceDocument {
         id: String, function: String, worker: String, address: SocketAddr, memory_mb: u64, state: String,
     }
-    /// The answer to `GET /cells`.
+    /// The response to `GET /cells`.
     ListDocument { workers: Vec<WorkerDocument>, #[serde(rename = "cells")] instances: Vec<InstanceDocument>, }
-    /// The body of `POST /cells`; a repeated start id starts nothing twice.
+    /// The body of `POST /cells`; a start with a repeated start id has no further effect.
     StartDocument { start_id: String, function: String, worker: String, memory_mb: u64, }
-    /// The answer to `POST /cells`.
+    /// The response to `POST /cells`.
     StartedDocument { #[serde(rename = "cell")] instance: String, address: SocketAddr, }
-    /// What is reported of a window of usage: how many calls of each tenant began in it.
+    /// The usage of one window: the number of calls of each tenant that began in it.
     UsageDocument { window: u64, counts: BTreeMap<String, u64>, }
-    /// The body of `POST /usage`; for a window the first report counts, the fences of holders only rise.
+    /// The body of `POST /usage`. For each window the first report counts; fences only rise from one
+    /// holder to the next.
     UsageReportDocument { holder: String, fence: u64, #[serde(flatten)] usage: UsageDocument, }
 }
 
-/// The platform's answer to a start. Example: `StartResponse::NoRoom` for 409.
+/// The platform's response to a start. Example: `StartResponse::NoRoom` for 409.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartResponse {
     /// 201.
@@ -51,31 +55,31 @@
     NoRoom,
     /// 429.
     Throttled,
-    /// No answer, or one that says nothing.
+    /// No response, or one that leaves the result unknown.
     Unknown,
 }
 
-/// The platform's answer to a stop. Example: `StopResponse::Stopped` for 200, 202, 204 and 404.
+/// The platform's response to a stop. Example: `StopResponse::Stopped` for 200, 202, 204 and 404.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopResponse {
-    /// It is stopping or gone.
+    /// The instance is stopping or gone.
     Stopped,
     /// 429.
     Throttled,
-    /// No answer, or one that says nothing.
+    /// No response, or one that leaves the result unknown.
     Unknown,
 }
 
-/// The platform's answer to a report of usage. Example: `UsageResponse::Fenced` for 409.
+/// The platform's response to a usage report. Example: `UsageResponse::Fenced` for 409.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageResponse {
     /// 200: accepted, now or before.
     Accepted,
-    /// 409: a higher fence was seen.
+    /// 409: the platform has seen a higher fence.
     Fenced,
     /// 429.
     Throttled,
-    /// No answer, or one that says nothing.
+    /// No response, or one that leaves the result unknown.
     Unknown,
 }
 
@@ -90,27 +94,32 @@
     }
 }
 
-/// Who acts at the platform, and under which steward epoch. Example: `OperationStamp { fence: 12, .. }`.
+/// The node that requests a platform operation, and its leader epoch.
+/// Example: `OperationStamp { fence: 12, .. }`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperationStamp {
-    /// The node.
+    /// The node's name.
     pub holder: String,
-    /// The steward epoch; it rises with each steward of a function.
+    /// The leader epoch; it increases with each new leader of a function.
     pub fence: u64,
 }
 
-/// Workers and cells as the platform shows them, perhaps late.
+/// Workers and instances as the platform lists them, possibly outdated.
 pub type PlatformList = (Vec<ListedWorker>, Vec<ListedInstance>);
 
-/// What any platform is asked. Example: `platform.list().await`.
+/// The operations of any platform. Example: `platform.list().await`.
 pub trait PlatformApi {
-    /// Workers and cells; `None` without a sound answer. Example: `platform.list().await.is_some()`.
+    /// Lists workers and instances; `None` without a valid response.
+    /// Example: `platform.list().await.is_some()`.
     fn list(&self) -> LocalBoxFuture<'static, Option<PlatformList>>;
-    /// Starts a cell; a repeated start id starts nothing twice. Example: `platform.start(stamp, start)`.
+    /// Starts an instance; a repeated start id has no further effect.
+    /// Example: `platform.start(stamp, start)`.
     fn start(&self, stamp: OperationStamp, start: StartDocument) -> LocalBoxFuture<'static, StartResponse>;
-    /// Stops a cell; stopping one that is gone is no failure. Example: `platform.stop(stamp, "c1".into())`.
+    /// Stops an instance; stopping one that is gone is no error.
+    /// Example: `platform.stop(stamp, "c1".into())`.
     fn stop(&self, stamp: OperationStamp, instance: String) -> LocalBoxFuture<'static, StopResponse>;
-    /// Reports a window's usage; an exact repeat changes nothing. Example: `platform.report_usage(stamp, usage)`.
+    /// Reports a window's usage; an exact repeat has no effect.
+    /// Example: `platform.report_usage(stamp, usage)`.
     fn report_usage(
         &self,
         stamp: OperationStamp,
@@ -159,14 +168,14 @@
 }
 
 impl PlatformClient {
-    /// A client without hidden redirects; each act has two seconds.
+    /// A client that follows no redirects, with a timeout of two seconds per request.
     /// Example: `PlatformClient::new(address).list().await`.
     pub fn new(platform_address: SocketAddr) -> PlatformClient {
         let client = Client::builder().timeout(Duration::from_secs(2)).disable_redirects().finish();
         PlatformClient { client, base: format!("http://{platform_address}") }
     }
 
-    /// Workers and cells as the platform shows them, perhaps late; `None` without a sound answer.
+    /// Workers and instances as the platform lists them, possibly outdated; `None` without a valid response.
     /// Example: `let Some((workers, instances)) = client.list().await else { return };`.
     pub async fn list(&self) -> Option<(Vec<ListedWorker>, Vec<ListedInstance>)> {
         let mut response = self.client.get(format!("{}/cells", self.base)).send().await.ok()?;
@@ -202,7 +211,7 @@
         Some((workers, instances))
     }
 
-    /// Starts a cell. Example: `client.start(&StartDocument { .. }).await == StartResponse::Throttled`.
+    /// Starts an instance. Example: `client.start(&StartDocument { .. }).await == StartResponse::Throttled`.
     pub async fn start(&self, start: &StartDocument) -> StartResponse {
         let sending = self.client.post(format!("{}/cells", self.base)).send_json(start);
         let Ok(mut response) = sending.await else { return StartResponse::Unknown };
@@ -219,7 +228,7 @@
         }
     }
 
-    /// Stops a cell; stopping one that is gone is no failure.
+    /// Stops an instance; stopping one that is gone is no error.
     /// Example: `client.stop("c12").await == StopResponse::Stopped`.
     pub async fn stop(&self, instance: &str) -> StopResponse {
         let sending = self.client.delete(format!("{}/cells/{instance}", self.base)).send();
