--- a/packages/gateway/src/gateway.rs
+++ b/packages/gateway/src/gateway.rs
@@ -223,7 +223,7 @@
 
     /// Whether the node's ticker has not run for so long that the process may have been suspended: the routes
     /// may be far out of date until the protocol has checked them again.
-    fn may_have_slept(&self) -> bool {
+    fn may_have_been_suspended(&self) -> bool {
         let ticked_at = Micros(self.ticked_at.load(Ordering::Relaxed));
         ticked_at > Micros(0) && self.clock.now() > ticked_at + self.settings.lag_limit
     }
@@ -437,11 +437,12 @@
     /// The refusal of a call that the routes do not admit. It names no key.
     fn denial_refusal(&self, denial: Denial, routes: &RouteTable) -> Refusal {
         // Before this process has a configuration it knows no routes, and cannot tell that none matches.
-        let knows_nothing = routes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
-        if denial == Denial::NoRoute && knows_nothing {
+        let has_no_configuration =
+            routes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
+        if denial == Denial::NoRoute && has_no_configuration {
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "not ready yet", Some(NOT_READY_PAUSE));
         }
-        if self.suspects_routes.load(Ordering::Relaxed) || self.may_have_slept() {
+        if self.suspects_routes.load(Ordering::Relaxed) || self.may_have_been_suspended() {
             let reason = "the newest configuration is not here yet";
             return Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, Some(NOT_READY_PAUSE));
         }
@@ -528,7 +529,7 @@
             let admission = admission_request.admission(&routes);
             let is_still_allowed = admission.is_ok_and(|current| {
                 current.route.allows(&route.function) && current.is_for(tenant.as_ref())
-            }) && !self.may_have_slept();
+            }) && !self.may_have_been_suspended();
             let began = self.clock.now();
             let (permit, step) = match requested {
                 Ok(permit) => (Some(permit), state_machine.permit_arrived(began < ends_at, is_still_allowed)),
@@ -748,13 +749,13 @@
             Some((rest, length)) => {
                 reservation.reserve_memory(body.len());
                 let body = StreamedBody {
-                    begun: Some(body),
+                    first_chunk: Some(body),
                     rest,
                     length,
-                    passed: 0,
+                    bytes_sent: 0,
                     guard,
                     _reservation: reservation,
-                    ends: Box::pin(tokio::time::sleep((ends_at - self.clock.now()).duration())),
+                    deadline: Box::pin(tokio::time::sleep((ends_at - self.clock.now()).duration())),
                 };
                 Response::with_body(status, BoxBody::new(body))
             }
--- a/packages/gateway/src/gateway/response_bodies.rs
+++ b/packages/gateway/src/gateway/response_bodies.rs
@@ -31,23 +31,23 @@
     }
 }
 
-/// A streamed response body. If it is cut, it yields an error, which makes the server break the client's
+/// A streamed response body. If it is cut off, it yields an error, which makes the server break the client's
 /// connection instead of ending the response cleanly.
 pub(super) struct StreamedBody {
-    pub(super) begun: Option<Bytes>,
+    pub(super) first_chunk: Option<Bytes>,
     pub(super) rest: Box<ResponseRest>,
     pub(super) length: Option<u64>,
-    pub(super) passed: u64,
+    pub(super) bytes_sent: u64,
     pub(super) guard: PermitGuard,
     pub(super) _reservation: CallReservation,
-    pub(super) ends: Pin<Box<tokio::time::Sleep>>,
+    pub(super) deadline: Pin<Box<tokio::time::Sleep>>,
 }
 
 impl StreamedBody {
-    fn cut(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
+    fn cut_off(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
         self.guard.return_permit(UNKNOWN);
         self.guard.gateway.counts.cut_responses.fetch_add(1, Ordering::Relaxed);
-        Poll::Ready(Some(Err(std::io::Error::other("the instance's response was cut off"))))
+        Poll::Ready(Some(Err(std::io::Error::other("the cell's answer was cut"))))
     }
 }
 
@@ -62,25 +62,25 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        if let Some(begun) = self.begun.take() {
-            self.passed += begun.len() as u64;
-            return Poll::Ready(Some(Ok(begun)));
+        if let Some(first_chunk) = self.first_chunk.take() {
+            self.bytes_sent += first_chunk.len() as u64;
+            return Poll::Ready(Some(Ok(first_chunk)));
         }
-        if self.ends.as_mut().poll(context).is_ready() {
-            return self.cut();
+        if self.deadline.as_mut().poll(context).is_ready() {
+            return self.cut_off();
         }
         match self.rest.poll_next_unpin(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(Some(chunk)))) => {
-                self.passed += chunk.len() as u64;
+                self.bytes_sent += chunk.len() as u64;
                 Poll::Ready(Some(Ok(chunk)))
             }
-            Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.passed) => {
+            Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.bytes_sent) => {
                 self.guard.return_permit(RAN);
                 self.guard.gateway.counts.answered.fetch_add(1, Ordering::Relaxed);
                 Poll::Ready(None)
             }
-            Poll::Ready(_) => self.cut(),
+            Poll::Ready(_) => self.cut_off(),
         }
     }
 }
--- a/packages/gateway/src/route_table.rs
+++ b/packages/gateway/src/route_table.rs
@@ -16,7 +16,7 @@
     split: Vec<(String, f64)>,
     /// The number of instances that one call may be sent to, if the route sets it.
     pub dispatch_limit: Option<u32>,
-    /// The target response time.
+    /// The target response time, within which a response is worth most.
     pub target: Option<Micros>,
     /// Rank of its calls; zero is served first.
     pub rank: u32,
--- a/packages/gateway/tests/dispatch_faults.rs
+++ b/packages/gateway/tests/dispatch_faults.rs
@@ -6,7 +6,8 @@
 use gateway::{DispatchOutcome, DispatchSettings, HeaderConventions, dispatch};
 use monotonic_clock::Micros;
 use scripted_instance::{
-    After, Reply, ScriptedInstance, call_to, keeping, platform_conventions, response_bytes, sound_response,
+    After, Reply, ScriptedInstance, call_to, keep_alive_settings, platform_conventions, response_bytes,
+    valid_response,
 };
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,7 +30,7 @@
     }
 }
 
-fn dispatched(
+fn outcomes_of_dispatches(
     address: SocketAddr,
     ids: &[&str],
     time_left: Micros,
@@ -45,15 +46,21 @@
 }
 
 /// The outcome of one dispatch over a fresh connection to an instance that sends these bytes.
-fn fresh(bytes: Vec<u8>, after: After, header_conventions: HeaderConventions, time_left: Micros) -> String {
+fn outcome_on_fresh_connection(
+    bytes: Vec<u8>,
+    after: After,
+    header_conventions: HeaderConventions,
+    time_left: Micros,
+) -> String {
     let instance = ScriptedInstance::start(move |_, _| Reply { bytes: bytes.clone(), after });
-    dispatched(instance.address, &["a"], time_left, &keeping(header_conventions)).remove(0)
+    outcomes_of_dispatches(instance.address, &["a"], time_left, &keep_alive_settings(header_conventions))
+        .remove(0)
 }
 
 #[test]
 fn a_sent_call_without_a_valid_response_is_of_unknown_outcome() {
     let cut_chunks = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
-    let whole = sound_response("a");
+    let whole = valid_response("a");
     let half = &whole[..whole.len() - 3];
     let invalid_responses: [(&str, &[u8]); 6] = [
         ("nothing", b""),
@@ -66,7 +73,7 @@
     for (name, bytes) in invalid_responses {
         for after in [After::Close, After::Reset] {
             assert_eq!(
-                fresh(bytes.to_vec(), after, platform_conventions(), LONG_TIMEOUT),
+                outcome_on_fresh_connection(bytes.to_vec(), after, platform_conventions(), LONG_TIMEOUT),
                 "unknown",
                 "{name} {after:?}"
             );
@@ -74,7 +81,15 @@
     }
     // Half-open: the connection stays open and nothing more arrives.
     for bytes in [&b""[..], half, &cut_chunks[..]] {
-        assert_eq!(fresh(bytes.to_vec(), After::Silence, platform_conventions(), SHORT_TIMEOUT), "timed out");
+        assert_eq!(
+            outcome_on_fresh_connection(
+                bytes.to_vec(),
+                After::Silence,
+                platform_conventions(),
+                SHORT_TIMEOUT
+            ),
+            "timed out"
+        );
     }
 }
 
@@ -82,21 +97,32 @@
 fn a_call_whose_connection_did_not_open_is_reported_as_not_run() {
     let refusing =
         TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("a bound socket");
-    assert_eq!(dispatched(refusing, &["a"], LONG_TIMEOUT, &keeping(platform_conventions())), ["not run"]);
+    assert_eq!(
+        outcomes_of_dispatches(refusing, &["a"], LONG_TIMEOUT, &keep_alive_settings(platform_conventions())),
+        ["not run"]
+    );
     // A listener with a full accept queue does not respond to new connections until the time is over.
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
     listener.listen(0).expect("a listening socket");
     let silent = listener.local_addr().expect("a bound socket").as_socket().expect("an address");
     let queued = TcpStream::connect(silent).expect("a queued connection");
-    assert_eq!(dispatched(silent, &["a"], SHORT_TIMEOUT, &keeping(platform_conventions())), ["not run"]);
+    assert_eq!(
+        outcomes_of_dispatches(silent, &["a"], SHORT_TIMEOUT, &keep_alive_settings(platform_conventions())),
+        ["not run"]
+    );
     drop(queued);
 }
 
 #[test]
 fn only_the_instances_own_statement_reports_a_call_as_not_run() {
     let reply = |status: &str, headers: &str, header_conventions: HeaderConventions| {
-        fresh(response_bytes(status, headers, "word"), After::Close, header_conventions, LONG_TIMEOUT)
+        outcome_on_fresh_connection(
+            response_bytes(status, headers, "word"),
+            After::Close,
+            header_conventions,
+            LONG_TIMEOUT,
+        )
     };
     for status in ["503 Service Unavailable", "429 Too Many Requests", "400 Bad Request"] {
         let with_id = "request-id: a\r\nnot-run: 1\r\n";
@@ -135,7 +161,11 @@
 fn a_response_without_an_id_or_with_another_calls_id_is_discarded() {
     for headers in ["", "request-id: b\r\n"] {
         let bytes = response_bytes("200 OK", headers, "stray");
-        assert_eq!(fresh(bytes, After::Next, platform_conventions(), LONG_TIMEOUT), "unknown", "{headers:?}");
+        assert_eq!(
+            outcome_on_fresh_connection(bytes, After::Next, platform_conventions(), LONG_TIMEOUT),
+            "unknown",
+            "{headers:?}"
+        );
     }
 }
 
@@ -143,15 +173,19 @@
 fn a_call_without_an_id_never_accepts_a_late_response() {
     // The second request on a connection first gets a repeat of the first one's response.
     let instance = ScriptedInstance::start(|number, id| {
-        let mut bytes = if number == 1 { sound_response("a") } else { Vec::new() };
+        let mut bytes = if number == 1 { valid_response("a") } else { Vec::new() };
         bytes.extend(match id {
             "" => response_bytes("400 Bad Request", "not-run: 1\r\n", "no id"),
-            id => sound_response(id),
+            id => valid_response(id),
         });
         Reply { bytes, after: After::Next }
     });
-    let outcomes =
-        dispatched(instance.address, &["a", "", "c"], LONG_TIMEOUT, &keeping(platform_conventions()));
+    let outcomes = outcomes_of_dispatches(
+        instance.address,
+        &["a", "", "c"],
+        LONG_TIMEOUT,
+        &keep_alive_settings(platform_conventions()),
+    );
     assert_eq!(outcomes, ["answered 200 answer to a", "turned away", "answered 200 answer to c"]);
     assert_eq!(instance.requests(), ["a", "", "c"]);
 }
@@ -159,11 +193,21 @@
 #[test]
 fn connections_are_kept_only_where_responses_carry_ids() {
     let instance =
-        || ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next });
+        || ScriptedInstance::start(|_, id| Reply { bytes: valid_response(id), after: After::Next });
     let with_ids = instance();
-    dispatched(with_ids.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(platform_conventions()));
+    outcomes_of_dispatches(
+        with_ids.address,
+        &["a", "b", "c"],
+        LONG_TIMEOUT,
+        &keep_alive_settings(platform_conventions()),
+    );
     let without_ids = instance();
-    dispatched(without_ids.address, &["a", "b", "c"], LONG_TIMEOUT, &keeping(HeaderConventions::default()));
+    outcomes_of_dispatches(
+        without_ids.address,
+        &["a", "b", "c"],
+        LONG_TIMEOUT,
+        &keep_alive_settings(HeaderConventions::default()),
+    );
     assert_eq!((with_ids.connections(), without_ids.connections()), (1, 3));
 }
 
@@ -171,14 +215,14 @@
 fn a_kept_connection_that_failed_is_not_reused() {
     for after in [After::Close, After::Reset, After::Silence] {
         let instance = ScriptedInstance::start(move |number, id| match (number, id) {
-            (0, id) => Reply { bytes: sound_response(id), after: After::Next },
+            (0, id) => Reply { bytes: valid_response(id), after: After::Next },
             _ => Reply { bytes: Vec::new(), after },
         });
-        let outcomes = dispatched(
+        let outcomes = outcomes_of_dispatches(
             instance.address,
             &["a", "b", "c"],
             Micros::from_millis(300),
-            &keeping(platform_conventions()),
+            &keep_alive_settings(platform_conventions()),
         );
         let failed = if after == After::Silence { "timed out" } else { "unknown" };
         assert_eq!(outcomes, ["answered 200 answer to a", failed, "answered 200 answer to c"], "{after:?}");
--- a/packages/gateway/tests/gateway_calls.rs
+++ b/packages/gateway/tests/gateway_calls.rs
@@ -10,7 +10,7 @@
 use gateway::{Gateway, GatewayMessage, GatewayResponse, GatewaySettings, PermitResponse};
 use peer_messages::{Address, Permit};
 use scripted_instance::{
-    After, Reply, ScriptedInstance, keeping, platform_conventions, response_bytes, sound_response,
+    After, Reply, ScriptedInstance, keep_alive_settings, platform_conventions, response_bytes, valid_response,
 };
 use std::net::SocketAddr;
 use std::sync::mpsc as thread_channel;
@@ -60,8 +60,10 @@
     grants: usize,
 ) -> (Arc<Gateway>, Arc<Mutex<Received>>) {
     let (protocol_sender, mut messages) = mpsc::channel(64);
-    let settings =
-        GatewaySettings { dispatch: keeping(platform_conventions()), ..GatewaySettings::default() };
+    let settings = GatewaySettings {
+        dispatch: keep_alive_settings(platform_conventions()),
+        ..GatewaySettings::default()
+    };
     let gateway = Gateway::new(settings, protocol_sender);
     gateway.set_configuration(1, configuration);
     let received = Arc::new(Mutex::new(Received::default()));
@@ -307,7 +309,7 @@
         let limits = r#""lanes": {"l": {"function": "f", "path_prefix": "/"}},
             "visitor_limits": {"header_bytes": 300, "body_bytes": 10}"#;
         let instance =
-            ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next });
+            ScriptedInstance::start(|_, id| Reply { bytes: valid_response(id), after: After::Next });
         let (gateway, received) = gateway(&routes(limits), instance.address, 1);
         let mut long_head = request(b"");
         let value = HeaderValue::from_str(&"x".repeat(300)).expect("a valid header value");
@@ -397,7 +399,7 @@
 }
 
 /// An instance that reads requests and never responds, and what it observes.
-fn watching_instance() -> (SocketAddr, thread_channel::Receiver<Observed>) {
+fn silent_instance() -> (SocketAddr, thread_channel::Receiver<Observed>) {
     let (observer, observations) = thread_channel::channel();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("a bound socket");
@@ -440,7 +442,7 @@
 fn only_a_repeatable_call_at_its_instance_is_aborted_when_its_client_leaves() {
     run(async {
         for is_repeatable in [true, false] {
-            let (instance, observations) = watching_instance();
+            let (instance, observations) = silent_instance();
             let route = format!(
                 r#""lanes": {{"l": {{"function": "f", "path_prefix": "/", "patience_millis": 30000,
                     "repeatable": {is_repeatable}}}}}"#
@@ -476,7 +478,7 @@
         let listener = std::net::TcpListener::from(listener);
         let _first = std::net::TcpStream::connect(address).expect("the queue holds one");
         let (protocol_sender, mut messages) = mpsc::channel(64);
-        let mut dispatch = keeping(platform_conventions());
+        let mut dispatch = keep_alive_settings(platform_conventions());
         dispatch.connect_within = Duration::from_secs(20);
         let gateway = Arc::new(Gateway::new(
             GatewaySettings { dispatch, ..GatewaySettings::default() },
--- a/packages/gateway/tests/key_bench/mod.rs
+++ b/packages/gateway/tests/key_bench/mod.rs
@@ -134,7 +134,7 @@
         writers: Option<Writers>,
     ) -> Bench {
         let (protocol_sender, messages) = mpsc::channel(64);
-        let dispatch = crate::scripted_instance::keeping(header_names.header_conventions());
+        let dispatch = crate::scripted_instance::keep_alive_settings(header_names.header_conventions());
         let mut gateway =
             Gateway::new(GatewaySettings { dispatch, ..GatewaySettings::default() }, protocol_sender);
         if let Some(writers) = writers {
@@ -212,7 +212,7 @@
     }
 
     /// The same in the background.
-    pub fn begin(&self, request: &[u8]) -> actix_rt::task::JoinHandle<HttpReply> {
+    pub fn spawn_call(&self, request: &[u8]) -> actix_rt::task::JoinHandle<HttpReply> {
         let (address, request) = (self.address, request.to_vec());
         actix_rt::spawn(async move { Client::connect(address).await.exchange(&request).await })
     }
--- a/packages/gateway/tests/scripted_instance/mod.rs
+++ b/packages/gateway/tests/scripted_instance/mod.rs
@@ -63,7 +63,7 @@
                 let Ok(stream) = stream else { return };
                 seen_connections.fetch_add(1, Ordering::SeqCst);
                 let (script, requests) = (script.clone(), seen_requests.clone());
-                std::thread::spawn(move || converse(stream, &script, &requests));
+                std::thread::spawn(move || serve_connection(stream, &script, &requests));
             }
         });
         ScriptedInstance { address, connections, requests }
@@ -90,7 +90,7 @@
     }
 }
 
-fn converse(mut stream: TcpStream, script: &Script, requests: &Mutex<Vec<SeenRequest>>) {
+fn serve_connection(mut stream: TcpStream, script: &Script, requests: &Mutex<Vec<SeenRequest>>) {
     let mut lines = BufReader::new(stream.try_clone().expect("a cloned stream"));
     for number in 0.. {
         let Some(seen) = read_request(&mut lines) else { return };
@@ -146,7 +146,7 @@
 }
 
 /// A valid response to a request, on a connection that may be kept.
-pub fn sound_response(id: &str) -> Vec<u8> {
+pub fn valid_response(id: &str) -> Vec<u8> {
     response_bytes(
         "200 OK",
         &format!("request-id: {id}\r\nkeep-alive: timeout=5\r\n"),
@@ -166,7 +166,7 @@
 }
 
 /// Dispatch settings that keep connections.
-pub fn keeping(header_conventions: HeaderConventions) -> DispatchSettings {
+pub fn keep_alive_settings(header_conventions: HeaderConventions) -> DispatchSettings {
     DispatchSettings {
         idle_limit: 2,
         header_conventions: Arc::new(header_conventions),
--- a/packages/gateway/tests/tenant_keys.rs
+++ b/packages/gateway/tests/tenant_keys.rs
@@ -8,7 +8,7 @@
 use configuration_schema::{Configuration, ConfigurationDelta};
 use gateway::{GatewayMessage, Recorder};
 use key_bench::{Bench, HeaderNames, HttpReply, request_bytes, routes};
-use scripted_instance::{After, Reply, ScriptedInstance, sound_response};
+use scripted_instance::{After, Reply, ScriptedInstance, valid_response};
 use std::time::Duration;
 
 const SEEDS: u64 = 200;
@@ -23,8 +23,8 @@
     "lanes": {"private": {"function": "f", "path_prefix": "/private"},
         "public": {"function": "f", "path_prefix": "/public", "is_public": true}}"#;
 
-fn answering_instance() -> ScriptedInstance {
-    ScriptedInstance::start(|_, id| Reply { bytes: sound_response(id), after: After::Next })
+fn responding_instance() -> ScriptedInstance {
+    ScriptedInstance::start(|_, id| Reply { bytes: valid_response(id), after: After::Next })
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -122,7 +122,7 @@
 fn calls_without_one_known_key_are_refused_where_a_route_needs_one() {
     run(async {
         for header_names in HeaderNames::ALL {
-            let instance = answering_instance();
+            let instance = responding_instance();
             let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
             for seed in 0..SEEDS {
                 let mut rng = fastrand::Rng::with_seed(seed);
@@ -162,7 +162,7 @@
     run(async {
         for header_names in HeaderNames::ALL {
             for (settings, has_tenants) in [(WITH_TENANTS, true), (WITHOUT_TENANTS, false)] {
-                let instance = answering_instance();
+                let instance = responding_instance();
                 let bench = Bench::start(&header_names, &routes(settings), instance.address).await;
                 for seed in 0..SEEDS {
                     let mut rng = fastrand::Rng::with_seed(seed);
@@ -218,7 +218,7 @@
 fn each_call_on_a_kept_connection_to_an_instance_has_its_own_tenant() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         for seed in 0..SEEDS {
             let calls = [
@@ -250,7 +250,7 @@
 
 const CHANGES: [Change; 7] = [
     Change {
-        name: "the key is taken away",
+        name: "the key is revoked",
         path: "/private/x",
         key: "key-of-lomi",
         later: r#""tenants": {"lomi": {"keys": ["second-key-of-lomi"]}},
@@ -259,7 +259,7 @@
         tenant: None,
     },
     Change {
-        name: "the tenant is gone and the lane leads elsewhere",
+        name: "the tenant is removed and the route leads to another function",
         path: "/private/x",
         key: "key-of-lomi",
         later: r#""tenants": {}, "lanes": {"private": {"function": "g", "path_prefix": "/private"}}"#,
@@ -267,7 +267,7 @@
         tenant: None,
     },
     Change {
-        name: "the lane leads elsewhere",
+        name: "the route leads to another function",
         path: "/private/x",
         key: "key-of-lomi",
         later: r#""tenants": {"lomi": {"keys": ["key-of-lomi"]}},
@@ -276,7 +276,7 @@
         tenant: Some("lomi"),
     },
     Change {
-        name: "the key is another tenant's",
+        name: "the key moved to another tenant",
         path: "/private/x",
         key: "key-of-lomi",
         later: r#""tenants": {"fifi": {"keys": ["key-of-lomi"]}},
@@ -285,7 +285,7 @@
         tenant: Some("fifi"),
     },
     Change {
-        name: "the lane is public",
+        name: "the route became public",
         path: "/private/x",
         key: "key-of-lomi",
         later: r#""tenants": {"lomi": {"keys": ["key-of-lomi"]}},
@@ -294,7 +294,7 @@
         tenant: None,
     },
     Change {
-        name: "the public lane needs a key that was sent",
+        name: "the public route needs a key that was sent",
         path: "/public/x",
         key: "key-of-lomi",
         later: r#""tenants": {"lomi": {"keys": ["key-of-lomi"]}},
@@ -303,7 +303,7 @@
         tenant: Some("lomi"),
     },
     Change {
-        name: "the public lane needs a key that was not sent",
+        name: "the public route needs a key that was not sent",
         path: "/public/x",
         key: "",
         later: r#""tenants": {"lomi": {"keys": ["key-of-lomi"]}},
@@ -320,11 +320,11 @@
     run(async {
         for header_names in HeaderNames::ALL {
             for change in &CHANGES {
-                let instance = answering_instance();
+                let instance = responding_instance();
                 let mut bench =
                     Bench::start_holding(&header_names, &routes(WITH_TENANTS), instance.address).await;
                 let lines = [format!("{}: {}", header_names.api_key, change.key)];
-                let call = bench.begin(&request_bytes(change.path, &lines, "b"));
+                let call = bench.spawn_call(&request_bytes(change.path, &lines, "b"));
                 let permit_request = bench.next_permit_request().await;
                 let GatewayMessage::RequestPermit { parameters, .. } = &permit_request else {
                     unreachable!("next_permit_request returns only permit requests")
@@ -362,7 +362,7 @@
             let mut bench =
                 Bench::start_holding(&header_names, &routes(WITH_TENANTS), instance.address).await;
             let lines = [format!("{}: key-of-lomi", header_names.api_key)];
-            let call = bench.begin(&request_bytes("/private/x", &lines, ""));
+            let call = bench.spawn_call(&request_bytes("/private/x", &lines, ""));
             let first = bench.next_permit_request().await;
             bench.grant(first);
             let second = bench.next_permit_request().await;
@@ -393,7 +393,7 @@
     run(async {
         for header_names in HeaderNames::ALL {
             for by_delta in [false, true] {
-                let instance = answering_instance();
+                let instance = responding_instance();
                 let first = with_keys(r#""key-of-lomi""#);
                 let bench = Bench::start(&header_names, &first, instance.address).await;
                 let mut client = bench.connect().await;
@@ -431,7 +431,7 @@
 fn a_call_that_suspect_routes_do_not_admit_is_asked_to_retry() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let bench = Bench::start(&header_names, &with_keys(r#""key-of-lomi""#), instance.address).await;
         let call =
             |path: &str, key: &str| request_bytes(path, &[format!("{}: {key}", header_names.api_key)], "");
@@ -454,7 +454,7 @@
 fn a_refused_calls_unread_body_is_never_read_as_a_request() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         let key_line = [format!("{}: key-of-lomi", header_names.api_key)];
         let hidden = String::from_utf8(request_bytes("/private/hidden", &key_line, "")).expect("UTF-8");
@@ -492,7 +492,7 @@
 fn a_permit_is_requested_under_the_tenant_and_its_rank() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         let expected = [
             ("/private/x", "key-of-lomi", Some("lomi"), (2 << 8) | 3),
@@ -513,7 +513,7 @@
 fn a_nested_call_needs_a_key_like_any_other() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let bench = Bench::start(&header_names, &routes(WITH_TENANTS), instance.address).await;
         bench.gateway.set_instance_hosts([std::net::IpAddr::from([127, 0, 0, 1])].into());
         let refused = bench.call(&request_bytes("/private/x", &[], "")).await;
@@ -533,7 +533,7 @@
 fn no_key_is_in_records_traces_or_messages_to_the_protocol() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let instance = answering_instance();
+        let instance = responding_instance();
         let folder =
             std::env::temp_dir().join(format!("vanelane-keys-{}-{}", std::process::id(), fastrand::u64(..)));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -546,7 +546,7 @@
             Bench::start_recording(&header_names, &routes(WITH_TENANTS), instance.address, writers).await;
         for key in ["key-of-lomi", "key-of-nobody"] {
             let lines = [format!("{}: {key}", header_names.api_key)];
-            let call = bench.begin(&request_bytes("/private/x", &lines, ""));
+            let call = bench.spawn_call(&request_bytes("/private/x", &lines, ""));
             if key == "key-of-lomi" {
                 let permit_request = bench.next_permit_request().await;
                 assert!(!format!("{permit_request:?}").contains("key-of-"));
@@ -566,7 +566,7 @@
 fn a_call_that_is_not_admitted_is_refused_before_its_body_is_read() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
-        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), answering_instance().address).await;
+        let bench = Bench::start(&header_names, &routes(WITH_TENANTS), responding_instance().address).await;
         let whole = request_bytes("/private/x", &[], &"b".repeat(50_000));
         let head = whole.len() - 50_000;
         let response = tokio::time::timeout(Duration::from_secs(5), async {
--- a/packages/platform_client/src/lib.rs
+++ b/packages/platform_client/src/lib.rs
@@ -164,7 +164,7 @@
 #[derive(Clone)]
 pub struct PlatformClient {
     client: Client,
-    base: String,
+    base_url: String,
 }
 
 impl PlatformClient {
@@ -172,13 +172,13 @@
     /// Example: `PlatformClient::new(address).list().await`.
     pub fn new(platform_address: SocketAddr) -> PlatformClient {
         let client = Client::builder().timeout(Duration::from_secs(2)).disable_redirects().finish();
-        PlatformClient { client, base: format!("http://{platform_address}") }
+        PlatformClient { client, base_url: format!("http://{platform_address}") }
     }
 
     /// Workers and instances as the platform lists them, possibly outdated; `None` without a valid response.
     /// Example: `let Some((workers, instances)) = client.list().await else { return };`.
     pub async fn list(&self) -> Option<(Vec<ListedWorker>, Vec<ListedInstance>)> {
-        let mut response = self.client.get(format!("{}/cells", self.base)).send().await.ok()?;
+        let mut response = self.client.get(format!("{}/cells", self.base_url)).send().await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
@@ -213,7 +213,7 @@
 
     /// Starts an instance. Example: `client.start(&StartDocument { .. }).await == StartResponse::Throttled`.
     pub async fn start(&self, start: &StartDocument) -> StartResponse {
-        let sending = self.client.post(format!("{}/cells", self.base)).send_json(start);
+        let sending = self.client.post(format!("{}/cells", self.base_url)).send_json(start);
         let Ok(mut response) = sending.await else { return StartResponse::Unknown };
         match response.status() {
             StatusCode::CREATED | StatusCode::OK => {
@@ -231,7 +231,7 @@
     /// Stops an instance; stopping one that is gone is no error.
     /// Example: `client.stop("c12").await == StopResponse::Stopped`.
     pub async fn stop(&self, instance: &str) -> StopResponse {
-        let sending = self.client.delete(format!("{}/cells/{instance}", self.base)).send();
+        let sending = self.client.delete(format!("{}/cells/{instance}", self.base_url)).send();
         let Ok(response) = sending.await else { return StopResponse::Unknown };
         match response.status() {
             StatusCode::OK | StatusCode::ACCEPTED | StatusCode::NO_CONTENT | StatusCode::NOT_FOUND => {
@@ -244,7 +244,7 @@
 
     /// Reports a window's usage. Example: `client.report_usage(&report).await == UsageResponse::Accepted`.
     pub async fn report_usage(&self, report: &UsageReportDocument) -> UsageResponse {
-        let sending = self.client.post(format!("{}/usage", self.base)).send_json(report);
+        let sending = self.client.post(format!("{}/usage", self.base_url)).send_json(report);
         sending.await.map_or(UsageResponse::Unknown, |response| response.status().into())
     }
 }
