--- a/packages/gateway/src/gateway/response_bodies.rs
+++ b/packages/gateway/src/gateway/response_bodies.rs
@@ -1,6 +1,6 @@
-//! The bodies of answers on their way to visitors.
+//! The bodies of responses to clients.
 
-use super::call_guards::{Held, PermitGuard};
+use super::call_guards::{CallReservation, PermitGuard};
 use crate::instance_dispatch::ResponseRest;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
@@ -10,10 +10,10 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll};
 
-/// A whole answer that keeps its memory counted until it is handed over.
+/// A buffered response body that keeps its memory counted until the server has taken it.
 pub(super) struct BufferedBody {
     pub(super) body: Option<Bytes>,
-    pub(super) _held: Held,
+    pub(super) _reservation: CallReservation,
 }
 
 impl MessageBody for BufferedBody {
@@ -31,21 +31,21 @@
     }
 }
 
-/// A long answer on its way. A cut ends in a failure, which makes the server break the visitor's
-/// connection off instead of ending the answer cleanly.
+/// A streamed response body. If it is cut off, it yields an error, which makes the server break the client's
+/// connection instead of ending the response cleanly.
 pub(super) struct StreamedBody {
-    pub(super) begun: Option<Bytes>,
+    pub(super) first_chunk: Option<Bytes>,
     pub(super) rest: Box<ResponseRest>,
     pub(super) length: Option<u64>,
-    pub(super) passed: u64,
+    pub(super) bytes_sent: u64,
     pub(super) guard: PermitGuard,
-    pub(super) _held: Held,
-    pub(super) ends: Pin<Box<tokio::time::Sleep>>,
+    pub(super) _reservation: CallReservation,
+    pub(super) deadline: Pin<Box<tokio::time::Sleep>>,
 }
 
 impl StreamedBody {
-    fn cut(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
-        self.guard.done(UNKNOWN);
+    fn cut_off(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
+        self.guard.return_permit(UNKNOWN);
         self.guard.gateway.counts.cut_responses.fetch_add(1, Ordering::Relaxed);
         Poll::Ready(Some(Err(std::io::Error::other("the cell's answer was cut"))))
     }
@@ -62,25 +62,25 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        if let Some(begun) = self.begun.take() {
-            self.passed += begun.len() as u64;
-            return Poll::Ready(Some(Ok(begun)));
+        if let Some(first_chunk) = self.first_chunk.take() {
+            self.bytes_sent += first_chunk.len() as u64;
+            return Poll::Ready(Some(Ok(first_chunk)));
         }
-        if self.ends.as_mut().poll(context).is_ready() {
-            return self.cut();
+        if self.deadline.as_mut().poll(context).is_ready() {
+            return self.cut_off();
         }
         match self.rest.poll_next_unpin(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(Some(chunk)))) => {
-                self.passed += chunk.len() as u64;
+                self.bytes_sent += chunk.len() as u64;
                 Poll::Ready(Some(Ok(chunk)))
             }
-            Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.passed) => {
-                self.guard.done(RAN);
+            Poll::Ready(Some(Ok(None))) if self.length.is_none_or(|length| length == self.bytes_sent) => {
+                self.guard.return_permit(RAN);
                 self.guard.gateway.counts.answered.fetch_add(1, Ordering::Relaxed);
                 Poll::Ready(None)
             }
-            Poll::Ready(_) => self.cut(),
+            Poll::Ready(_) => self.cut_off(),
         }
     }
 }
