--- a/packages/monotonic_clock/src/lib.rs
+++ b/packages/monotonic_clock/src/lib.rs
@@ -1,7 +1,7 @@
-//! Times as whole microseconds on a monotonic clock, and clock events at fixed intervals.
+//! Times in whole microseconds on a monotonic clock, and tickers with a fixed interval.
 //!
-//! Nothing is ordered or timed by a wall clock. [`wall_clock`] alone reads it, and only for the numbers of
-//! windows of usage, which the fleet agrees on; a clock that jumps changes nothing.
+//! Nothing is ordered or timed by the wall clock. Only [`wall_clock`] reads it, and only to number usage windows, on
+//! which the fleet agrees; a jump of the wall clock has no other effect.
 
 pub mod wall_clock;
 
@@ -23,7 +23,7 @@
         Micros(second_count * 1_000_000)
     }
 
-    /// The span as a library duration. Example: `Micros(5).duration() == Duration::from_micros(5)`.
+    /// The span as a [`Duration`]. Example: `Micros(5).duration() == Duration::from_micros(5)`.
     pub const fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
@@ -36,16 +36,16 @@
 
 impl Add for Micros {
     type Output = Micros;
-    fn add(self, added_span: Micros) -> Micros {
-        Micros(self.0.saturating_add(added_span.0))
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
     }
 }
 
-/// Subtraction stops at zero: a time left never wraps.
+/// Subtraction saturates at zero, so that a remaining time never wraps.
 impl Sub for Micros {
     type Output = Micros;
-    fn sub(self, taken_span: Micros) -> Micros {
-        Micros(self.0.saturating_sub(taken_span.0))
+    fn sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
     }
 }
 
@@ -67,9 +67,9 @@
     }
 }
 
-/// A clock event that comes round at an interval.
+/// A timer that is due once per interval.
 ///
-/// Example: one of `Micros(10)` is due at once, then not before ten microseconds passed.
+/// Example: a ticker of `Micros(10)` is due at once, then not before ten microseconds have passed.
 #[derive(Clone, Debug)]
 pub struct Ticker {
     interval: Micros,
@@ -77,13 +77,13 @@
 }
 
 impl Ticker {
-    /// An event first due at time zero. Example: `Ticker::every(Micros::from_secs(1))`.
+    /// A ticker that is first due at time zero. Example: `Ticker::every(Micros::from_secs(1))`.
     pub fn every(interval: Micros) -> Ticker {
         Ticker { interval, due_at: Micros(0) }
     }
 
-    /// Whether the event is due; if so it is set for one interval from now, never to catch up in a
-    /// burst after a freeze. Example: `if event.due(now) { send_probe(); }`.
+    /// Whether the ticker is due. If so, it is next due one interval from now: intervals missed while the process
+    /// was suspended are not made up in a burst. Example: `if ticker.due(now) { send_probe(); }`.
     pub fn due(&mut self, now: Micros) -> bool {
         if now < self.due_at {
             return false;
--- a/packages/supervisor/src/lib.rs
+++ b/packages/supervisor/src/lib.rs
@@ -1,12 +1,12 @@
-//! A supervisor tree: each part of the program is a named child that is started anew when it fails
-//! or panics, a few times; a child that goes on failing ends its supervisor, and so up the tree.
+//! A supervisor tree: each part of the program is a named child that is restarted a limited number of times when it
+//! fails or panics. A child that exceeds the limit fails its supervisor, and so on up the tree.
 
 use error_stack::Report;
 use std::future::Future;
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// A child that was given up. Example: `ChildError("colleague listener".into())`.
+/// The name of a child that failed permanently. Example: `ChildError("colleague listener".into())`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChildError(pub String);
 
@@ -22,15 +22,15 @@
 
 struct Child {
     name: String,
-    make: Box<dyn Fn() -> ChildFuture>,
+    make_work: Box<dyn Fn() -> ChildFuture>,
 }
 
-/// How often a child may be started anew. Example: `RestartPolicy::default().restarts == 5`.
+/// Limits on the restarts of a child. Example: `RestartPolicy::default().restarts == 5`.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartPolicy {
-    /// So many restarts...
+    /// Restarts allowed within the span `within`. One more failure ends the supervisor.
     pub restarts: usize,
-    /// ...within this span; one more ends the supervisor.
+    /// The span over which failures are counted.
     pub within: Duration,
     /// Pause before a restart.
     pub pause: Duration,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A supervisor of children on one thread; it is itself a fit child of another.
+/// A supervisor of children on one thread. It can itself be the child of another supervisor.
 /// Example: `Supervisor::new("vanelane", RestartPolicy::default()).child("list", || async { Ok(()) })`.
 pub struct Supervisor {
     name: String,
@@ -56,54 +56,54 @@
         Supervisor { name: name.to_owned(), restart_policy, children: Vec::new() }
     }
 
-    /// Adds a child by what makes its work. Work that ends well is not started again.
+    /// Adds a child with the function that creates its future. A child that returns `Ok` is not restarted.
     /// Example: `supervisor.child("colleague listener", move || listen(port))`.
-    pub fn child<Work>(mut self, name: &str, make: impl Fn() -> Work + 'static) -> Supervisor
+    pub fn child<Work>(mut self, name: &str, make_work: impl Fn() -> Work + 'static) -> Supervisor
     where
         Work: Future<Output = Result<(), Report<ChildError>>> + 'static,
     {
         let child_name = format!("{}/{name}", self.name);
-        self.children.push(Child { name: child_name, make: Box::new(move || Box::pin(make())) });
+        self.children.push(Child { name: child_name, make_work: Box::new(move || Box::pin(make_work())) });
         self
     }
 
-    /// Runs all children until all ended well or one was given up; the others are then ended.
+    /// Runs the children until all have returned `Ok` or one has failed permanently, which aborts the others.
     /// Example: `supervisor.run().await?`.
     pub async fn run(self) -> Result<(), Report<ChildError>> {
         let restart_policy = self.restart_policy;
-        let mut keepers = tokio::task::JoinSet::new();
+        let mut tasks = tokio::task::JoinSet::new();
         for child in self.children {
-            keepers.spawn_local(keep(child, restart_policy));
+            tasks.spawn_local(run_with_restarts(child, restart_policy));
         }
-        while let Some(kept) = keepers.join_next().await {
-            match kept {
+        while let Some(ended) = tasks.join_next().await {
+            match ended {
                 Ok(Ok(())) => {}
                 Ok(Err(failure)) => return Err(failure),
-                Err(broken) => return Err(Report::new(ChildError(broken.to_string()))),
+                Err(join_error) => return Err(Report::new(ChildError(join_error.to_string()))),
             }
         }
         Ok(())
     }
 }
 
-/// Ends the child's work when its keeper is ended.
-struct EndOnDrop(tokio::task::AbortHandle);
+/// Aborts the child's task when the task that restarts it is aborted.
+struct AbortOnDrop(tokio::task::AbortHandle);
 
-impl Drop for EndOnDrop {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-async fn keep(child: Child, restart_policy: RestartPolicy) -> Result<(), Report<ChildError>> {
+async fn run_with_restarts(child: Child, restart_policy: RestartPolicy) -> Result<(), Report<ChildError>> {
     let mut failed_at: Vec<Instant> = Vec::new();
     loop {
-        let working = tokio::task::spawn_local((child.make)());
-        let _ending = EndOnDrop(working.abort_handle());
-        let reason = match working.await {
+        let task = tokio::task::spawn_local((child.make_work)());
+        let _abort_on_drop = AbortOnDrop(task.abort_handle());
+        let reason = match task.await {
             Ok(Ok(())) => return Ok(()),
             Ok(Err(failure)) => format!("{failure:?}"),
-            Err(broken) => broken.to_string(),
+            Err(join_error) => join_error.to_string(),
         };
         log::error!("{} failed: {reason}", child.name);
         failed_at.retain(|failed| failed.elapsed() < restart_policy.within);
--- a/packages/supervisor/src/tests.rs
+++ b/packages/supervisor/src/tests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_failing_child_is_started_anew_and_then_given_up() {
+fn failing_child_is_restarted_up_to_the_limit_and_then_fails_the_supervisor() {
     let restart_policy =
         RestartPolicy { restarts: 3, within: Duration::from_secs(60), pause: Duration::ZERO };
     let starts = Rc::new(Cell::new(0));
@@ -18,6 +18,6 @@
             async { panic!("a broken invariant") }
         });
     let ended = actix_rt::System::new().block_on(supervisor.run());
-    assert_eq!(ended.expect_err("given up").current_context().0, "root/broken");
+    assert_eq!(ended.expect_err("the supervisor fails").current_context().0, "root/broken");
     assert_eq!(starts.get(), 4);
 }
--- a/packages/vanelane/src/client_connection.rs
+++ b/packages/vanelane/src/client_connection.rs
@@ -1,10 +1,10 @@
-//! One connection of an HTTP/1.1 client, from its acceptance to its end.
+//! Serves one HTTP/1.1 client connection, from accept to close.
 
 mod closing_stream;
 
 use actix_http::{HttpService, KeepAlive, Request, Response, body::BoxBody};
 use actix_service::{Service, ServiceFactory};
-use closing_stream::{ClientEnd, ClosingStream, PendingResponse, ResponseBody};
+use closing_stream::{ClientDisconnect, ClosingStream, PendingResponse, ResponseBody};
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -15,31 +15,32 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// How patient a server is with its clients. Example: `ClientTimeouts { idle: .., header_wait: .., linger: .. }`.
+/// Timeouts of client connections. Example: `ClientTimeouts { idle: .., header_wait: .., linger: .. }`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientTimeouts {
-    /// How long a connection may stay idle between two requests.
+    /// Idle time between two requests after which the connection is closed.
     pub idle: Duration,
-    /// How long a request's head may take to come.
+    /// Time within which a request's head must arrive.
     pub header_wait: Duration,
-    /// How long what a client still sends is read after the last answer, so that it sees the answer.
+    /// After the last response, bytes that the client still sends are read and dropped for this long: closing with
+    /// unread bytes would reset the connection and could lose the response.
     pub linger: Duration,
 }
 
-/// The server library counts its waits from a clock that it reads twice a second: without this much
-/// more, a wait could end that much sooner than clients were told.
-const TIMER_GRAIN: Duration = Duration::from_millis(500);
+/// Resolution of actix-http's timer, which reads the clock twice a second. Added to the idle and header timeouts,
+/// which could otherwise expire up to this much before the time announced to clients.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(500);
 
-/// Makes the answer to one request.
-pub type Answering = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response<BoxBody>>>;
+/// Produces the response to one request.
+pub type RequestHandler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response<BoxBody>>>;
 
-/// Connections that are open, on any thread. One is open until its last answer has left.
+/// Count of open connections, shared by all threads. A connection is open until its last response is sent.
 /// Example: `open_connections.get() == 0` before a process ends.
 #[derive(Clone, Debug, Default)]
 pub struct OpenConnections(Arc<AtomicUsize>);
 
 impl OpenConnections {
-    /// How many are open now.
+    /// The number of connections open now.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// One open connection's place in the count.
+/// Guard that counts one open connection.
 struct OpenConnection(OpenConnections);
 
 impl Drop for OpenConnection {
@@ -59,38 +60,39 @@
     }
 }
 
-/// What a connection is served with.
+/// Everything needed to serve one connection.
 #[derive(Clone)]
-pub struct ConnectionTerms {
-    pub answering: Answering,
+pub struct ConnectionOptions {
+    pub request_handler: RequestHandler,
     pub timeouts: ClientTimeouts,
-    /// Rises to true: idle connections are closed. A request that has come by then is answered.
+    /// Set to true at shutdown: idle connections are closed. Requests received by then are answered.
     pub closing: watch::Receiver<bool>,
     pub open_connections: OpenConnections,
 }
 
-/// Serves one connection to its end. It counts as open from the call on, not from the first poll.
-pub fn serve_connection(stream: TcpStream, terms: ConnectionTerms) -> impl Future<Output = ()> {
-    let place = terms.open_connections.enter();
+/// Serves one connection until it closes. It counts as open from this call on, not from the first poll.
+pub fn serve_connection(stream: TcpStream, options: ConnectionOptions) -> impl Future<Output = ()> {
+    let open_connection = options.open_connections.enter();
     async move {
-        let _place = place;
+        let _open_connection = open_connection;
         let _ = stream.set_nodelay(true);
         let peer_address = stream.peer_addr().ok();
         let pending_response = PendingResponse::default();
         let stream = Rc::new(RefCell::new(stream));
-        let client_end = ClientEnd::new(stream.clone(), pending_response.clone());
-        let stream = ClosingStream::new(stream, terms.closing, pending_response.clone());
-        let answering = terms.answering;
-        let timeouts = terms.timeouts;
+        let client_disconnect = ClientDisconnect::new(stream.clone(), pending_response.clone());
+        let stream = ClosingStream::new(stream, options.closing, pending_response.clone());
+        let request_handler = options.request_handler;
+        let timeouts = options.timeouts;
         let factory = HttpService::build()
-            .client_request_timeout(timeouts.header_wait + TIMER_GRAIN)
+            .client_request_timeout(timeouts.header_wait + TIMER_RESOLUTION)
             .client_disconnect_timeout(timeouts.linger)
-            .keep_alive(KeepAlive::Timeout(timeouts.idle + TIMER_GRAIN))
-            // A client that ends its stream has left, and its call ends with it. One that still reads cannot be
-            // told from it, and calls for nobody take cells from others.
+            .keep_alive(KeepAlive::Timeout(timeouts.idle + TIMER_RESOLUTION))
+            // A client that closes its sending side counts as disconnected and its call is cancelled. A client that
+            // still reads cannot be distinguished from one that is gone, and calls without a client occupy
+            // instances that other calls need.
             .h1_allow_half_closed(false)
             .h1(move |request: Request| {
-                let response = answering(request);
+                let response = request_handler(request);
                 let pending_response = pending_response.clone();
                 async move {
                     let response = response.await;
@@ -103,7 +105,7 @@
             tokio::select! {
                 biased;
                 _ = service.call((stream, peer_address)) => {}
-                () = client_end => {}
+                () = client_disconnect => {}
             }
         }
     }
--- a/packages/vanelane/src/client_connection/closing_stream.rs
+++ b/packages/vanelane/src/client_connection/closing_stream.rs
@@ -1,11 +1,11 @@
-//! Closes idle connections of clients without losing a request.
+//! Closes idle client connections without losing a request, and detects disconnects during a call.
 //!
-//! The HTTP library's own graceful end throws away what it reads from the moment of its signal on: a request
-//! that waits in the socket of a busy machine would be lost. Here an idle connection is ended by an end of
-//! the stream, which the library sees only once nothing is left to be read.
+//! The graceful shutdown of actix-http discards everything that it reads after the shutdown signal: a request
+//! that is still in the socket buffer of a busy machine would be lost. [`ClosingStream`] instead reports an end of
+//! stream, and only once no bytes are left to read.
 //!
-//! For the same reason it does not see the end of a client's stream behind bytes that it does not take, such as
-//! those of a long request that follows one under way: [`ClientEnd`] does.
+//! For the same reason actix-http does not see a client's end of stream behind bytes that it does not read yet,
+//! such as those of a long pipelined request during a call. [`ClientDisconnect`] detects it.
 
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use bytes::Bytes;
@@ -21,15 +21,15 @@
 use tokio::sync::watch;
 use tokio::time::{Sleep, sleep};
 
-/// Whether something was read on a connection that was not answered yet: it is not idle then.
+/// Whether bytes were read on a connection that were not answered yet. The connection is not idle then.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingResponse(Rc<ResponseState>);
 
 #[derive(Debug, Default)]
 struct ResponseState {
     is_pending: Cell<bool>,
-    /// A connection that is to be closed once it is idle.
-    waits_for_idle: RefCell<Option<Waker>>,
+    /// Wakes a connection that is to be closed once it is idle.
+    idle_waker: RefCell<Option<Waker>>,
 }
 
 impl PendingResponse {
@@ -37,10 +37,10 @@
         self.0.is_pending.set(true);
     }
 
-    /// The answer was handed over.
+    /// The response body was passed on completely, or dropped.
     fn clear(&self) {
         self.0.is_pending.set(false);
-        if let Some(waker) = self.0.waits_for_idle.take() {
+        if let Some(waker) = self.0.idle_waker.take() {
             waker.wake();
         }
     }
@@ -49,15 +49,15 @@
         if !self.0.is_pending.get() {
             return Poll::Ready(());
         }
-        self.0.waits_for_idle.replace(Some(context.waker().clone()));
+        self.0.idle_waker.replace(Some(context.waker().clone()));
         Poll::Pending
     }
 }
 
-/// A client's connection that ends when its server closes, as soon as it is idle.
+/// A client connection that reports an end of stream once its server closes and it is idle.
 pub(super) struct ClosingStream {
     stream: Rc<RefCell<TcpStream>>,
-    /// Done when the server closes; none once that was seen.
+    /// Completes when the server closes; `None` after that.
     closing: Option<Pin<Box<dyn Future<Output = ()>>>>,
     pending_response: PendingResponse,
 }
@@ -69,9 +69,9 @@
         pending_response: PendingResponse,
     ) -> ClosingStream {
         let closing = Box::pin(async move {
-            // A sender that is gone closes too.
+            // A dropped sender also closes.
             let _ = closing.wait_for(|is_closing| *is_closing).await;
-            // Comes back once the runtime has looked at its sockets: until then it does not know what has come.
+            // Let the runtime poll its sockets once: until then it does not know which bytes have arrived.
             tokio::task::yield_now().await;
         });
         ClosingStream { stream, closing: Some(closing), pending_response }
@@ -100,7 +100,7 @@
         }
         let is_closing = read.is_pending() && self.poll_closing(context);
         if is_closing && self.pending_response.poll_idle(context).is_ready() {
-            // No byte: the end of the stream.
+            // Zero bytes read: end of stream.
             return Poll::Ready(Ok(()));
         }
         read
@@ -121,30 +121,30 @@
     }
 }
 
-/// Between two looks at whether a client whose call is under way has left.
+/// Interval between two checks whether the client of a running call has disconnected.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sees the end of a client's stream while its call is under way, whatever is unread before it.
-pub(super) struct ClientEnd {
+/// Completes when the client closes its stream during a call, even behind unread bytes.
+pub(super) struct ClientDisconnect {
     stream: Rc<RefCell<TcpStream>>,
     pending_response: PendingResponse,
     next_check: Option<Pin<Box<Sleep>>>,
 }
 
-impl ClientEnd {
-    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, pending_response: PendingResponse) -> ClientEnd {
-        ClientEnd { stream, pending_response, next_check: None }
+impl ClientDisconnect {
+    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, pending_response: PendingResponse) -> ClientDisconnect {
+        ClientDisconnect { stream, pending_response, next_check: None }
     }
 
-    fn has_arrived(&self) -> bool {
+    fn has_disconnected(&self) -> bool {
         let stream = self.stream.borrow();
         let ready = stream.ready(Interest::READABLE).now_or_never();
         matches!(ready, Some(Ok(ready)) if ready.is_read_closed())
     }
 }
 
-/// To be polled with the connection's task, which begins and ends its looks.
-impl Future for ClientEnd {
+/// Must be polled by the connection's task: the checks run only while a response is pending.
+impl Future for ClientDisconnect {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
@@ -157,7 +157,7 @@
             if next_check.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            if self.has_arrived() {
+            if self.has_disconnected() {
                 return Poll::Ready(());
             }
             self.next_check = None;
@@ -165,7 +165,7 @@
     }
 }
 
-/// An answer's body, which makes the connection idle again once it was handed over.
+/// A response body that marks the connection as idle again when it is dropped.
 pub(super) struct ResponseBody {
     body: BoxBody,
     pending_response: PendingResponse,
--- a/packages/vanelane/src/client_connection/tests.rs
+++ b/packages/vanelane/src/client_connection/tests.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, on real sockets: at each stage of a call, by each way to end a connection.
+//! Client disconnects on real sockets: at each stage of a call and by each way to end a connection.
 
 use super::*;
 use crate::local_server::{LocalServer, serve};
@@ -12,72 +12,72 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// A call ends with its client within this, and nothing reaches a cell later.
-const ENDS_WITHIN: Duration = Duration::from_millis(500);
-/// From the request to the end of its client: each stage is reached by then.
-const STAGE_REACHED: Duration = Duration::from_millis(150);
-/// The whole request of a call, which each cell counts.
+/// A call must end within this time after its client disconnects, and must not reach an instance later.
+const CALL_END_LIMIT: Duration = Duration::from_millis(500);
+/// Time from the request to the disconnect, by which each stage is reached.
+const STAGE_DELAY: Duration = Duration::from_millis(150);
+/// The complete request of a call, as counted by each instance.
 const REQUEST: &[u8] = b"POST /again/1 HTTP/1.1\r\nhost: h\r\ncontent-length: 4\r\n\r\nbody";
 
-/// Where a call is when its client leaves.
+/// The stage of a call at which its client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// Half of its body has come.
-    BodyHalfRead,
-    /// No ticket has come yet.
+    /// Half of the body has arrived.
+    HalfOfBodyReceived,
+    /// No permit has arrived yet.
     AwaitsPermit,
-    /// The cell of its first ticket refused the connection: it waits for the second.
+    /// The instance of the first permit refused the connection.
     AwaitsPermitAfterRefusedConnection,
-    /// The cell of its first ticket turned it away.
+    /// The instance of the first permit refused the call as busy.
     AwaitsPermitAfterBusyRefusal,
-    /// The cell of its first ticket broke off.
+    /// The instance of the first permit closed the connection without a response.
     AwaitsPermitAfterBrokenInstance,
-    /// A newer generation sends it to another function.
-    AwaitsPermitMatchedAgain,
-    /// The connection to its cell does not come up.
+    /// A newer generation routes the call to another function.
+    AwaitsPermitAfterReroute,
+    /// The connection to the instance is never established.
     Connecting,
-    /// It is the second on its connection.
-    SecondOnItsConnection,
+    /// The call is the second on its connection.
+    SecondCallOnConnection,
 }
 
 const STAGES: [Stage; 8] = [
-    Stage::BodyHalfRead,
+    Stage::HalfOfBodyReceived,
     Stage::AwaitsPermit,
     Stage::AwaitsPermitAfterRefusedConnection,
     Stage::AwaitsPermitAfterBusyRefusal,
     Stage::AwaitsPermitAfterBrokenInstance,
-    Stage::AwaitsPermitMatchedAgain,
+    Stage::AwaitsPermitAfterReroute,
     Stage::Connecting,
-    Stage::SecondOnItsConnection,
+    Stage::SecondCallOnConnection,
 ];
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    /// It closes in order.
+enum DisconnectKind {
+    /// Orderly close.
     Closed,
-    /// Its connection is reset, as when its machine is lost.
+    /// Reset, as when the client's machine is lost.
     Reset,
-    /// It ends its own stream, and could still read.
+    /// The client closes its sending side and could still read.
     HalfClosed,
-    /// The beginning of another request comes before the end.
-    ClosedBehindHalfARequest,
-    /// Another whole request comes before the end.
-    ClosedBehindARequest,
-    /// The same, and then a reset.
-    ResetBehindARequest,
-    /// More bytes come before the end than a connection holds.
-    ClosedBehindALongRequest,
+    /// Close after the first half of another request.
+    ClosedAfterPartialRequest,
+    /// Close after another complete request.
+    ClosedAfterRequest,
+    /// Reset after another complete request.
+    ResetAfterRequest,
+    /// Close after more bytes than the buffers of a connection hold.
+    ClosedAfterLongRequest,
 }
 
-const ENDS: [End; 7] = [
-    End::Closed,
-    End::Reset,
-    End::HalfClosed,
-    End::ClosedBehindHalfARequest,
-    End::ClosedBehindARequest,
-    End::ResetBehindARequest,
-    End::ClosedBehindALongRequest,
+const DISCONNECT_KINDS: [DisconnectKind; 7] = [
+    DisconnectKind::Closed,
+    DisconnectKind::Reset,
+    DisconnectKind::HalfClosed,
+    DisconnectKind::ClosedAfterPartialRequest,
+    DisconnectKind::ClosedAfterRequest,
+    DisconnectKind::ResetAfterRequest,
+    DisconnectKind::ClosedAfterLongRequest,
 ];
 
 fn configuration(function: &str) -> configuration_schema::Configuration {
@@ -91,7 +91,7 @@
     configuration_schema::check(&document.parse().expect("JSON")).expect("a checked document")
 }
 
-/// A cell that answers with these bytes, and how many requests it got.
+/// An instance that sends this response to each request, and its count of requests.
 async fn instance(response: &'static [u8]) -> (SocketAddr, Rc<RefCell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -114,13 +114,13 @@
     (address, requests)
 }
 
-const SOUND: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const REFUSED_BUSY: &[u8] =
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const BUSY_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nx-vanelane-outcome: not_run\r\ncontent-length: 0\r\n\r\n";
-const BROKEN_OFF: &[u8] = b"";
+const NO_RESPONSE: &[u8] = b"";
 
-/// An address on which connections do not come up: as many wait there as it takes.
-async fn unanswering() -> (SocketAddr, Vec<TcpStream>, TcpListener) {
+/// An address on which no further connection is established: its backlog is full.
+async fn unconnectable() -> (SocketAddr, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(0).expect("listening");
@@ -134,24 +134,24 @@
     (address, waiting, listener)
 }
 
-/// A server with its front, and the front's asks.
-async fn served() -> (SocketAddr, Arc<Gateway>, mpsc::Receiver<GatewayMessage>, watch::Sender<bool>) {
+/// A server with its gateway, and the gateway's messages to the node.
+async fn start_server() -> (SocketAddr, Arc<Gateway>, mpsc::Receiver<GatewayMessage>, watch::Sender<bool>) {
     let (link, links) = mpsc::channel(64);
     let gateway = Arc::new(Gateway::new(GatewaySettings::default(), link));
     gateway.set_configuration(1, &configuration("f"));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let (closing, is_closing) = watch::channel(false);
-    let called = gateway.clone();
+    let call_gateway = gateway.clone();
     actix_rt::spawn(serve(LocalServer {
         listener: Rc::new(listener),
-        answering: Rc::new(move |request| Box::pin(called.clone().call(request))),
+        request_handler: Rc::new(move |request| Box::pin(call_gateway.clone().call(request))),
         timeouts: Rc::new(|| ClientTimeouts {
             idle: Duration::from_secs(15),
             header_wait: Duration::from_secs(3),
             linger: Duration::from_millis(200),
         }),
-        connections_limit: 10,
+        connection_limit: 10,
         open_connections: OpenConnections::default(),
         closing: is_closing,
     }));
@@ -169,38 +169,42 @@
     })
 }
 
-/// The next ask of a call, with where its ticket goes.
-async fn next_request_id(
+/// The function of the next permit request, and the channel for its response.
+async fn next_permit_request(
     links: &mut mpsc::Receiver<GatewayMessage>,
 ) -> (String, tokio::sync::oneshot::Sender<PermitResponse>) {
     loop {
         if let GatewayMessage::RequestPermit { parameters, reply, .. } =
-            links.recv().await.expect("the front lives")
+            links.recv().await.expect("the gateway is running")
         {
             return (parameters.function, reply);
         }
     }
 }
 
-async fn disconnect(mut client: TcpStream, end: End) -> Option<TcpStream> {
+async fn disconnect(mut client: TcpStream, kind: DisconnectKind) -> Option<TcpStream> {
     let mut long_request = b"POST /again/2 HTTP/1.1\r\nhost: h\r\ncontent-length: 900000\r\n\r\n".to_vec();
     long_request.resize(900_000, b'x');
-    match end {
-        End::ClosedBehindHalfARequest => client.write_all(&REQUEST[..REQUEST.len() / 2]).await.expect("sent"),
-        End::ClosedBehindARequest | End::ResetBehindARequest => {
+    match kind {
+        DisconnectKind::ClosedAfterPartialRequest => {
+            client.write_all(&REQUEST[..REQUEST.len() / 2]).await.expect("sent")
+        }
+        DisconnectKind::ClosedAfterRequest | DisconnectKind::ResetAfterRequest => {
             client.write_all(REQUEST).await.expect("sent");
         }
-        // What the node does not take waits in the sockets.
-        End::ClosedBehindALongRequest => {
+        // Bytes that the node does not read stay in the socket buffers.
+        DisconnectKind::ClosedAfterLongRequest => {
             let sending = client.write_all(&long_request);
             let _ = tokio::time::timeout(Duration::from_millis(300), sending).await;
         }
-        End::Closed | End::Reset | End::HalfClosed => {}
+        DisconnectKind::Closed | DisconnectKind::Reset | DisconnectKind::HalfClosed => {}
     }
-    match end {
-        End::Reset | End::ResetBehindARequest => client.set_zero_linger().expect("a socket option"),
-        End::HalfClosed => {
-            client.shutdown().await.expect("its own stream ends");
+    match kind {
+        DisconnectKind::Reset | DisconnectKind::ResetAfterRequest => {
+            client.set_zero_linger().expect("a socket option")
+        }
+        DisconnectKind::HalfClosed => {
+            client.shutdown().await.expect("closed for sending");
             return Some(client);
         }
         _ => {}
@@ -208,79 +212,81 @@
     None
 }
 
-/// Plays one client that leaves; what was wrong, if anything was.
-async fn play(stage: Stage, end: End) -> Result<(), String> {
-    let (address, gateway, mut links, _closing) = served().await;
-    let (sound, sound_requests) = instance(SOUND).await;
-    let (refusing_busy, _) = instance(REFUSED_BUSY).await;
-    let (broken, _) = instance(BROKEN_OFF).await;
+/// Runs one case. Returns the failure, if any.
+async fn run_case(stage: Stage, kind: DisconnectKind) -> Result<(), String> {
+    let (address, gateway, mut links, _closing) = start_server().await;
+    let (healthy, healthy_requests) = instance(OK_RESPONSE).await;
+    let (refusing_busy, _) = instance(BUSY_RESPONSE).await;
+    let (silent, _) = instance(NO_RESPONSE).await;
     let refusing = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-    let (unanswering, _waiting, _listener) = unanswering().await;
+    let (unconnectable, _waiting, _listener) = unconnectable().await;
     let mut client = TcpStream::connect(address).await.expect("a connection");
-    let sent_bytes = if stage == Stage::BodyHalfRead { REQUEST.len() - 2 } else { REQUEST.len() };
+    let sent_bytes = if stage == Stage::HalfOfBodyReceived { REQUEST.len() - 2 } else { REQUEST.len() };
     client.write_all(&REQUEST[..sent_bytes]).await.expect("sent");
     let mut reply = None;
-    if stage != Stage::BodyHalfRead {
-        let (function, first_reply) = next_request_id(&mut links).await;
+    if stage != Stage::HalfOfBodyReceived {
+        let (function, first_reply) = next_permit_request(&mut links).await;
         let first_instance = match stage {
             Stage::AwaitsPermitAfterRefusedConnection => Some(refusing),
             Stage::AwaitsPermitAfterBusyRefusal => Some(refusing_busy),
-            Stage::AwaitsPermitAfterBrokenInstance => Some(broken),
-            Stage::Connecting => Some(unanswering),
-            Stage::AwaitsPermitMatchedAgain | Stage::SecondOnItsConnection => Some(sound),
-            Stage::BodyHalfRead | Stage::AwaitsPermit => None,
+            Stage::AwaitsPermitAfterBrokenInstance => Some(silent),
+            Stage::Connecting => Some(unconnectable),
+            Stage::AwaitsPermitAfterReroute | Stage::SecondCallOnConnection => Some(healthy),
+            Stage::HalfOfBodyReceived | Stage::AwaitsPermit => None,
         };
-        if stage == Stage::AwaitsPermitMatchedAgain {
+        if stage == Stage::AwaitsPermitAfterReroute {
             gateway.set_configuration(2, &configuration("g"));
         }
         match first_instance {
             None => reply = Some((function, first_reply)),
             Some(instance) => drop(first_reply.send(permit(1, &function, instance))),
         }
-        if stage == Stage::SecondOnItsConnection {
+        if stage == Stage::SecondCallOnConnection {
             let mut response = vec![0; 4096];
-            let count = client.read(&mut response).await.expect("an answer");
+            let count = client.read(&mut response).await.expect("a response");
             assert!(response[..count].starts_with(b"HTTP/1.1 200"));
             client.write_all(REQUEST).await.expect("sent");
         }
         if first_instance.is_some() && stage != Stage::Connecting {
-            reply = Some(next_request_id(&mut links).await);
+            reply = Some(next_permit_request(&mut links).await);
         }
     }
-    let before = *sound_requests.borrow();
-    sleep(STAGE_REACHED).await;
+    let before = *healthy_requests.borrow();
+    sleep(STAGE_DELAY).await;
     if gateway.open_calls() != 1 {
-        return Err(format!("{} calls are open at the stage", gateway.open_calls()));
+        return Err(format!("{} calls are open before the disconnect", gateway.open_calls()));
     }
-    let half_closed = disconnect(client, end).await;
-    let left_at = Instant::now();
-    while gateway.open_calls() > 0 && left_at.elapsed() < ENDS_WITHIN {
+    let half_closed = disconnect(client, kind).await;
+    let disconnected_at = Instant::now();
+    while gateway.open_calls() > 0 && disconnected_at.elapsed() < CALL_END_LIMIT {
         sleep(Duration::from_millis(5)).await;
     }
     let open_calls = gateway.open_calls();
-    // A ticket that comes now finds nobody.
+    // A permit that arrives now must not be used.
     if let Some((function, reply)) = reply {
-        let _ = reply.send(permit(2, &function, sound));
+        let _ = reply.send(permit(2, &function, healthy));
     }
-    sleep(STAGE_REACHED).await;
+    sleep(STAGE_DELAY).await;
     drop(half_closed);
-    match (open_calls, *sound_requests.borrow() - before) {
+    match (open_calls, *healthy_requests.borrow() - before) {
         (0, 0) => Ok(()),
-        (open_calls, sent) => Err(format!("{open_calls} calls open after {ENDS_WITHIN:?}, {sent} sent on")),
+        (open_calls, sent) => {
+            Err(format!("{open_calls} calls open after {CALL_END_LIMIT:?}, {sent} sent to an instance"))
+        }
     }
 }
 
-/// Guards against work that goes on without its client (GONE): however a client leaves, and whatever its call waits
-/// for, the call ends within half a second and is not sent on.
+/// Guards against calls that continue without their client (GONE): at whatever stage and in whatever way a client
+/// disconnects, the call ends within half a second and is not sent to an instance.
 #[test]
-fn a_call_ends_with_its_client_at_every_stage_and_by_every_kind_of_end() {
+fn call_ends_after_a_disconnect_at_every_stage_and_of_every_kind() {
     let failed: Vec<String> = STAGES
         .iter()
-        .flat_map(|stage| ENDS.iter().map(move |end| (*stage, *end)))
-        .filter_map(|(stage, end)| {
-            let played = actix_rt::System::new().block_on(play(stage, end));
-            played.err().map(|seen| format!("{stage:?}, {end:?}: {seen}"))
+        .flat_map(|stage| DISCONNECT_KINDS.iter().map(move |kind| (*stage, *kind)))
+        .filter_map(|(stage, kind)| {
+            let result = actix_rt::System::new().block_on(run_case(stage, kind));
+            result.err().map(|seen| format!("{stage:?}, {kind:?}: {seen}"))
         })
         .collect();
-    assert_eq!(failed, Vec::<String>::new(), "of {} cases", STAGES.len() * ENDS.len());
+    assert_eq!(failed, Vec::<String>::new(), "of {} cases", STAGES.len() * DISCONNECT_KINDS.len());
 }
--- a/packages/vanelane/src/control_costs.rs
+++ b/packages/vanelane/src/control_costs.rs
@@ -1,44 +1,44 @@
-//! What the control side costs this node: messages and bytes by kind, and processor time by what it was
-//! spent on, told in one log line every few seconds.
+//! Cost of the control plane on this node: messages and bytes by kind, and processor time by category, written
+//! to one log line every few seconds.
 
 use node_protocol::NodeCounts;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Between two log lines.
+/// Interval between two log lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Messages of one kind.
+/// Counts of one kind of message.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MessageCost {
     pub sent: u64,
     pub sent_bytes: u64,
-    /// Of these, bytes that went to another zone.
+    /// Part of `sent_bytes`: sent to another zone.
     pub remote_bytes: u64,
     pub received: u64,
-    /// How long those that were heard had waited to be handled, in all.
+    /// Total time between reading and handling, over the received messages.
     pub waited: Duration,
-    /// Dropped unread: they had waited for longer than they are of use.
+    /// Messages dropped unhandled because they had waited for longer than they are valid.
     pub stale: u64,
 }
 
-/// What was counted since the last line. Example: `costs.sent("Probe", 90, true)`.
+/// Counts since the last log line. Example: `costs.sent("Probe", 90, true)`.
 #[derive(Debug)]
 pub struct ControlCosts {
-    began_at: Instant,
+    started_at: Instant,
     messages: BTreeMap<&'static str, MessageCost>,
-    /// Time spent in the protocol, by the kind of event.
+    /// Time spent in the protocol, by category of event.
     spent: BTreeMap<&'static str, Duration>,
 }
 
 impl ControlCosts {
     /// Nothing counted yet. Example: `ControlCosts::new(Instant::now())`.
     pub fn new(now: Instant) -> ControlCosts {
-        ControlCosts { began_at: now, messages: BTreeMap::new(), spent: BTreeMap::new() }
+        ControlCosts { started_at: now, messages: BTreeMap::new(), spent: BTreeMap::new() }
     }
 
-    /// A frame of so many bytes was handed to a link, which leads to another zone if it is not near.
+    /// Counts a frame of so many bytes that was passed to a link; `is_local` means a link within the zone.
     /// Example: `costs.sent("Probe", 90, true)`.
     pub fn sent(&mut self, kind: &'static str, bytes: usize, is_local: bool) {
         let cost = self.messages.entry(kind).or_default();
@@ -47,27 +47,27 @@
         cost.remote_bytes += if is_local { 0 } else { bytes as u64 };
     }
 
-    /// A message was handled after it had waited so long. Example: `costs.received("Probe", waited)`.
+    /// Counts a message that was handled after this wait. Example: `costs.received("Probe", waited)`.
     pub fn received(&mut self, kind: &'static str, waited: Duration) {
         let cost = self.messages.entry(kind).or_default();
         cost.received += 1;
         cost.waited += waited;
     }
 
-    /// A message was dropped unread. Example: `costs.stale("RecordsPoll")`.
+    /// Counts a message that was dropped unhandled. Example: `costs.stale("RecordsPoll")`.
     pub fn stale(&mut self, kind: &'static str) {
         self.messages.entry(kind).or_default().stale += 1;
     }
 
-    /// Time was spent on an event. Example: `costs.spent("tick", begun.elapsed())`.
-    pub fn spent(&mut self, duty: &'static str, time: Duration) {
-        *self.spent.entry(duty).or_default() += time;
+    /// Adds time spent on an event. Example: `costs.spent("tick", started_at.elapsed())`.
+    pub fn spent(&mut self, category: &'static str, time: Duration) {
+        *self.spent.entry(category).or_default() += time;
     }
 
-    /// The line that is due, if one is; counting begins anew with it. Rates are a second's.
+    /// The log line, if one is due; the counts are then reset. Rates are per second.
     /// Example: `if let Some(line) = costs.due_line(Instant::now(), node.counts()) { log::info!("{line}") }`.
     pub fn due_line(&mut self, now: Instant, counts: &NodeCounts) -> Option<String> {
-        let span = now.saturating_duration_since(self.began_at);
+        let span = now.saturating_duration_since(self.started_at);
         if span < REPORT_INTERVAL {
             return None;
         }
@@ -89,7 +89,7 @@
         let spent: BTreeMap<&str, f64> = self
             .spent
             .iter()
-            .map(|(duty, time)| (*duty, (time.as_secs_f64() * 1e4 / seconds).round() / 10.0))
+            .map(|(category, time)| (*category, (time.as_secs_f64() * 1e4 / seconds).round() / 10.0))
             .collect();
         let bytes: u64 = self.messages.values().map(|cost| cost.sent_bytes).sum();
         let remote_bytes: u64 = self.messages.values().map(|cost| cost.remote_bytes).sum();
--- a/packages/vanelane/src/control_costs/tests.rs
+++ b/packages/vanelane/src/control_costs/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn a_line_is_due_each_five_seconds_and_tells_rates_of_that_time_alone() {
-    let begun = Instant::now();
-    let mut costs = ControlCosts::new(begun);
+fn line_is_due_every_five_seconds_with_rates_of_that_interval_only() {
+    let started_at = Instant::now();
+    let mut costs = ControlCosts::new(started_at);
     let counts = NodeCounts { permits_granted: 7, remote_permits: 2, ..NodeCounts::default() };
     for _ in 0..10 {
         costs.sent("Probe", 100, true);
@@ -12,8 +12,8 @@
     costs.sent("News", 500, false);
     costs.stale("RecordsPoll");
     costs.spent("tick", Duration::from_millis(50));
-    assert_eq!(costs.due_line(begun + Duration::from_secs(4), &counts), None);
-    let line = costs.due_line(begun + Duration::from_secs(5), &counts).expect("a line");
+    assert_eq!(costs.due_line(started_at + Duration::from_secs(4), &counts), None);
+    let line = costs.due_line(started_at + Duration::from_secs(5), &counts).expect("a line");
     let reported: serde_json::Value = line.parse().expect("JSON");
     assert_eq!(reported["bytes_a_second"], 300.0);
     assert_eq!(reported["tickets"]["for_another_zone"], 2);
@@ -24,5 +24,5 @@
     assert_eq!(reported["messages_a_second"]["Probe"]["waited_ms"], 4.0);
     assert_eq!(reported["messages_a_second"]["RecordsPoll"]["stale"], 0.2);
     assert_eq!(reported["millis_a_second"]["tick"], 10.0);
-    assert!(costs.messages.is_empty(), "counting began anew");
+    assert!(costs.messages.is_empty(), "the counts are reset");
 }
--- a/packages/vanelane/src/control_pages.rs
+++ b/packages/vanelane/src/control_pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages: changes in, decisions out, status, health, readiness, metrics.
+//! The native operator pages: changes, decisions, status, configuration, health, readiness, metrics.
 
 use crate::operator_port::{ConfirmedConfiguration, OperatorPages, OperatorPort, Page};
 use crate::protocol_runtime::DecisionsReply;
@@ -16,10 +16,10 @@
 use std::time::Duration;
 
 const LINE_LIMIT: usize = DOCUMENT_LIMIT + 64 * 1024;
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
-const DECISIONS_AT_ONCE: u32 = 500;
+const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const DECISIONS_PER_RESPONSE: u32 = 500;
 
-/// Vanelane's own pages. Example: `ControlPages.respond(port, request).await`.
+/// The native pages. Example: `ControlPages.respond(port, request).await`.
 pub struct ControlPages;
 
 impl OperatorPages for ControlPages {
@@ -28,7 +28,7 @@
     }
 }
 
-/// The node's own figures as text, one a line; a page of any dialect.
+/// The node's metrics as text, one a line, for the pages of any platform.
 /// Example: `metrics_page(port).await` has a line `vanelane_generation 7`.
 pub async fn metrics_page(port: OperatorPort) -> Page {
     NativePages { port }.metrics().await
@@ -39,9 +39,9 @@
     port: OperatorPort,
 }
 
-fn page(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Page {
+fn page(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Page {
     let mut response = Response::with_body(status, BoxBody::new(body.into()));
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
@@ -49,7 +49,7 @@
     page(status, "application/json", document.to_string() + "\n")
 }
 
-/// A page whose JSON lines leave as they come.
+/// A page that streams JSON lines as they are produced.
 fn line_page(lines: impl Stream<Item = Result<Bytes, std::io::Error>> + 'static) -> Page {
     let mut response = Response::with_body(StatusCode::OK, BoxBody::new(BodyStream::new(Box::pin(lines))));
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
@@ -91,15 +91,15 @@
         json_page(status, &json!({"ready": is_ready, "draining": is_draining}))
     }
 
-    /// Lines are taken one after another; each outcome leaves before the next line is looked at.
+    /// Applies the lines one after another; each outcome is sent before the next line is read.
     fn changes(self, payload: Payload) -> Page {
-        let begun = LineReader { payload, buffer: BytesMut::new(), is_over: false };
-        let outcomes = futures_util::stream::unfold((self, begun), |(pages, mut reader)| async move {
+        let reader = LineReader { payload, buffer: BytesMut::new(), is_finished: false };
+        let outcomes = futures_util::stream::unfold((self, reader), |(pages, mut reader)| async move {
             let line = reader.next_line().await?;
             let outcome_line = match line {
                 Ok(line) => pages.change(&line).await,
                 Err(reason) => {
-                    reader.is_over = true;
+                    reader.is_finished = true;
                     refused_line(Value::Null, reason)
                 }
             };
@@ -126,7 +126,7 @@
     async fn decisions(self, query: &str) -> Page {
         let mut after = Vec::new();
         let mut is_following = false;
-        let mut most = DECISIONS_AT_ONCE;
+        let mut most = DECISIONS_PER_RESPONSE;
         for (name, value) in query.split('&').filter_map(|part| part.split_once('=')) {
             match name {
                 "after" => match parse_cursor(value) {
@@ -157,18 +157,18 @@
         let stream =
             futures_util::stream::unfold((self, after, true), move |(pages, after, is_first)| async move {
                 if !is_first {
-                    tokio::time::sleep(FOLLOW_PAUSE).await;
+                    tokio::time::sleep(FOLLOW_POLL_INTERVAL).await;
                 }
                 let requested = after.clone();
                 let reply = pages.port.decisions(requested, most).await?;
                 let lines = if reply.lines.is_empty() { String::new() } else { decision_lines(&reply) };
                 Some((Ok::<Bytes, std::io::Error>(Bytes::from(lines)), (pages, reply.cursor, false)))
             });
-        let filled = stream.filter(|chunk| {
-            let is_kept = chunk.as_ref().is_ok_and(|bytes| !bytes.is_empty());
-            std::future::ready(is_kept)
+        let non_empty = stream.filter(|chunk| {
+            let has_bytes = chunk.as_ref().is_ok_and(|bytes| !bytes.is_empty());
+            std::future::ready(has_bytes)
         });
-        line_page(filled)
+        line_page(non_empty)
     }
 
     async fn status(&self) -> Page {
@@ -215,14 +215,14 @@
         )
     }
 
-    /// The configuration as a majority of the disks confirms it: a node that is cut off shows none.
+    /// The configuration as confirmed by a majority of the disks. A partitioned node returns an error.
     async fn configuration(&self) -> Page {
         let unconfirmed =
             |reason: String| json_page(StatusCode::SERVICE_UNAVAILABLE, &json!({"reason": reason}));
         let stored = match self.port.confirmed_configuration().await {
             ConfirmedConfiguration::Stored(stored) => stored,
-            ConfirmedConfiguration::Elsewhere(place) => {
-                return unconfirmed(format!("this node's link is small: read it from the node at {place}"));
+            ConfirmedConfiguration::Elsewhere(address) => {
+                return unconfirmed(format!("this node's link is small: read it from the node at {address}"));
             }
             ConfirmedConfiguration::Unconfirmed => {
                 return unconfirmed(
@@ -337,11 +337,11 @@
     format!("{id:016x}")
 }
 
-/// Lines of a request's body, each bounded.
+/// Splits a request body into lines of bounded length.
 struct LineReader {
     payload: Payload,
     buffer: BytesMut,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl LineReader {
@@ -358,7 +358,7 @@
                 self.buffer.clear();
                 return Some(Err(format!("a line is over {LINE_LIMIT} bytes")));
             }
-            if self.is_over {
+            if self.is_finished {
                 let line = self.buffer.split().freeze();
                 let is_blank = line.iter().all(u8::is_ascii_whitespace);
                 return if is_blank { None } else { Some(Ok(line)) };
@@ -369,7 +369,7 @@
                     self.buffer.clear();
                     return Some(Err(format!("the stream broke: {failure}")));
                 }
-                None => self.is_over = true,
+                None => self.is_finished = true,
             }
         }
     }
--- a/packages/vanelane/src/disk_opening.rs
+++ b/packages/vanelane/src/disk_opening.rs
@@ -1,23 +1,23 @@
-//! The data folder at the start of a node, and what becomes of a disk that cannot be used.
+//! Opens the data folder at the start of a node and handles a disk that cannot be used.
 //!
-//! Synced records that cannot be read may be promises and stores that this disk answered for, and the
-//! file may be the last copy of the fleet's state. Of the ways to go on:
+//! Synced records that cannot be read may contain promises and stored values that this disk has acknowledged, and
+//! the file may be the last copy of the fleet's state. The options are:
 //!
-//! - refusing to start takes a serving node away and, under a service manager, ends the process again and
-//!   again;
-//! - formatting a new disk at once is sound while a majority of the others lives, but a node cannot know that
-//!   when it starts; where a majority is damaged at once it makes a blank fleet that looks ready to be founded
-//!   anew;
-//! - voting with the records that can be read would take back answers that others rest on;
-//! - so the node starts without a disk: it serves as a node that never had one, its vote is missing, and the
-//!   file stays as it is. That is told by the log, the status page (`disk_trouble`, and `failed` as the
-//!   member's disk), the metric `vanelane_disk_unusable` and the decision `disk_unusable`. A spare disk takes
-//!   the vote over by itself. Without a spare an operator stops the node, runs `vanelane set-aside-records`
-//!   and starts it: it formats a disk with a new id, which a majority takes in. While the file that was set
-//!   aside is in the folder, the disk tells itself a spare one, and no state is founded with it.
+//! - Refuse to start. This removes a serving node and, under a service manager, restarts the process in a loop.
+//! - Format a new disk at once. This is safe while a majority of the other disks works, which a node cannot know at
+//!   its start. If a majority is damaged at the same time, the result is a blank fleet that could be bootstrapped
+//!   again.
+//! - Vote with the readable records. This would revoke acknowledgements on which others rely.
+//! - Start without a disk, which is what the node does. It serves like a node without a data folder, its vote is
+//!   missing and the file stays unchanged. The condition is reported by the log, the status page (`disk_trouble`,
+//!   and `failed` as the member's disk), the metric `vanelane_disk_unusable` and the decision `disk_unusable`. A
+//!   spare disk takes over the vote automatically. Without a spare an operator stops the node, runs
+//!   `vanelane set-aside-records` and starts the node again: it formats a disk with a new id, which a majority
+//!   admits. While the quarantined file is in the folder, the disk reports itself as a spare and takes no part in a
+//!   bootstrap.
 //!
-//! A disk's records are only read at the start. They may never have been synced, so the node rewrites the
-//! file, on the disk's thread, before the disk votes; a disk that stalls or refuses then does not hold the node up.
+//! The start only reads the records of a disk. They may never have been synced, so the node rewrites the file on
+//! the disk thread before the disk votes; a disk that stalls or fails then does not block the node.
 
 use control_registers::DiskRegisters;
 use error_stack::Report;
@@ -25,36 +25,36 @@
 use record_file::{DiskFolder, FILE_NAME, RecordError, RecordFile};
 use std::path::Path;
 
-/// A data folder's disk as the node starts with it.
+/// The disk of a data folder at the start of the node.
 pub struct OpenedDisk {
     /// The file with its registers; `None` if it cannot be used.
     pub disk: Option<(RecordFile, DiskRegisters)>,
-    /// Holds the folder against other processes, also when its disk cannot be used.
+    /// Locks the folder against other processes, also if its disk cannot be used.
     pub folder: DiskFolder,
-    /// What the node must be told before anything else.
+    /// Events that the node must handle before any other.
     pub first_events: Vec<Event>,
 }
 
-/// Opens the folder, or tells why its disk cannot be used.
+/// Opens the folder. A disk that cannot be used is reported by an event in `first_events`.
 ///
 /// Errors: the folder cannot be locked, or belongs to another fleet or a newer version.
 /// Example: `open(Path::new("data"), fleet_id("vanelane"))?.disk.is_some()`.
 pub fn open(folder: &Path, fleet: u64) -> Result<OpenedDisk, String> {
-    let refused = |reason: String| format!("setting data_folder: {}: {reason}", folder.display());
-    let reported = |failure: Report<RecordError>| refused(failure.current_context().to_string());
-    let locked_folder = DiskFolder::lock(folder).map_err(reported)?;
+    let folder_error = |reason: String| format!("setting data_folder: {}: {reason}", folder.display());
+    let record_error = |failure: Report<RecordError>| folder_error(failure.current_context().to_string());
+    let locked_folder = DiskFolder::lock(folder).map_err(record_error)?;
     let (file, records) = match RecordFile::read_in(locked_folder.clone(), fleet) {
         Ok(opened) => opened,
         Err(failure) => match unusable_reason(failure.current_context(), folder) {
             Some(reason) => return Ok(unusable(locked_folder, reason)),
-            None => return Err(reported(failure)),
+            None => return Err(record_error(failure)),
         },
     };
     let registers = DiskRegisters::restore(&records)
-        .ok_or_else(|| refused("a record is none of this version's".to_owned()))?;
+        .ok_or_else(|| folder_error("a record is none of this version's".to_owned()))?;
     let mut first_events = Vec::new();
     let is_quarantined = record_file::has_quarantined(folder)
-        .map_err(|failure| refused(format!("the folder cannot be listed: {failure}")))?;
+        .map_err(|failure| folder_error(format!("the folder cannot be listed: {failure}")))?;
     if is_quarantined {
         log::warn!("{}: a damaged file was set aside; this disk founds nothing", folder.display());
         first_events.push(Event::DiskQuarantined);
@@ -70,7 +70,7 @@
     OpenedDisk { disk: None, folder, first_events: vec![Event::DiskUnusable { reason }] }
 }
 
-/// What an operator reads; `None` for what only another setting or version mends.
+/// The reason reported to operators, or `None` if only another setting or version resolves the error.
 fn unusable_reason(error: &RecordError, folder: &Path) -> Option<String> {
     let path = folder.join(FILE_NAME);
     let path = path.display();
--- a/packages/vanelane/src/disk_opening/tests.rs
+++ b/packages/vanelane/src/disk_opening/tests.rs
@@ -4,7 +4,7 @@
 
 const FLEET: u64 = 7;
 
-/// A folder with a disk that took the founding set, and the disk's id.
+/// A folder with a bootstrapped disk, and the disk's id.
 fn bootstrapped_folder(name: &str) -> (PathBuf, u64) {
     let folder = std::env::temp_dir().join(format!("vanelane-opening-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -18,18 +18,18 @@
     (folder, file.disk())
 }
 
-/// Opens a folder that a process used before, and rewrites its file as the node does at once.
+/// Opens a folder that was used before and rewrites its file, as the node does after its start.
 fn open_again(folder: &Path) -> (RecordFile, DiskRegisters) {
     let opened = open(folder, FLEET).expect("sound");
     assert!(matches!(opened.first_events[..], [Event::DiskUnsynced]));
     let (mut file, registers) = opened.disk.expect("a disk");
-    assert!(!file.is_trusted(), "what was read may not be synced");
+    assert!(!file.is_trusted(), "the records read may be unsynced");
     file.rewrite(&registers.live_records()).expect("rewritten");
     (file, registers)
 }
 
 fn damage(folder: &Path) -> Vec<u8> {
-    // A rewritten file was synced before it got its name.
+    // A rewritten file is synced before it is renamed into place.
     open_again(folder);
     let path = folder.join(FILE_NAME);
     let mut file_bytes = fs::read(&path).expect("read");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_damaged_disk_is_left_as_it_is_and_the_node_starts_without_it() {
+fn node_starts_without_a_damaged_disk_and_leaves_its_file_unchanged() {
     let (folder, disk) = bootstrapped_folder("damaged");
     let damaged_bytes = damage(&folder);
     for _ in 0..2 {
@@ -52,7 +52,7 @@
         assert!(reason.contains("damaged at byte") && reason.contains("vanelane set-aside-records"));
         assert_eq!(fs::read(folder.join(FILE_NAME)).expect("read"), damaged_bytes);
     }
-    // On the operator's word a new disk is formatted, which says what it replaces at each start.
+    // After the operator's quarantine a new disk is formatted. Each start reports the quarantined file.
     let kept_path = record_file::quarantine_damaged(&folder).expect("renamed").expect("damaged");
     assert_eq!(fs::read(kept_path).expect("read"), damaged_bytes);
     let opened = open(&folder, FLEET).expect("formatted");
@@ -65,9 +65,9 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Append, sync, append, append; the first unsynced append is lost and the second whole.
+/// After the last sync two records are appended; a crash loses the first and keeps the second.
 #[test]
-fn a_hole_in_the_unsynced_tail_costs_neither_the_disk_nor_its_vote() {
+fn disk_keeps_its_id_and_records_despite_a_hole_in_the_unsynced_tail() {
     let (folder, disk) = bootstrapped_folder("hole");
     let (mut file, registers) = open_again(&folder);
     let before = file.length() as usize;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_foreign_folder_is_refused() {
+fn data_folder_of_another_fleet_is_refused() {
     let (folder, _) = bootstrapped_folder("foreign");
     let reason = open(&folder, FLEET + 1).err().expect("refused");
     assert!(reason.contains("belongs to another fleet"), "{reason}");
--- a/packages/vanelane/src/lib.rs
+++ b/packages/vanelane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The node as a library: settings, sockets, disk thread, operators' pages. The program `vanelane` is a
-//! thin `main` over it; a program for another platform brings its own [`PlatformIntegration`] and nothing else.
+//! The node as a library: settings, sockets, disk thread, operator pages. The binary `vanelane` is a thin
+//! `main` over it; a binary for another platform only supplies its own [`PlatformIntegration`].
 
 pub mod command_line;
 pub mod operator_commands;
--- a/packages/vanelane/src/main.rs
+++ b/packages/vanelane/src/main.rs
@@ -1,4 +1,4 @@
-//! vanelane: one program for all machines. With a data folder it also holds the control state.
+//! The `vanelane` binary, the same on all machines. A node with a data folder also stores control state.
 
 use std::process::ExitCode;
 use vanelane::{command_line, operator_commands, run_node};
@@ -17,8 +17,8 @@
         command_line::VanelaneCmd::Change(change) => operator_commands::change(change),
         command_line::VanelaneCmd::Decisions(decisions) => operator_commands::decisions(decisions),
         command_line::VanelaneCmd::Status(status) => operator_commands::page(&status.control, "status"),
-        command_line::VanelaneCmd::Configuration(shown) => {
-            operator_commands::page(&shown.control, "configuration")
+        command_line::VanelaneCmd::Configuration(configuration) => {
+            operator_commands::page(&configuration.control, "configuration")
         }
     }
 }
--- a/packages/vanelane/src/node_lag.rs
+++ b/packages/vanelane/src/node_lag.rs
@@ -1,50 +1,51 @@
-//! How far a node is behind what comes to it: the worst of the last seconds, by where it waited.
+//! Processing delays of a node: the maximum of the last seconds, by the place of the wait.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A worst value is told for one to two of these.
+/// A maximum is reported for one to two windows.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// The longest of spans noted lately. One thread notes, any may read.
-/// Example: `longest.note(Duration::from_millis(3)); longest.value() == Duration::from_millis(3)`.
+/// The longest recently recorded span. One thread writes, any thread may read.
+/// Example: `longest.record(Duration::from_millis(3)); longest.value() == Duration::from_millis(3)`.
 #[derive(Debug)]
 pub struct RecentMaximum {
-    began_at: Instant,
-    /// The number of the window that `in_window` is of.
+    started_at: Instant,
+    /// The index of the window that `window_maximum` belongs to.
     window: AtomicU64,
-    in_window: AtomicU64,
-    in_window_before: AtomicU64,
+    window_maximum: AtomicU64,
+    previous_window_maximum: AtomicU64,
 }
 
 impl RecentMaximum {
-    fn starting(began_at: Instant) -> RecentMaximum {
+    fn new(started_at: Instant) -> RecentMaximum {
         RecentMaximum {
-            began_at,
+            started_at,
             window: AtomicU64::new(0),
-            in_window: AtomicU64::new(0),
-            in_window_before: AtomicU64::new(0),
+            window_maximum: AtomicU64::new(0),
+            previous_window_maximum: AtomicU64::new(0),
         }
     }
 
     fn window_at(&self, now: Instant) -> u64 {
-        now.saturating_duration_since(self.began_at).as_secs() / WINDOW.as_secs()
+        now.saturating_duration_since(self.started_at).as_secs() / WINDOW.as_secs()
     }
 
-    /// Something waited for so long until now. Example: `longest.note(waited)`.
-    pub fn note(&self, span: Duration) {
-        self.note_at(span, Instant::now());
+    /// Records a wait that ended now. Example: `longest.record(waited)`.
+    pub fn record(&self, span: Duration) {
+        self.record_at(span, Instant::now());
     }
 
-    fn note_at(&self, span: Duration, now: Instant) {
-        let (window, noted_window) = (self.window_at(now), self.window.load(Ordering::Relaxed));
-        if window != noted_window {
-            let before = if window == noted_window + 1 { self.in_window.load(Ordering::Relaxed) } else { 0 };
-            self.in_window_before.store(before, Ordering::Relaxed);
-            self.in_window.store(0, Ordering::Relaxed);
+    fn record_at(&self, span: Duration, now: Instant) {
+        let (window, recorded_window) = (self.window_at(now), self.window.load(Ordering::Relaxed));
+        if window != recorded_window {
+            let before =
+                if window == recorded_window + 1 { self.window_maximum.load(Ordering::Relaxed) } else { 0 };
+            self.previous_window_maximum.store(before, Ordering::Relaxed);
+            self.window_maximum.store(0, Ordering::Relaxed);
             self.window.store(window, Ordering::Relaxed);
         }
-        self.in_window.fetch_max(span.as_micros() as u64, Ordering::Relaxed);
+        self.window_maximum.fetch_max(span.as_micros() as u64, Ordering::Relaxed);
     }
 
     /// The longest span of the last five to ten seconds. Example: `longest.value() < Duration::from_secs(1)`.
@@ -54,10 +55,12 @@
 
     fn value_at(&self, now: Instant) -> Duration {
         let window = self.window_at(now);
-        let noted_window = self.window.load(Ordering::Relaxed);
-        let (current, before) =
-            (self.in_window.load(Ordering::Relaxed), self.in_window_before.load(Ordering::Relaxed));
-        Duration::from_micros(match window.saturating_sub(noted_window) {
+        let recorded_window = self.window.load(Ordering::Relaxed);
+        let (current, before) = (
+            self.window_maximum.load(Ordering::Relaxed),
+            self.previous_window_maximum.load(Ordering::Relaxed),
+        );
+        Duration::from_micros(match window.saturating_sub(recorded_window) {
             0 => current.max(before),
             1 => current,
             _ => 0,
@@ -65,36 +68,36 @@
     }
 }
 
-/// Where a node can be behind. Example: `lag.bulk_inbox.note(waited)`.
+/// The delays that a node measures. Example: `lag.bulk_inbox.record(waited)`.
 #[derive(Debug)]
 pub struct NodeLag {
-    /// How late clock events ran: everything that is ready on the node's thread, the bytes and ends of clients'
-    /// connections among it, waits about as long.
+    /// How late the ticker ran. Everything else that is ready on the node's thread, client sockets included, waits
+    /// about as long.
     pub ticker: RecentMaximum,
-    /// From the reading of a message that somebody waits for to its handling.
+    /// From reading an urgent message to handling it.
     pub urgent_inbox: RecentMaximum,
-    /// The same of news, lists and polls.
+    /// The same for bulk messages: gossip, lists and polls.
     pub bulk_inbox: RecentMaximum,
-    /// From the making of a message that somebody waits for to its writing.
+    /// From creating an urgent message to writing it to its connection.
     pub urgent_links: RecentMaximum,
-    /// The same of news, lists and polls.
+    /// The same for bulk messages.
     pub bulk_links: RecentMaximum,
 }
 
 impl NodeLag {
-    /// Nothing noted yet. Example: `NodeLag::starting(Instant::now()).all().len() == 5`.
-    pub fn starting(now: Instant) -> NodeLag {
-        let starting = || RecentMaximum::starting(now);
+    /// No delays recorded yet. Example: `NodeLag::new(Instant::now()).all().len() == 5`.
+    pub fn new(now: Instant) -> NodeLag {
+        let maximum = || RecentMaximum::new(now);
         NodeLag {
-            ticker: starting(),
-            urgent_inbox: starting(),
-            bulk_inbox: starting(),
-            urgent_links: starting(),
-            bulk_links: starting(),
+            ticker: maximum(),
+            urgent_inbox: maximum(),
+            bulk_inbox: maximum(),
+            urgent_links: maximum(),
+            bulk_links: maximum(),
         }
     }
 
-    /// All of them by name. Example: `lag.all()[0].0 == "monotonic_clock"`.
+    /// All delays by their metric label. Example: `lag.all()[0].0 == "clock_events"`.
     pub fn all(&self) -> Vec<(&'static str, Duration)> {
         vec![
             ("clock_events", self.ticker.value()),
--- a/packages/vanelane/src/operator_commands.rs
+++ b/packages/vanelane/src/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The command line for operators: the same as the control pages.
+//! The operator commands, which use the control pages of a running node or work on local files.
 
 use crate::command_line::{Change, Decisions};
 use awc::Client;
@@ -10,16 +10,16 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const REFUSED: u8 = 1;
-const BAD_USE: u8 = 2;
-const UNREACHED: u8 = 3;
+const EXIT_REFUSED: u8 = 1;
+const EXIT_BAD_USAGE: u8 = 2;
+const EXIT_UNREACHABLE: u8 = 3;
 
 fn print_error(reason: impl std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("vanelane: {reason}");
     ExitCode::from(code)
 }
 
-/// Prints to standard output; a reader that went away ends the command.
+/// Prints to standard output. Returns false if the reader is gone, which ends the command.
 fn print_text(text: &[u8]) -> bool {
     let mut output = std::io::stdout().lock();
     output.write_all(text).and_then(|()| output.flush()).is_ok()
@@ -30,26 +30,30 @@
     ExitCode::SUCCESS
 }
 
-/// Sets a damaged record file aside, and no other: a sound one is a vote.
+/// Quarantines a damaged record file. An intact file is refused: it holds the vote of its disk.
 pub fn quarantine_records(folder: &Path) -> ExitCode {
     match record_file::quarantine_damaged(folder) {
         Ok(Some(path)) => {
             print_text(format!("{}\n", json!({"outcome": "set aside", "file": path})).as_bytes());
             ExitCode::SUCCESS
         }
-        Ok(None) => print_error(format!("{}: the records are sound or missing", folder.display()), REFUSED),
-        Err(failure) => print_error(format!("{}: {}", folder.display(), failure.current_context()), REFUSED),
+        Ok(None) => {
+            print_error(format!("{}: the records are sound or missing", folder.display()), EXIT_REFUSED)
+        }
+        Err(failure) => {
+            print_error(format!("{}: {}", folder.display(), failure.current_context()), EXIT_REFUSED)
+        }
     }
 }
 
 pub fn check_configuration(path: &Path) -> ExitCode {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
-        Err(failure) => return print_error(format!("{}: {failure}", path.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", path.display()), EXIT_BAD_USAGE),
     };
     let document: Value = match serde_json::from_slice(&bytes) {
         Ok(document) => document,
-        Err(failure) => return print_error(format!("{}: {failure}", path.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", path.display()), EXIT_BAD_USAGE),
     };
     match configuration_schema::check(&document) {
         Ok(configuration) => {
@@ -64,7 +68,7 @@
         }
         Err(reasons) => {
             print_text(format!("{}\n", json!({"outcome": "refused", "reasons": reasons})).as_bytes());
-            ExitCode::from(REFUSED)
+            ExitCode::from(EXIT_REFUSED)
         }
     }
 }
@@ -73,21 +77,23 @@
     Client::builder().disable_timeout().disable_redirects().finish()
 }
 
-fn get_ready(work: impl std::future::Future<Output = ExitCode>) -> ExitCode {
+fn block_on(work: impl std::future::Future<Output = ExitCode>) -> ExitCode {
     actix_rt::System::new().block_on(work)
 }
 
 pub fn change(change: Change) -> ExitCode {
     let bytes = match std::fs::read(&change.file) {
         Ok(bytes) => bytes,
-        Err(failure) => return print_error(format!("{}: {failure}", change.file.display()), BAD_USE),
+        Err(failure) => return print_error(format!("{}: {failure}", change.file.display()), EXIT_BAD_USAGE),
     };
     let body = match change.whole_as {
         None => bytes,
         Some(change_id) => {
             let whole: Value = match serde_json::from_slice(&bytes) {
                 Ok(whole) => whole,
-                Err(failure) => return print_error(format!("{}: {failure}", change.file.display()), BAD_USE),
+                Err(failure) => {
+                    return print_error(format!("{}: {failure}", change.file.display()), EXIT_BAD_USAGE);
+                }
             };
             let mut line = json!({"change_id": change_id, "whole": whole});
             if let Some(generation) = change.expected_generation {
@@ -96,16 +102,16 @@
             line.to_string().into_bytes()
         }
     };
-    get_ready(async move {
+    block_on(async move {
         let url = format!("http://{}/control/changes", change.control);
         let sending = client().post(url).timeout(Duration::from_secs(600)).send_body(body);
         let mut response = match sending.await {
             Ok(response) => response,
-            Err(failure) => return print_error(failure, UNREACHED),
+            Err(failure) => return print_error(failure, EXIT_UNREACHABLE),
         };
         let mut text = Vec::new();
         while let Some(chunk) = response.next().await {
-            let Ok(chunk) = chunk else { return print_error("the answer was cut", UNREACHED) };
+            let Ok(chunk) = chunk else { return print_error("the answer was cut", EXIT_UNREACHABLE) };
             text.extend_from_slice(&chunk);
             print_text(&chunk);
         }
@@ -113,7 +119,7 @@
             serde_json::from_slice::<Value>(line).is_ok_and(|outcome| outcome["outcome"] == "accepted")
         };
         let all_accepted = text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).all(is_accepted);
-        if all_accepted { ExitCode::SUCCESS } else { ExitCode::from(REFUSED) }
+        if all_accepted { ExitCode::SUCCESS } else { ExitCode::from(EXIT_REFUSED) }
     })
 }
 
@@ -125,26 +131,26 @@
     if decisions.follow {
         url.push_str("&follow=1");
     }
-    show(url)
+    print_response(url)
 }
 
 pub fn page(control: &SocketAddr, name: &str) -> ExitCode {
-    show(format!("http://{control}/control/{name}"))
+    print_response(format!("http://{control}/control/{name}"))
 }
 
-fn show(url: String) -> ExitCode {
-    get_ready(async move {
+fn print_response(url: String) -> ExitCode {
+    block_on(async move {
         let mut response = match client().get(url).send().await {
             Ok(response) => response,
-            Err(failure) => return print_error(failure, UNREACHED),
+            Err(failure) => return print_error(failure, EXIT_UNREACHABLE),
         };
-        let is_sound = response.status().is_success();
+        let is_success = response.status().is_success();
         while let Some(chunk) = response.next().await {
-            let Ok(chunk) = chunk else { return print_error("the answer was cut", UNREACHED) };
+            let Ok(chunk) = chunk else { return print_error("the answer was cut", EXIT_UNREACHABLE) };
             if !print_text(&chunk) {
                 break;
             }
         }
-        if is_sound { ExitCode::SUCCESS } else { ExitCode::from(REFUSED) }
+        if is_success { ExitCode::SUCCESS } else { ExitCode::from(EXIT_REFUSED) }
     })
 }
--- a/packages/vanelane/src/operator_port.rs
+++ b/packages/vanelane/src/operator_port.rs
@@ -1,4 +1,4 @@
-//! What an operators' page may ask of the node, whatever words it speaks.
+//! The interface between operator pages, native or of another platform, and the node.
 
 use crate::node_lag::NodeLag;
 use crate::peer_links::FrameCounts;
@@ -16,11 +16,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-const RESPONSE_WITHIN: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The configuration as a read found it. Example: `ConfirmedConfiguration::Unconfirmed`.
+/// The result of reading the confirmed configuration. Example: `ConfirmedConfiguration::Unconfirmed`.
 pub enum ConfirmedConfiguration {
-    /// It stands on a majority of the disks.
+    /// It is stored on a majority of the disks.
     Stored(StoredConfiguration),
     /// The machine at this address has a newer one than this node.
     Elsewhere(IpAddr),
@@ -28,16 +28,16 @@
     Unconfirmed,
 }
 
-/// An answer to an operator.
+/// A response to an operator.
 pub type Page = Response<BoxBody>;
 
-/// The pages of one dialect. Example: [`crate::ControlPages`], vanelane's own.
+/// The operator pages of one platform. Example: [`crate::ControlPages`], the native ones.
 pub trait OperatorPages {
-    /// Answers one request. Example: `pages.respond(port, request).await`.
+    /// Responds to one request. Example: `pages.respond(port, request).await`.
     fn respond(&self, port: OperatorPort, request: Request) -> LocalBoxFuture<'static, Page>;
 }
 
-/// The way from an operators' page into the node. Example: `port.change(change).await`.
+/// The handle by which operator pages send requests to the node. Example: `port.change(change).await`.
 #[derive(Clone)]
 pub struct OperatorPort {
     pub(crate) inbox: mpsc::Sender<RuntimeEvent>,
@@ -48,13 +48,13 @@
 }
 
 impl OperatorPort {
-    async fn request<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> RuntimeEvent) -> Option<T> {
+    async fn request<T>(&self, make_event: impl FnOnce(oneshot::Sender<T>) -> RuntimeEvent) -> Option<T> {
         let (reply, response) = oneshot::channel();
-        self.inbox.send(make(reply)).await.ok()?;
-        tokio::time::timeout(RESPONSE_WITHIN, response).await.ok()?.ok()
+        self.inbox.send(make_event(reply)).await.ok()?;
+        tokio::time::timeout(RESPONSE_TIMEOUT, response).await.ok()?.ok()
     }
 
-    /// Whether the node takes calls: it knows the newest configuration and does not drain.
+    /// Whether the node accepts calls: it knows the newest configuration and is not draining.
     /// Example: `if port.is_ready() { 200 } else { 503 }`.
     pub fn is_ready(&self) -> bool {
         self.flags.ready.load(Ordering::Relaxed) && !self.is_draining()
@@ -65,14 +65,14 @@
         self.flags.draining.load(Ordering::Relaxed)
     }
 
-    /// Brings a change to its outcome. Example: `port.change(change).await == ChangeOutcome::Accepted {..}`.
+    /// Submits a change and waits for its outcome. Example: `port.change(change).await == ChangeOutcome::Accepted {..}`.
     pub async fn change(&self, change: Change) -> ChangeOutcome {
         let outcome = self.request(|reply| RuntimeEvent::Change { change, reply }).await;
-        let silence = ChangeOutcome::Unknown { reason: "the node did not answer in time".to_owned() };
-        outcome.unwrap_or(silence)
+        let timed_out = ChangeOutcome::Unknown { reason: "the node did not answer in time".to_owned() };
+        outcome.unwrap_or(timed_out)
     }
 
-    /// The configuration as a majority of the disks confirms it.
+    /// The configuration as confirmed by a majority of the disks.
     /// Example: `matches!(port.confirmed_configuration().await, ConfirmedConfiguration::Stored(_))`.
     pub async fn confirmed_configuration(&self) -> ConfirmedConfiguration {
         match self.request(|reply| RuntimeEvent::ConfirmedConfiguration { reply }).await {
@@ -85,19 +85,19 @@
         }
     }
 
-    /// The machine where a caller had better send a body of so many bytes to, or read the whole
-    /// configuration from (`None`): the one that owns it, if this machine's link is too small for that.
+    /// The machine to which a client should be redirected to send a body of so many bytes, or to read the whole
+    /// configuration (`None`): the owner of the configuration, if this machine's link is too slow for the transfer.
     /// Example: `port.redirect_target(None).await`.
     pub async fn redirect_target(&self, bytes: Option<usize>) -> Option<IpAddr> {
-        let place = self.request(|reply| RuntimeEvent::RedirectTarget { bytes, reply }).await??;
-        Some(place.socket().ip())
+        let address = self.request(|reply| RuntimeEvent::RedirectTarget { bytes, reply }).await??;
+        Some(address.socket().ip())
     }
 
     pub(crate) async fn decisions(&self, after: Vec<(NodeId, u64)>, most: u32) -> Option<DecisionsReply> {
         self.request(|reply| RuntimeEvent::Decisions { after, most, reply }).await
     }
 
-    /// The node's page of state. Example: `port.status().await?.generation`.
+    /// The node's status. Example: `port.status().await?.generation`.
     pub async fn status(&self) -> Option<NodeStatus> {
         self.request(|reply| RuntimeEvent::Status { reply }).await
     }
--- a/packages/vanelane/src/peer_links.rs
+++ b/packages/vanelane/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Frames between colleagues over TCP: one outgoing connection to each, dropped frames are harmless.
+//! Frames between peers over TCP, with one outgoing connection to each peer. The protocol tolerates dropped frames.
 
 use crate::node_lag::NodeLag;
 use crate::protocol_runtime::RuntimeEvent;
@@ -16,23 +16,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 
-/// The target of this module's log lines: part of the log format, so it does not follow the module's name.
+/// Log target of this module. It is part of the log format and independent of the module's name.
 const LOG_TARGET: &str = "vanelane::colleague_links";
 
 const LINK_QUEUE_LIMIT: usize = 1_024;
-const LINK_BYTES: usize = 24 * 1024 * 1024;
-const WRITE_WITHIN: Duration = Duration::from_secs(3);
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const LINK_QUEUE_BYTES: usize = 24 * 1024 * 1024;
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 const LINK_LIMIT: usize = 512;
-const IDLE_LINK: Duration = Duration::from_secs(60);
-const READ_STEP: usize = 64 * 1024;
-/// Short frames that came together are read in one go.
-const READ_BUFFER: usize = 4 * 1024;
-/// Frames that wait are written in one go, up to so many bytes.
-const WRITE_TOGETHER: usize = 32 * 1024;
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+/// Several short frames that arrive together are read with one system call.
+const READ_BUFFER_BYTES: usize = 4 * 1024;
+/// Queued frames are written together, up to this many bytes.
+const WRITE_BATCH_BYTES: usize = 32 * 1024;
 
-/// Frames dropped, by reason.
+/// Counts of dropped frames and messages, by reason.
 #[derive(Debug, Default)]
 pub struct FrameCounts {
     pub foreign: AtomicU64,
@@ -40,36 +40,37 @@
     pub damaged: AtomicU64,
     pub other_fleet: AtomicU64,
     pub queue_full: AtomicU64,
-    /// Waited for longer than they are of use, unsent or unread.
+    /// Waited for longer than they are valid, before sending or before handling.
     pub stale: AtomicU64,
 }
 
-/// A frame on its way to a link.
+/// A frame to be sent over a link.
 pub struct OutgoingFrame {
     pub bytes: Vec<u8>,
     pub priority: Priority,
-    pub made_at: Instant,
-    /// It is dropped if it is still unsent then.
-    pub useful_until: Instant,
+    pub created_at: Instant,
+    /// A frame that is still unsent at this time is dropped.
+    pub valid_until: Instant,
 }
 
-struct Link {
+struct PeerLink {
     urgent: mpsc::Sender<OutgoingFrame>,
     bulk: mpsc::Sender<OutgoingFrame>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-/// The receiving end of a link's two waiting lists.
+/// The receiving end of a link's two queues.
 struct LinkQueue {
     urgent: mpsc::Receiver<OutgoingFrame>,
     bulk: mpsc::Receiver<OutgoingFrame>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
     counts: Arc<FrameCounts>,
     lag: Arc<NodeLag>,
 }
 
 impl LinkQueue {
-    /// The next frame of use, urgent ones first; `None` once the link is given up or was idle for long.
+    /// The next valid frame, urgent ones first. Returns `None` if the link was dropped or idle for
+    /// `LINK_IDLE_TIMEOUT`.
     async fn next(&mut self) -> Option<Vec<u8>> {
         loop {
             let receiving = async {
@@ -79,32 +80,33 @@
                     frame = self.bulk.recv() => frame,
                 }
             };
-            let frame = tokio::time::timeout(IDLE_LINK, receiving).await.ok()??;
-            if let Some(bytes) = self.taken(frame) {
+            let frame = tokio::time::timeout(LINK_IDLE_TIMEOUT, receiving).await.ok()??;
+            if let Some(bytes) = self.dequeue(frame) {
                 return Some(bytes);
             }
         }
     }
 
-    /// A further frame that waits already.
-    fn waiting(&mut self) -> Option<Vec<u8>> {
+    /// The next valid frame that is already queued.
+    fn try_next(&mut self) -> Option<Vec<u8>> {
         loop {
             let frame = self.urgent.try_recv().or_else(|_| self.bulk.try_recv()).ok()?;
-            if let Some(bytes) = self.taken(frame) {
+            if let Some(bytes) = self.dequeue(frame) {
                 return Some(bytes);
             }
         }
     }
 
-    fn taken(&self, frame: OutgoingFrame) -> Option<Vec<u8>> {
-        self.waiting_bytes.fetch_sub(frame.bytes.len(), Ordering::Relaxed);
+    /// Accounts for a frame that left the queue. Returns its bytes unless it is stale.
+    fn dequeue(&self, frame: OutgoingFrame) -> Option<Vec<u8>> {
+        self.queued_bytes.fetch_sub(frame.bytes.len(), Ordering::Relaxed);
         let now = Instant::now();
-        let waited = now.saturating_duration_since(frame.made_at);
+        let waited = now.saturating_duration_since(frame.created_at);
         match frame.priority {
-            Priority::Urgent => self.lag.urgent_links.note(waited),
-            Priority::Bulk => self.lag.bulk_links.note(waited),
+            Priority::Urgent => self.lag.urgent_links.record(waited),
+            Priority::Bulk => self.lag.bulk_links.record(waited),
         }
-        if now > frame.useful_until {
+        if now > frame.valid_until {
             self.counts.stale.fetch_add(1, Ordering::Relaxed);
             return None;
         }
@@ -112,9 +114,9 @@
     }
 }
 
-/// The outgoing connections.
+/// The outgoing connections to peers.
 pub struct PeerLinks {
-    links: HashMap<Address, Link>,
+    links: HashMap<Address, PeerLink>,
     counts: Arc<FrameCounts>,
     lag: Arc<NodeLag>,
 }
@@ -124,12 +126,12 @@
         PeerLinks { links: HashMap::new(), counts, lag }
     }
 
-    /// A message was read so late that it was dropped.
+    /// Counts a received message that was dropped because it was stale.
     pub fn count_stale(&self) {
         self.counts.stale.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Puts a frame on the way, or drops it when the link is overfull.
+    /// Queues a frame, or drops it if the link's queue is full or there are too many links.
     pub fn send(&mut self, address: Address, frame: OutgoingFrame) {
         if self.links.get(&address).is_some_and(|link| link.urgent.is_closed()) {
             self.links.remove(&address);
@@ -144,37 +146,37 @@
         let link = self.links.entry(address).or_insert_with(|| {
             let (urgent, urgent_frames) = mpsc::channel(LINK_QUEUE_LIMIT);
             let (bulk, bulk_frames) = mpsc::channel(LINK_QUEUE_LIMIT);
-            let waiting_bytes = Arc::new(AtomicUsize::new(0));
+            let queued_bytes = Arc::new(AtomicUsize::new(0));
             let queue = LinkQueue {
                 urgent: urgent_frames,
                 bulk: bulk_frames,
-                waiting_bytes: waiting_bytes.clone(),
+                queued_bytes: queued_bytes.clone(),
                 counts: self.counts.clone(),
                 lag: self.lag.clone(),
             };
-            actix_rt::spawn(carry(address.socket(), queue));
-            Link { urgent, bulk, waiting_bytes }
+            actix_rt::spawn(run_link(address.socket(), queue));
+            PeerLink { urgent, bulk, queued_bytes }
         });
         let frame_length = frame.bytes.len();
         let sender = match frame.priority {
             Priority::Urgent => &link.urgent,
             Priority::Bulk => &link.bulk,
         };
-        if link.waiting_bytes.load(Ordering::Relaxed) + frame_length > LINK_BYTES
+        if link.queued_bytes.load(Ordering::Relaxed) + frame_length > LINK_QUEUE_BYTES
             || sender.try_send(frame).is_err()
         {
             self.counts.queue_full.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        link.waiting_bytes.fetch_add(frame_length, Ordering::Relaxed);
+        link.queued_bytes.fetch_add(frame_length, Ordering::Relaxed);
     }
 }
 
-async fn carry(address: SocketAddr, mut queue: LinkQueue) {
+async fn run_link(address: SocketAddr, mut queue: LinkQueue) {
     let mut stream: Option<TcpStream> = None;
     while let Some(mut frames) = queue.next().await {
-        while frames.len() < WRITE_TOGETHER
-            && let Some(frame) = queue.waiting()
+        while frames.len() < WRITE_BATCH_BYTES
+            && let Some(frame) = queue.try_next()
         {
             frames.extend_from_slice(&frame);
         }
@@ -185,19 +187,19 @@
             stream = connect(address).await;
         }
         let Some(open) = &mut stream else {
-            // The frames are lost, and so are those that wait for an address that does not answer.
-            while queue.waiting().is_some() {}
+            // The address is unreachable: these frames and all queued ones are dropped.
+            while queue.try_next().is_some() {}
             tokio::time::sleep(RECONNECT_PAUSE).await;
             continue;
         };
-        let writing = tokio::time::timeout(WRITE_WITHIN, open.write_all(&frames));
+        let writing = tokio::time::timeout(WRITE_TIMEOUT, open.write_all(&frames));
         if !matches!(writing.await, Ok(Ok(()))) {
             stream = None;
         }
     }
 }
 
-/// A colleague never writes on a connection it accepted: anything readable is its end.
+/// A peer never writes on a connection that it accepted: a readable connection is closed or invalid.
 fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     match stream.try_read(&mut byte) {
@@ -207,32 +209,32 @@
 }
 
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let connecting = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     Some(stream)
 }
 
-/// Where messages wait to be handled: bulk only comes to its turn when nothing urgent waits.
+/// The queues of received messages. Bulk messages are handled only if no urgent one is queued.
 #[derive(Clone)]
 pub struct PeerInbox {
     pub urgent: mpsc::Sender<RuntimeEvent>,
     pub bulk: mpsc::Sender<RuntimeEvent>,
 }
 
-/// Accepts colleagues' connections and hands their messages to the node.
+/// Accepts connections of peers and passes their messages to the node.
 pub async fn listen(
     listener: Rc<TcpListener>,
     fleet: u64,
     inbox: PeerInbox,
     counts: Arc<FrameCounts>,
 ) -> Result<(), Report<ChildError>> {
-    let places = Arc::new(Semaphore::new(LINK_LIMIT));
+    let connection_slots = Arc::new(Semaphore::new(LINK_LIMIT));
     loop {
         let accepted = listener.accept().await;
         let (stream, _) = match accepted {
             Ok(accepted) => accepted,
-            Err(failure) if is_passing(&failure) => {
+            Err(failure) if is_transient(&failure) => {
                 tokio::time::sleep(RECONNECT_PAUSE).await;
                 continue;
             }
@@ -240,17 +242,18 @@
                 return Err(failure).change_context(ChildError("colleague listener".to_owned()));
             }
         };
-        let Ok(place) = places.clone().try_acquire_owned() else { continue };
+        let Ok(slot) = connection_slots.clone().try_acquire_owned() else { continue };
         let (inbox, counts) = (inbox.clone(), counts.clone());
         actix_rt::spawn(async move {
             read_frames(stream, fleet, &inbox, &counts).await;
-            drop(place);
+            drop(slot);
         });
     }
 }
 
-/// A connection that broke before it was accepted, or too many open files for now.
-pub fn is_passing(failure: &std::io::Error) -> bool {
+/// Whether an accept error is transient: the connection broke before it was accepted, or there are too many open
+/// files (ENFILE 23, EMFILE 24).
+pub fn is_transient(failure: &std::io::Error) -> bool {
     use std::io::ErrorKind;
     matches!(
         failure.kind(),
@@ -260,7 +263,7 @@
 
 async fn read_frames(stream: TcpStream, fleet: u64, inbox: &PeerInbox, counts: &FrameCounts) {
     let clock = MonotonicClock::start();
-    let mut stream = BufReader::with_capacity(READ_BUFFER, stream);
+    let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     loop {
         let mut head = [0u8; FRAME_HEAD];
         if stream.read_exact(&mut head).await.is_err() {
@@ -298,13 +301,13 @@
     }
 }
 
-/// Grows with what really comes, so that a lying length reserves nothing.
+/// Reads a payload. The buffer grows with the received bytes, so that a false length allocates no memory.
 async fn read_payload(stream: &mut BufReader<TcpStream>, length: usize) -> Option<Vec<u8>> {
-    let mut payload = Vec::with_capacity(length.min(READ_STEP));
+    let mut payload = Vec::with_capacity(length.min(READ_CHUNK_BYTES));
     while payload.len() < length {
-        let begun = payload.len();
-        payload.resize(length.min(begun + READ_STEP), 0);
-        stream.read_exact(&mut payload[begun..]).await.ok()?;
+        let received = payload.len();
+        payload.resize(length.min(received + READ_CHUNK_BYTES), 0);
+        stream.read_exact(&mut payload[received..]).await.ok()?;
     }
     Some(payload)
 }
--- a/packages/vanelane/src/protocol_runtime.rs
+++ b/packages/vanelane/src/protocol_runtime.rs
@@ -1,4 +1,5 @@
-//! The shell of the node's protocol: it carries events in and acts out, and decides nothing.
+//! The runtime of the node's protocol: it feeds events to the node and performs its actions. All decisions are
+//! made by the node.
 
 use crate::control_costs::ControlCosts;
 use crate::disk_thread::{DiskThread, DiskWork};
@@ -23,16 +24,16 @@
 use supervisor::ChildError;
 use tokio::sync::{mpsc, oneshot};
 
-/// The target of this module's log lines: part of the log format, so it does not follow the module's name.
+/// Log target of this module. It is part of the log format and independent of the module's name.
 const LOG_TARGET: &str = "vanelane::protocol_shell";
 
-const TICK: Duration = Duration::from_millis(20);
-/// How often the node is told the machine's wall clock, where it reports usage.
-pub const WALL_CLOCK_EVERY: Micros = Micros::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often the node gets the machine's wall clock, if it reports usage.
+pub const WALL_CLOCK_INTERVAL: Micros = Micros::from_millis(200);
 
-/// What happens around the node.
+/// Input to the runtime from other tasks and threads.
 pub enum RuntimeEvent {
-    /// A peer's message, and when it was read from its connection.
+    /// A peer's message and the time when it was read from its connection.
     Received {
         envelope: Envelope,
         at: Instant,
@@ -72,7 +73,7 @@
     pub cursor: Vec<(NodeId, u64)>,
 }
 
-/// Flags that other threads look at.
+/// State of the node as read by other threads.
 #[derive(Debug, Default)]
 pub struct NodeFlags {
     pub ready: AtomicBool,
@@ -83,7 +84,7 @@
 pub struct ProtocolRuntime {
     pub node: Node,
     pub clock: MonotonicClock,
-    pub wall_clock_event: Ticker,
+    pub wall_clock_ticker: Ticker,
     pub own_node: NodeId,
     pub own_address: Address,
     pub fleet: u64,
@@ -112,7 +113,7 @@
         bulk_inbox: &mut mpsc::Receiver<RuntimeEvent>,
         gateway: &mut mpsc::Receiver<GatewayMessage>,
     ) -> Result<(), Report<ChildError>> {
-        let mut ticker = tokio::time::interval(TICK);
+        let mut ticker = tokio::time::interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut ticked_at = self.clock.now();
         loop {
@@ -121,11 +122,11 @@
                 _ = ticker.tick() => {
                     let now = self.clock.now();
                     self.gateway.set_node_count(self.node.member_count());
-                    let late = now - ticked_at - Micros::from_millis(TICK.as_millis() as u64);
-                    self.gateway.set_lag(late);
-                    self.lag.ticker.note(late.duration());
+                    let lateness = now - ticked_at - Micros::from_millis(TICK_INTERVAL.as_millis() as u64);
+                    self.gateway.set_lag(lateness);
+                    self.lag.ticker.record(lateness.duration());
                     ticked_at = now;
-                    if self.node.reports_usage() && self.wall_clock_event.due(now) {
+                    if self.node.reports_usage() && self.wall_clock_ticker.due(now) {
                         self.handle(Event::WallClock { unix: wall_clock::unix_now() });
                     }
                     self.handle(Event::Tick);
@@ -135,9 +136,9 @@
                         log::info!(target: LOG_TARGET, "{line}");
                     }
                 }
-                // Own calls are few, and each has somebody waiting: peers' messages do not keep them out.
-                link = gateway.recv() => match link {
-                    Some(link) => self.handle_gateway_message(link),
+                // The node's own calls are few and a client waits for each, so they go before peer messages.
+                message = gateway.recv() => match message {
+                    Some(message) => self.handle_gateway_message(message),
                     None => return Ok(()),
                 },
                 event = inbox.recv() => match event {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Decisions go to the log as they are made, where it wants them.
+    /// Logs new decisions at debug level.
     fn log_decisions(&mut self) {
         if !log::log_enabled!(target: LOG_TARGET, log::Level::Debug) {
             return;
@@ -170,8 +171,8 @@
             RuntimeEvent::Received { envelope, at } => {
                 let (name, waited) = (envelope.message.name(), at.elapsed());
                 match envelope.message.priority() {
-                    Priority::Urgent => self.lag.urgent_inbox.note(waited),
-                    Priority::Bulk => self.lag.bulk_inbox.note(waited),
+                    Priority::Urgent => self.lag.urgent_inbox.record(waited),
+                    Priority::Bulk => self.lag.bulk_inbox.record(waited),
                 }
                 if waited > envelope.message.valid_for() {
                     self.links.count_stale();
@@ -206,8 +207,8 @@
         }
     }
 
-    fn handle_gateway_message(&mut self, link: GatewayMessage) {
-        match link {
+    fn handle_gateway_message(&mut self, message: GatewayMessage) {
+        match message {
             GatewayMessage::RequestPermit { call, parameters, reply } => {
                 self.permits.insert(call, reply);
                 self.handle(Event::CallNeedsPermit { call, parameters });
@@ -222,31 +223,31 @@
         }
     }
 
-    /// Gives an event to the node and carries its acts out, until nothing is left.
+    /// Passes an event to the node and performs the resulting actions until none is left.
     pub fn handle(&mut self, event: Event) {
-        let duty = duty_of(&event);
-        let begun = Instant::now();
-        self.carry_through(event);
-        self.costs.spent(duty, begun.elapsed());
+        let category = cost_category(&event);
+        let started_at = Instant::now();
+        self.process(event);
+        self.costs.spent(category, started_at.elapsed());
     }
 
-    fn carry_through(&mut self, event: Event) {
-        let mut waiting = vec![event];
-        while let Some(event) = waiting.pop() {
+    fn process(&mut self, event: Event) {
+        let mut pending = vec![event];
+        while let Some(event) = pending.pop() {
             for action in self.node.handle(event, self.clock.now()) {
-                waiting.extend(self.perform(action));
+                pending.extend(self.perform(action));
             }
         }
     }
 
-    /// Carries an act out; an act that failed at once comes back as an event.
+    /// Performs an action. Returns an event if it failed immediately.
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Send { address, to, message } => {
                 let name = message.name();
                 let priority = message.priority();
-                let made_at = Instant::now();
-                let useful_until = made_at + message.valid_for();
+                let created_at = Instant::now();
+                let valid_until = created_at + message.valid_for();
                 let envelope = Envelope {
                     fleet: self.fleet,
                     from: self.own_node,
@@ -257,7 +258,7 @@
                 match envelope.frame() {
                     Some(bytes) => {
                         self.costs.sent(name, bytes.len(), self.node.is_local_address(address));
-                        self.links.send(address, OutgoingFrame { bytes, priority, made_at, useful_until });
+                        self.links.send(address, OutgoingFrame { bytes, priority, created_at, valid_until });
                     }
                     None => {
                         log::error!(target: LOG_TARGET, "a {name} message is over the frame limit and was dropped")
@@ -266,8 +267,8 @@
             }
             Action::WriteDisk { token, records, is_rewrite } => {
                 let work = DiskWork { token, records, is_rewrite };
-                let is_taken = self.disk.as_ref().is_some_and(|disk| disk.submit(work));
-                if !is_taken {
+                let is_submitted = self.disk.as_ref().is_some_and(|disk| disk.submit(work));
+                if !is_submitted {
                     return Some(Event::DiskDone { token, is_synced: false });
                 }
             }
@@ -331,11 +332,11 @@
             }
             Action::CallGranted { call, permit } => {
                 let reply = self.permits.remove(&call);
-                let is_gone = match reply {
+                let is_receiver_gone = match reply {
                     Some(reply) => reply.send(PermitResponse::Granted(permit.clone())).is_err(),
                     None => true,
                 };
-                if is_gone {
+                if is_receiver_gone {
                     return Some(Event::PermitDone {
                         permit,
                         outcome: function_scheduler::UNUSED,
@@ -392,8 +393,8 @@
     }
 }
 
-/// What processor time is counted under: the kind of event, or of message.
-fn duty_of(event: &Event) -> &'static str {
+/// The category of the `control_costs` line under which an event's processor time is counted.
+fn cost_category(event: &Event) -> &'static str {
     match event {
         Event::Tick => "tick",
         Event::Received(envelope) => envelope.message.name(),
--- a/packages/vanelane/src/run_node.rs
+++ b/packages/vanelane/src/run_node.rs
@@ -1,6 +1,6 @@
-//! `vanelane run`: settings, logs, threads, signals.
+//! `vanelane run`: sets up logging, sockets, threads and the supervisor, and handles signals.
 
-use crate::client_connection::{ClientTimeouts, ConnectionTerms, OpenConnections, serve_connection};
+use crate::client_connection::{ClientTimeouts, ConnectionOptions, OpenConnections, serve_connection};
 use crate::command_line::Run;
 use crate::control_costs::ControlCosts;
 use crate::control_pages::ControlPages;
@@ -10,7 +10,7 @@
 use crate::node_lag::NodeLag;
 use crate::operator_port::{OperatorPages, OperatorPort};
 use crate::peer_links::{self, FrameCounts, PeerInbox, PeerLinks};
-use crate::protocol_runtime::{NodeFlags, ProtocolRuntime, RuntimeEvent, WALL_CLOCK_EVERY};
+use crate::protocol_runtime::{NodeFlags, ProtocolRuntime, RuntimeEvent, WALL_CLOCK_INTERVAL};
 use crate::settings::{self, Settings, SettingsReason};
 use crate::settings_watch;
 use actix_server::{Server, ServerHandle};
@@ -41,29 +41,29 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-const BAD_SETTINGS: u8 = 2;
-const BAD_START: u8 = 1;
+const EXIT_BAD_SETTINGS: u8 = 2;
+const EXIT_START_FAILED: u8 = 1;
 const INBOX_LIMIT: usize = 8_192;
-const CLIENT_CONNECTIONS: usize = 4_096;
-const CONTROL_CONNECTIONS: usize = 256;
-/// How long what a visitor still sends is read after the last answer on a connection.
+const CLIENT_CONNECTION_LIMIT: usize = 4_096;
+const CONTROL_CONNECTION_LIMIT: usize = 256;
+/// How long a client's remaining bytes are read after the last response on a connection.
 const CLIENT_LINGER: Duration = Duration::from_secs(1);
 
-/// What a platform brings of its own; everything else is the product's.
+/// The parts of a node that depend on the platform.
 pub struct PlatformIntegration {
-    /// The headers that visitors and cells speak by.
+    /// The names of the headers exchanged with clients and instances.
     pub header_conventions: HeaderConventions,
-    /// List, start and stop.
+    /// The platform operations: list, start, stop and usage reports.
     pub platform: Rc<dyn PlatformApi>,
-    /// The operators' pages, and the readiness page.
+    /// The operator pages and the readiness page.
     pub pages: Rc<dyn OperatorPages>,
     /// Reads the settings again.
     pub reread: Rc<dyn Fn() -> Result<Settings, Vec<SettingsReason>>>,
-    /// The file that the settings come from: looked at for changes without a signal.
+    /// The settings file, watched for changes; `None` if there is none.
     pub settings_path: Option<PathBuf>,
 }
 
-/// `vanelane run`: the native program. Example: `run_node::run(flags)`.
+/// Runs `vanelane run` with the native platform. Example: `run_node::run(flags)`.
 pub fn run(run: Run) -> ExitCode {
     let settings = match settings::read(&run) {
         Ok(settings) => settings,
@@ -84,15 +84,15 @@
     })
 }
 
-/// Tells every wrong setting, one a line. Example: `return bad_settings(reasons)`.
+/// Prints every wrong setting, one a line. Example: `return bad_settings(reasons)`.
 pub fn bad_settings(reasons: Vec<SettingsReason>) -> ExitCode {
     for (field, reason) in reasons {
         eprintln!("vanelane: setting {field}: {reason}");
     }
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(EXIT_BAD_SETTINGS)
 }
 
-/// Runs a node to its end. The seams are made on the node's own thread, inside its runtime.
+/// Runs a node until it stops. The integration is created on the node's thread, inside its async runtime.
 /// Example: `start(settings, || PlatformIntegration { .. })`.
 pub fn start(settings: Settings, make_integration: impl FnOnce() -> PlatformIntegration) -> ExitCode {
     let logging = logging_config(settings.log_level);
@@ -100,14 +100,14 @@
         Ok(Ok(handle)) => handle,
         _ => {
             eprintln!("vanelane: logging could not be set up");
-            return ExitCode::from(BAD_START);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     match actix_rt::System::new().block_on(async { serve(settings, make_integration(), log_handle).await }) {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             log::error!("{reason}");
-            ExitCode::from(BAD_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
@@ -134,7 +134,7 @@
     log_handle: log4rs::Handle,
 ) -> Result<(), String> {
     let (inbox_sender, inbox) = mpsc::channel(INBOX_LIMIT);
-    let (link_sender, gateway_messages) = mpsc::channel(INBOX_LIMIT);
+    let (gateway_sender, gateway_messages) = mpsc::channel(INBOX_LIMIT);
     let gateway_settings = GatewaySettings {
         body_limit: settings.body_limit_bytes,
         memory_limit: settings.memory_limit_bytes,
@@ -146,7 +146,7 @@
         },
         ..GatewaySettings::default()
     };
-    let mut gateway = Gateway::new(gateway_settings, link_sender);
+    let mut gateway = Gateway::new(gateway_settings, gateway_sender);
     if let Some(path) = &settings.recording {
         let recorder = Recorder::start(path, settings.recording_limit_bytes)
             .map_err(|failure| format!("setting recording: {}: {failure}", path.display()))?;
@@ -161,7 +161,7 @@
     let gateway = Arc::new(gateway);
     let flags = Arc::new(NodeFlags::default());
     let frames = Arc::new(FrameCounts::default());
-    let lag = Arc::new(NodeLag::starting(Instant::now()));
+    let lag = Arc::new(NodeLag::new(Instant::now()));
     let fleet = fleet_id(&settings.fleet);
 
     let peer_listener = listen_on("colleague_address", settings.peer_address)?;
@@ -194,7 +194,7 @@
     let mut runtime = ProtocolRuntime {
         node: Node::new(node_settings, disk, clock.now()),
         clock,
-        wall_clock_event: Ticker::every(WALL_CLOCK_EVERY),
+        wall_clock_ticker: Ticker::every(WALL_CLOCK_INTERVAL),
         own_node,
         own_address,
         fleet,
@@ -224,29 +224,29 @@
         lag,
     };
     let (closing, is_closing) = watch::channel(false);
-    // The operators' pages answer to the end.
+    // The operator pages respond until the process ends.
     let (pages_closing, are_pages_closing) = watch::channel(false);
     let timeouts = ClientTimeouts {
         idle: Duration::from_millis(settings.idle_millis),
         header_wait: Duration::from_millis(settings.header_wait_millis),
         linger: CLIENT_LINGER,
     };
-    // A redirected operator may still be sending a whole document.
+    // A client that was redirected may still be sending a whole document.
     let document_time = settings.link_rate().map_or(0.0, |rate| DOCUMENT_LIMIT as f64 / rate);
     let page_linger = CLIENT_LINGER.max(Duration::from_secs_f64(document_time));
     let page_timeouts = ClientTimeouts { linger: page_linger, ..timeouts };
     let mut local_servers = Vec::new();
     let client_connections = OpenConnections::default();
-    let mut threaded = None;
+    let mut threaded_server = None;
     match settings.worker_threads {
         0 => {
-            let called_gateway = gateway.clone();
+            let call_gateway = gateway.clone();
             let limits_gateway = gateway.clone();
             local_servers.push(LocalServer {
                 listener: local_listener("visitor_address", client_listener)?,
-                answering: Rc::new(move |request| Box::pin(called_gateway.clone().call(request))),
-                timeouts: Rc::new(move || limited(timeouts, limits_gateway.client_limits())),
-                connections_limit: CLIENT_CONNECTIONS,
+                request_handler: Rc::new(move |request| Box::pin(call_gateway.clone().call(request))),
+                timeouts: Rc::new(move || with_client_limits(timeouts, limits_gateway.client_limits())),
+                connection_limit: CLIENT_CONNECTION_LIMIT,
                 open_connections: client_connections.clone(),
                 closing: is_closing.clone(),
             });
@@ -258,7 +258,7 @@
                 closing: is_closing.clone(),
                 open_connections: client_connections.clone(),
             };
-            threaded = Some(client_server(client_listener, clients, threads)?);
+            threaded_server = Some(client_server(client_listener, clients, threads)?);
         }
     }
     let mut page_listeners = vec![("control_address", control_listener)];
@@ -269,15 +269,15 @@
         let (pages, port) = (integration.pages.clone(), port.clone());
         local_servers.push(LocalServer {
             listener: local_listener(field, listener)?,
-            answering: Rc::new(move |request| pages.respond(port.clone(), request)),
+            request_handler: Rc::new(move |request| pages.respond(port.clone(), request)),
             timeouts: Rc::new(move || page_timeouts),
-            connections_limit: CONTROL_CONNECTIONS,
+            connection_limit: CONTROL_CONNECTION_LIMIT,
             open_connections: OpenConnections::default(),
             closing: are_pages_closing.clone(),
         });
     }
-    let threaded_handle = threaded.as_ref().map(Server::handle);
-    let servers = Rc::new(RefCell::new((threaded, local_servers)));
+    let threaded_handle = threaded_server.as_ref().map(Server::handle);
+    let servers = Rc::new(RefCell::new((threaded_server, local_servers)));
 
     let peer_listener = tokio::net::TcpListener::from_std(peer_listener)
         .map_err(|failure| format!("setting colleague_address: {failure}"))?;
@@ -288,10 +288,11 @@
 
     let tree = Supervisor::new("vanelane", RestartPolicy::default())
         .child("protocol", move || {
-            // The node's state is not to be trusted after a broken invariant: it runs once.
-            let taken = protocol.borrow_mut().take();
+            // The node's state cannot be trusted after a broken invariant, so the protocol runs only once.
+            let runtime_parts = protocol.borrow_mut().take();
             async move {
-                let Some((mut runtime, mut inbox, mut bulk_inbox, mut gateway_messages)) = taken else {
+                let Some((mut runtime, mut inbox, mut bulk_inbox, mut gateway_messages)) = runtime_parts
+                else {
                     return Err(error_stack::Report::new(supervisor::ChildError("protocol".to_owned())));
                 };
                 runtime.run(&mut inbox, &mut bulk_inbox, &mut gateway_messages).await
@@ -301,11 +302,11 @@
             peer_links::listen(peer_listener.clone(), fleet, listen_inbox.clone(), frames.clone())
         })
         .child("servers", move || {
-            let threaded = servers.borrow_mut().0.take();
+            let threaded_server = servers.borrow_mut().0.take();
             let local: Vec<LocalServer> = servers.borrow_mut().1.drain(..).collect();
             async move {
-                let threaded = async move {
-                    match threaded {
+                let threaded_server = async move {
+                    match threaded_server {
                         Some(server) => {
                             server.await.map_err(|failure| error_stack::Report::new(failure)).map_err(
                                 |report| report.change_context(supervisor::ChildError("servers".to_owned())),
@@ -315,7 +316,7 @@
                     }
                 };
                 let local = futures_util::future::try_join_all(local.into_iter().map(local_server::serve));
-                futures_util::try_join!(threaded, local).map(|_| ())
+                futures_util::try_join!(threaded_server, local).map(|_| ())
             }
         });
     let stop = PlannedStop {
@@ -325,9 +326,9 @@
         closing,
         client_connections,
         _pages_closing: pages_closing,
-        threaded: threaded_handle,
-        still_accepting: Duration::from_millis(settings.still_accepting_millis),
-        within: Duration::from_millis(settings.stop_within_millis),
+        threaded_server: threaded_handle,
+        accept_for: Duration::from_millis(settings.still_accepting_millis),
+        stop_within: Duration::from_millis(settings.stop_within_millis),
     };
     let stopping = watch_signals(integration, stop, log_handle);
     tokio::select! {
@@ -384,18 +385,19 @@
     listener.map(Rc::new).map_err(|failure| format!("setting {field}: {failure}"))
 }
 
-/// What the configuration names of a visitor's limits goes ahead of the settings.
-fn limited(timeouts: ClientTimeouts, limits: Option<ClientLimits>) -> ClientTimeouts {
-    let reported = |named: Option<u64>, fallback: Duration| named.map_or(fallback, Duration::from_millis);
+/// Applies the client limits of the configuration, which take precedence over the settings.
+fn with_client_limits(timeouts: ClientTimeouts, limits: Option<ClientLimits>) -> ClientTimeouts {
+    let or_default =
+        |configured: Option<u64>, default: Duration| configured.map_or(default, Duration::from_millis);
     let Some(limits) = limits else { return timeouts };
     ClientTimeouts {
-        idle: reported(limits.idle_millis, timeouts.idle),
-        header_wait: reported(limits.header_wait_millis, timeouts.header_wait),
+        idle: or_default(limits.idle_millis, timeouts.idle),
+        header_wait: or_default(limits.header_wait_millis, timeouts.header_wait),
         ..timeouts
     }
 }
 
-/// What clients are served with on threads of their own.
+/// Everything that the threads serving clients need.
 #[derive(Clone)]
 struct ThreadedClients {
     gateway: Arc<Gateway>,
@@ -405,18 +407,18 @@
 }
 
 impl ThreadedClients {
-    fn terms(&self) -> ConnectionTerms {
+    fn options(&self) -> ConnectionOptions {
         let gateway = self.gateway.clone();
-        ConnectionTerms {
-            answering: Rc::new(move |request| Box::pin(gateway.clone().call(request))),
-            timeouts: limited(self.timeouts, self.gateway.client_limits()),
+        ConnectionOptions {
+            request_handler: Rc::new(move |request| Box::pin(gateway.clone().call(request))),
+            timeouts: with_client_limits(self.timeouts, self.gateway.client_limits()),
             closing: self.closing.clone(),
             open_connections: self.open_connections.clone(),
         }
     }
 }
 
-/// Visitors on threads of their own.
+/// Starts the server that serves clients on separate threads.
 fn client_server(
     listener: TcpListener,
     clients: ThreadedClients,
@@ -424,13 +426,13 @@
 ) -> Result<Server, String> {
     let builder = Server::build()
         .workers(worker_threads)
-        .max_concurrent_connections(CLIENT_CONNECTIONS)
+        .max_concurrent_connections(CLIENT_CONNECTION_LIMIT)
         .shutdown_timeout(6)
         .disable_signals();
     let bound = builder.listen("visitors", listener, move || {
         let clients = clients.clone();
         fn_service(move |stream: TcpStream| {
-            let serving = serve_connection(stream, clients.terms());
+            let serving = serve_connection(stream, clients.options());
             async move {
                 serving.await;
                 Ok::<(), std::convert::Infallible>(())
@@ -440,7 +442,7 @@
     Ok(bound.map_err(|failure| format!("visitors: {failure}"))?.run())
 }
 
-/// What a planned stop needs.
+/// State needed by a planned stop.
 struct PlannedStop {
     inbox: mpsc::Sender<RuntimeEvent>,
     gateway: Arc<Gateway>,
@@ -448,74 +450,74 @@
     closing: watch::Sender<bool>,
     client_connections: OpenConnections,
     _pages_closing: watch::Sender<bool>,
-    threaded: Option<ServerHandle>,
-    /// New connections are still taken this long after the stop began, until visitors are elsewhere.
-    still_accepting: Duration,
-    /// It is over by then, calls or not.
-    within: Duration,
+    threaded_server: Option<ServerHandle>,
+    /// New connections are accepted for this long after the stop began, until clients use other nodes.
+    accept_for: Duration,
+    /// Time limit of the stop, after which open calls are abandoned.
+    stop_within: Duration,
 }
 
-/// SIGHUP, and a settings file that changed without it, read the settings again; SIGTERM and SIGINT
-/// begin the planned stop.
+/// Reloads the settings on SIGHUP or a changed settings file; performs the planned stop on SIGTERM or SIGINT.
 async fn watch_signals(
     integration: PlatformIntegration,
     stop: PlannedStop,
     log_handle: log4rs::Handle,
 ) -> Result<(), String> {
-    let watch = |kind| signal(kind).map_err(|failure| format!("signals: {failure}"));
-    let mut reloads = watch(SignalKind::hangup())?;
-    let mut terms = watch(SignalKind::terminate())?;
-    let mut interrupts = watch(SignalKind::interrupt())?;
-    let mut known =
+    let signals = |kind| signal(kind).map_err(|failure| format!("signals: {failure}"));
+    let mut reloads = signals(SignalKind::hangup())?;
+    let mut terminations = signals(SignalKind::terminate())?;
+    let mut interrupts = signals(SignalKind::interrupt())?;
+    let mut known_bytes =
         integration.settings_path.as_ref().and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
     loop {
         let file_changed = async {
             match &integration.settings_path {
-                Some(path) => settings_watch::changed(path, &mut known).await,
+                Some(path) => settings_watch::changed(path, &mut known_bytes).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             _ = reloads.recv() => {}
             () = file_changed => {}
-            _ = terms.recv() => break,
+            _ = terminations.recv() => break,
             _ = interrupts.recv() => break,
         }
         reload(&integration, &stop.inbox, &log_handle).await;
     }
     let began = Instant::now();
     log::info!("stopping: leases are released and calls finished");
-    // Told at once: the inbox of a busy node may be long.
+    // Set directly and not by the event, which may wait in the long inbox of a busy node.
     stop.flags.draining.store(true, Ordering::Relaxed);
-    stop.gateway.begin_stop(stop.within);
+    stop.gateway.begin_stop(stop.stop_within);
     let _ = stop.inbox.send(RuntimeEvent::Drain).await;
-    tokio::time::sleep(stop.still_accepting).await;
-    // Accepts no more; connections that are open go on to the end of their calls.
+    tokio::time::sleep(stop.accept_for).await;
+    // Accept no more connections; open ones continue until their calls end.
     let _ = stop.closing.send(true);
-    if let Some(handle) = &stop.threaded {
+    if let Some(handle) = &stop.threaded_server {
         actix_rt::spawn(handle.stop(true));
     }
-    // A call is over when its answer was handed to its connection; the connection closes when it has left.
+    // A call ends when its response was passed to its connection; the connection closes once the response is sent.
     let is_done = || {
-        let is_answered = stop.gateway.open_calls() == 0 && stop.client_connections.get() == 0;
-        is_answered && stop.flags.drained.load(Ordering::Relaxed)
+        let clients_are_served = stop.gateway.open_calls() == 0 && stop.client_connections.get() == 0;
+        clients_are_served && stop.flags.drained.load(Ordering::Relaxed)
     };
-    while !is_done() && began.elapsed() < stop.within {
+    while !is_done() && began.elapsed() < stop.stop_within {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     log_stopped(began.elapsed(), stop.gateway.open_calls_by_stage(), stop.client_connections.get());
     Ok(())
 }
 
-/// The last line of a planned stop: a warning if it leaves anything behind, which clients lose.
-fn log_stopped(took: Duration, open_calls: OpenCalls, client_connections: usize) {
+/// Logs the end of a planned stop, as a warning if calls or client connections are cut off.
+fn log_stopped(elapsed: Duration, open_calls: OpenCalls, client_connections: usize) {
     let is_clean = open_calls.all == 0 && client_connections == 0;
     let level = if is_clean { log::Level::Info } else { log::Level::Warn };
-    let millis = took.as_millis();
+    let millis = elapsed.as_millis();
     log::log!(level, "stopped after {millis} ms with {open_calls}, {client_connections} client connections");
 }
 
-/// Seeds, the platform's address and the log level take effect at once; what cannot is named.
+/// Reloads the settings. Seeds, the platform's address and the log level take effect at once; the log line says
+/// that the others need a restart.
 async fn reload(
     integration: &PlatformIntegration,
     inbox: &mpsc::Sender<RuntimeEvent>,
@@ -524,9 +526,9 @@
     let settings = match (integration.reread)() {
         Ok(settings) => settings,
         Err(reasons) => {
-            let reported: Vec<String> =
+            let reason_texts: Vec<String> =
                 reasons.iter().map(|(field, reason): &SettingsReason| format!("{field}: {reason}")).collect();
-            log::error!("the settings were not reloaded, the old ones stand: {}", reported.join("; "));
+            log::error!("the settings were not reloaded, the old ones stand: {}", reason_texts.join("; "));
             return;
         }
     };
--- a/packages/vanelane/src/settings.rs
+++ b/packages/vanelane/src/settings.rs
@@ -1,4 +1,4 @@
-//! The node's settings: a TOML file, flags over it, every field checked and named when it is wrong.
+//! The node's settings: a TOML file, overridden by flags. All fields are checked and wrong ones reported by name.
 
 use crate::command_line::Run;
 use monotonic_clock::Micros;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Declares the settings file's fields, all optional as read.
+/// Declares the fields of the settings file, each of them optional.
 macro_rules! settings_file {
     ($($(#[$note:meta])* $field:ident: $type:ty,)*) => {
         #[derive(Clone, Debug, Default, Deserialize)]
@@ -106,7 +106,7 @@
     pub extra_window_seconds: u64,
     pub list_every_millis: u64,
     pub lists_per_second: f64,
-    /// Reports of usage to the platform, where it wants them.
+    /// Usage reports to the platform, if it wants them.
     pub usage: Option<UsageBounds>,
     pub header_wait_millis: u64,
     pub idle_millis: u64,
@@ -115,9 +115,9 @@
     pub body_limit_bytes: usize,
     pub memory_limit_bytes: usize,
     pub calls_limit: usize,
-    /// Megabits a second that this machine's link carries, where that is known.
+    /// Bandwidth of this machine's link in megabits a second, if known.
     pub link_megabits: Option<f64>,
-    /// Thousandths of a core that this machine has: larger machines are stewards of more functions.
+    /// Processor capacity in thousandths of a core. Larger machines lead more functions.
     pub processor_millis: u32,
     pub recording: Option<PathBuf>,
     pub recording_limit_bytes: u64,
@@ -127,19 +127,19 @@
     pub log_level: log::LevelFilter,
 }
 
-/// The bounds of reports of usage. Example: `settings.usage.map(|usage| usage.window)`.
+/// The time bounds of usage reports. Example: `settings.usage.map(|usage| usage.window)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageBounds {
-    /// The length of a window.
+    /// The length of a usage window.
     pub window: Micros,
-    /// Until so long after a window's end its report counts.
+    /// The time after a window's end within which its report is valid.
     pub delay: Micros,
-    /// Within this span the nodes that report may not take turns.
+    /// Within this span reports of two nodes may not alternate (A, B, A).
     pub action_lease: Micros,
 }
 
 impl Settings {
-    /// Bytes a second over this machine's link, where they are known. Example: `settings.link_rate()`.
+    /// Bandwidth of this machine's link in bytes a second, if known. Example: `settings.link_rate()`.
     pub fn link_rate(&self) -> Option<f64> {
         self.link_megabits.map(|megabits| megabits * 1e6 / 8.0)
     }
@@ -148,7 +148,7 @@
 /// A field's name and what is wrong with it.
 pub type SettingsReason = (&'static str, String);
 
-/// Reads the file, if any, and lays the flags over it. Example: `read(&run)?.zone`.
+/// Reads the file, if any, and applies the flags over it. Example: `read(&run)?.zone`.
 pub fn read(run: &Run) -> Result<Settings, Vec<SettingsReason>> {
     let mut file = match &run.settings {
         None => SettingsFile::default(),
@@ -160,18 +160,18 @@
         }
     };
     let mut reasons = Vec::new();
-    let flag = |slot: &mut Option<String>, flag_value: &Option<String>| {
-        if flag_value.is_some() {
-            slot.clone_from(flag_value);
+    let override_with = |setting: &mut Option<String>, flag: &Option<String>| {
+        if flag.is_some() {
+            setting.clone_from(flag);
         }
     };
-    flag(&mut file.fleet, &run.fleet);
-    flag(&mut file.zone, &run.zone);
-    flag(&mut file.client_address, &run.visitor_address);
-    flag(&mut file.control_address, &run.control_address);
-    flag(&mut file.peer_address, &run.colleague_address);
-    flag(&mut file.platform_address, &run.platform_address);
-    flag(&mut file.log_level, &run.log_level);
+    override_with(&mut file.fleet, &run.fleet);
+    override_with(&mut file.zone, &run.zone);
+    override_with(&mut file.client_address, &run.visitor_address);
+    override_with(&mut file.control_address, &run.control_address);
+    override_with(&mut file.peer_address, &run.colleague_address);
+    override_with(&mut file.platform_address, &run.platform_address);
+    override_with(&mut file.log_level, &run.log_level);
     if run.data_folder.is_some() {
         file.data_folder.clone_from(&run.data_folder);
     }
@@ -243,7 +243,7 @@
         Micros((given * 1e6) as u64)
     }
 
-    /// Reports of usage are made where their window is named; the delay is two windows unless it is named.
+    /// Usage is reported only if its window is set. The delay defaults to two windows.
     fn usage(&mut self, window: Option<f64>, delay: Option<f64>, lease: Option<u64>) -> Option<UsageBounds> {
         let Some(window_seconds) = window else {
             if delay.is_some() {
@@ -273,7 +273,7 @@
     }
 }
 
-/// Checks every field; all reasons are told. Example: `checked(file).map_err(print_all)`.
+/// Checks every field and returns all reasons. Example: `checked(file).map_err(print_all)`.
 pub fn checked(file: SettingsFile) -> Result<Settings, Vec<SettingsReason>> {
     let mut checker = Checker { reasons: Vec::new() };
     let zone = checker.text("zone", file.zone, None);
--- a/packages/vanelane/src/settings/tests.rs
+++ b/packages/vanelane/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_wrong_field_is_named() {
+fn check_names_every_wrong_field() {
     let sound = r#"
         zone = "a"
         visitor_address = "127.0.0.1:8080"
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn usage_is_reported_where_its_window_is_named() {
+fn usage_settings_depend_on_the_window_and_have_defaults() {
     let parse = |more: &str| {
         let sound = r#"
             zone = "a"
--- a/packages/vanelane/tests/client_disconnects.rs
+++ b/packages/vanelane/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that close their connection before their answer: nothing goes on without them.
+//! Clients that disconnect before their response: their calls are not dispatched.
 
 mod running_node;
 
@@ -12,7 +12,7 @@
 const BOOT_MILLIS: u64 = 1_500;
 
 #[test]
-fn a_call_whose_client_has_left_is_not_sent_to_an_instance() {
+fn call_of_a_disconnected_client_is_not_sent_to_an_instance() {
     let history = Arc::new(History::default());
     let platform = platform_that_boots(&history, BOOT_MILLIS);
     let node = start_node("client-left", platform.address());
@@ -24,16 +24,16 @@
         let request = |id: &str| {
             format!("POST {path} HTTP/1.1\r\nhost: h\r\nx-call-id: {id}\r\ncontent-length: 1\r\n\r\nx")
         };
-        // Its call waits for a cell to boot; the client closes in order meanwhile.
-        let mut draining = TcpStream::connect(node.clients).expect("a connection");
-        draining.write_all(request(&format!("left{path}")).as_bytes()).expect("sent");
+        // The client closes its connection while its call waits for an instance to boot.
+        let mut disconnecting = TcpStream::connect(node.clients).expect("a connection");
+        disconnecting.write_all(request(&format!("left{path}")).as_bytes()).expect("sent");
         std::thread::sleep(Duration::from_millis(200));
-        drop(draining);
+        drop(disconnecting);
         let headers = format!("x-call-id: stayed{path}\r\n");
         let (status, text) = call(&node, path, &headers, "x");
         assert_eq!(status, 200, "{path}: {text}");
     }
-    let taken: Vec<String> = history
+    let received: Vec<String> = history
         .lines()
         .into_iter()
         .filter_map(|line| match line {
@@ -41,5 +41,5 @@
             _ => None,
         })
         .collect();
-    assert_eq!(taken, ["stayed/proof/1", "stayed/again/1"]);
+    assert_eq!(received, ["stayed/proof/1", "stayed/again/1"]);
 }
--- a/packages/vanelane/tests/one_node.rs
+++ b/packages/vanelane/tests/one_node.rs
@@ -1,4 +1,4 @@
-//! A real node against real sockets: settings, the whole path, cells that misbehave, the planned stop.
+//! A real node on real sockets: settings, the path of a call, misbehaving instances, disks, the planned stop.
 
 mod running_node;
 
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn bad_settings_end_with_two_and_name_the_field() {
+fn bad_settings_exit_with_code_two_and_name_the_field() {
     let output =
         vanelane().args(["run", "--zone", "a", "--visitor-address", "nowhere"]).output().expect("run");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn a_lone_node_answers_holds_tells_the_truth_and_stops_without_dropping() {
+fn single_node_serves_calls_reports_outcomes_and_stops_without_dropping_calls() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let mut node = start_node("whole", platform.address());
 
-    // Changes: bad lines are refused with reasons and change nothing; a repeated id applies once.
+    // Changes: invalid lines are refused with reasons and change nothing; a repeated id is applied once.
     let outcomes = change(
         &node,
         &format!(
@@ -39,36 +39,36 @@
     assert!(outcomes.contains("\"outcome\":\"accepted\",\"repeated\":false"), "{outcomes}");
     assert!(outcomes.contains("\"outcome\":\"accepted\",\"repeated\":true"), "{outcomes}");
 
-    // The first call is held while a cell boots.
+    // The first call is queued while an instance boots.
     let (status, text) = call(&node, "/proof/1", "x-call-id: c1\r\n", "hello");
     assert_eq!(status, 200, "{text}");
     assert!(text.contains("{\"call\":\"c1\"") && text.contains("\"body_length\":5"), "{text}");
     assert!(text.contains("x-vanelane-outcome: ran"), "{text}");
 
-    // Cells that run a call and spoil the answer: told as unknown, dispatched once.
+    // Instances that run a call and fail to respond correctly: the outcome is unknown, with one dispatch only.
     for behaviour in ["lose", "garble", "cut", "cut_chunks", "until_close"] {
         let headers = format!("x-call-id: once-{behaviour}\r\nx-stand-in: {behaviour}\r\n");
         let (status, text) = call(&node, "/proof/1", &headers, "x");
         assert_eq!(status, 502, "{behaviour}: {text}");
         assert!(text.contains("x-vanelane-outcome: unknown"), "{behaviour}: {text}");
     }
-    // A stalled answer ends with the time left, as unknown.
+    // A stalled response ends at the call's deadline, with outcome unknown.
     let headers = "x-call-id: stalled\r\nx-stand-in: stall\r\nx-vanelane-time-left-ms: 3000\r\n";
     let (status, text) = call(&node, "/proof/1", headers, "x");
     assert_eq!(status, 504, "{text}");
     assert!(text.contains("\"outcome\":\"unknown\""), "{text}");
-    // An answer longer than the buffer that is cut never ends cleanly.
+    // A truncated response that is longer than the buffer does not end cleanly.
     let (status, text) = call(&node, "/proof/1", "x-call-id: long\r\nx-stand-in: cut_long\r\n", "x");
     assert_eq!(status, 200);
     assert!(text.contains("content-length: 2000000") && text.len() < 1_500_000, "{}", text.len());
     let (status, text) = call(&node, "/proof/1", "x-call-id: chunks\r\nx-stand-in: cut_long_chunks\r\n", "x");
     assert_eq!(status, 200);
     assert!(text.contains("transfer-encoding: chunked") && !text.ends_with("0\r\n\r\n"));
-    // A repeatable lane tries again, within its limit, and still says unknown.
+    // A repeatable route retries within its limit, and the outcome is still unknown.
     let (status, text) = call(&node, "/again/1", "x-call-id: again\r\nx-stand-in: lose\r\n", "x");
     assert_eq!(status, 502, "{text}");
 
-    // Bad HTTP and calls that no lane takes.
+    // Invalid HTTP and calls that match no route.
     assert_eq!(split(&exchange(node.clients, b"GARBAGE\r\n\r\n")).0, 400);
     let long_head = format!("GET /proof HTTP/1.1\r\nhost: h\r\nx-long: {}\r\n\r\n", "a".repeat(200_000));
     assert_eq!(split(&exchange(node.clients, long_head.as_bytes())).0, 431);
@@ -91,7 +91,7 @@
         .collect();
     assert_eq!(violations, []);
 
-    // How far the node is behind is told, by where things wait.
+    // The metrics contain the processing delays by place.
     let metrics = read_page(&node, "/metrics");
     for place in ["clock_events", "urgent_inbox", "bulk_inbox", "urgent_links", "bulk_links"] {
         let name = format!("vanelane_lag_micros{{at=\"{place}\"}} ");
@@ -99,7 +99,7 @@
     }
     assert!(metrics.contains("vanelane_newer_generation_awaited_millis 0\n"), "{metrics}");
 
-    // The planned stop drops no call that is under way.
+    // The planned stop drops no open call.
     let clients = node.clients;
     let all_sent = Arc::new(Barrier::new(5));
     let callers: Vec<_> = (0..4)
@@ -122,25 +122,25 @@
     all_sent.wait();
     let pid = node.child.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
-    let statuses: Vec<u16> = callers.into_iter().map(|caller| caller.join().expect("a caller")).collect();
+    let statuses: Vec<u16> = callers.into_iter().map(|caller| caller.join().expect("no panic")).collect();
     assert_eq!(statuses, [200, 200, 200, 200]);
     assert_eq!(node.child.wait().expect("ended").code(), Some(0));
 }
 
-/// A limit on the length of files stands in for a full disk; it is lifted from outside.
+/// A file size limit simulates a full disk; the test lifts it with `prlimit`.
 #[test]
-fn a_full_disk_acknowledges_nothing_and_is_back_without_a_restart() {
+fn full_disk_acknowledges_nothing_and_recovers_without_a_restart() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let mut limited = Command::new("sh");
-    // The signal that comes with the limit is ignored, so that the write fails as on a full disk.
+    // SIGXFSZ is ignored, so that the write fails as on a full disk.
     let script = "trap '' XFSZ; ulimit -S -f 64; exec \"$0\" \"$@\"";
     limited.args(["-c", script, env!("CARGO_BIN_EXE_vanelane"), "run"]);
     let node = start_node_by(limited, "full", platform.address());
     let outcome = change(&node, &format!("{}\n", WHOLE.replace('\n', " ")));
     assert!(outcome.contains("\"outcome\":\"accepted\""), "{outcome}");
     assert_eq!(call(&node, "/proof/1", "", "x").0, 200);
-    // More than the file may hold: it is not acknowledged, and calls go on.
+    // A change over the file size limit is not acknowledged, and calls are still served.
     let prefix = format!("/{}", "x".repeat(900));
     let routes: Vec<String> = (0..200)
         .map(|number| {
@@ -155,7 +155,7 @@
     let pid = node.child.id().to_string();
     let lifted = Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited:unlimited"]).status();
     assert!(lifted.expect("prlimit").success());
-    // Sent again under its id it is taken, as soon as the disk has its vote back.
+    // Sent again under the same id it is accepted, once the disk votes again.
     let limit = Instant::now() + Duration::from_secs(120);
     let outcome = loop {
         let outcome = change(&node, &large);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_second_process_on_one_data_folder_is_refused_with_the_reason() {
+fn second_process_on_a_data_folder_is_refused_with_the_reason() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let node = start_node("folder", platform.address());
@@ -208,10 +208,10 @@
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// A machine whose synced records are damaged: the process stays up, formats nothing and says so; only an
-/// operator's word makes a new disk, which founds no new state beside the old file.
+/// With damaged synced records the process keeps running, reports the damage and formats nothing. Only an operator's
+/// command replaces the disk, and the new disk does not bootstrap new state next to the old file.
 #[test]
-fn a_damaged_disk_is_told_and_left_as_it_is() {
+fn damaged_disk_is_reported_and_its_file_left_unchanged() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let mut node = start_node("damaged", platform.address());
@@ -222,12 +222,12 @@
     node.child.kill().expect("ended");
     node.child.wait().expect("ended");
     let folder = node.folder.clone();
-    // Its drop would remove the folder.
+    // Dropping the node would remove the folder.
     std::mem::forget(node);
-    assert_eq!(quarantine(&folder).0, Some(1), "a sound file stays");
+    assert_eq!(quarantine(&folder).0, Some(1), "an intact file stays");
     let records = folder.join("records");
     let mut damaged_bytes = std::fs::read(&records).expect("records");
-    // A byte of the salt in the head, which was synced before the file got its name.
+    // A byte of the salt in the header, which was synced before the file was renamed into place.
     damaged_bytes[33] ^= 1;
     std::fs::write(&records, &damaged_bytes).expect("damage");
 
@@ -257,14 +257,14 @@
     assert!(read_page(&node, "/metrics").contains("vanelane_disk_unusable 0\n"));
 }
 
-/// Answers on one connection that is kept, until it ends.
+/// The status codes of all responses on one kept connection.
 fn statuses(responses: &[u8]) -> Vec<u16> {
     let text = String::from_utf8_lossy(responses).into_owned();
     text.split("HTTP/1.1 ").skip(1).filter_map(|part| part.get(..3)?.parse().ok()).collect()
 }
 
 #[test]
-fn what_a_client_sends_in_one_piece_or_breaks_off_is_told_apart() {
+fn pipelined_nested_and_truncated_requests_are_parsed_apart() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let node = start_node("pieces", platform.address());
@@ -281,7 +281,7 @@
         )
     };
     let last = "connection: close\r\n";
-    // Pipelined: each gets its own answer, in order.
+    // Pipelined requests: each gets its own response, in order.
     let pipelined =
         ["p1", "p2", "p3"].map(|id| post("/proof/1", id, if id == "p3" { last } else { "" }, "x")).concat();
     let responses = exchange(node.clients, pipelined.as_bytes());
@@ -289,7 +289,7 @@
     assert_eq!(statuses(&responses), [200, 200, 200], "{text}");
     let places = ["p1", "p2", "p3"].map(|id| text.find(&format!("{{\"call\":\"{id}\"")).expect("answered"));
     assert!(places.is_sorted(), "{text}");
-    // A request inside a body is a body, whether the outer one is answered, unknown, or too long.
+    // A request inside a body stays a body, whether the outer request is served, matches no route or is too long.
     let smuggled = post("/proof/1", "smuggled", "", "x");
     let outer = post("/proof/1", "outer", last, &smuggled);
     assert_eq!(statuses(&exchange(node.clients, outer.as_bytes())), [200]);
@@ -299,12 +299,12 @@
     let long_body = format!("{}{smuggled}", "x".repeat(400));
     let long = post("/proof/1", "long", "", &long_body);
     assert_eq!(statuses(&exchange(node.clients, long.as_bytes())), [413]);
-    // Two tellings of a length are none.
+    // A request with two declarations of its length is invalid.
     let both = "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: both\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(statuses(&exchange(node.clients, format!("{both}{smuggled}").as_bytes())), [400]);
     let twice = "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: twice\r\ncontent-length: 4\r\ncontent-length: 5\r\n\r\nxxxxx";
     assert_eq!(statuses(&exchange(node.clients, format!("{twice}{smuggled}").as_bytes())), [400]);
-    // A body that is broken off reaches no cell.
+    // A request with a truncated body reaches no instance.
     for broken in [
         "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: broken\r\ncontent-length: 9\r\n\r\nhalf",
         "POST /proof/1 HTTP/1.1\r\nhost: h\r\nx-call-id: broken\r\ntransfer-encoding: chunked\r\n\r\n9\r\nhalf",
@@ -317,12 +317,12 @@
         let _ = stream.read_to_end(&mut response);
         assert!(!statuses(&response).contains(&200), "{}", String::from_utf8_lossy(&response));
     }
-    // Heads over the configured limit.
+    // A head over the configured limit.
     let long_head =
         post("/proof/1", "head", &format!("x-long: {}\r\nconnection: close\r\n", "x".repeat(600)), "");
     assert_eq!(statuses(&exchange(node.clients, long_head.as_bytes())), [431]);
 
-    let taken: Vec<String> = history
+    let received: Vec<String> = history
         .lines()
         .iter()
         .filter_map(|line| match line {
@@ -331,14 +331,14 @@
         })
         .collect();
     let expected = ["p1", "p2", "p3", "outer", "after"];
-    assert!(taken.iter().all(|call| expected.contains(&call.as_str())), "{taken:?}");
-    assert!(taken.iter().filter(|call| *call == "outer").count() == 1, "{taken:?}");
+    assert!(received.iter().all(|call| expected.contains(&call.as_str())), "{received:?}");
+    assert!(received.iter().filter(|call| *call == "outer").count() == 1, "{received:?}");
 }
 
-/// Guards the tests themselves: a node ended before it told that it was ready, since another process had taken
-/// its port between the pick and the bind.
+/// Guards against flaky tests: a node ended before it was ready because another process had taken its port between
+/// the choice of the port and the bind.
 #[test]
-fn a_node_whose_port_was_taken_before_it_bound_it_is_started_on_others() {
+fn test_node_is_restarted_on_other_ports_if_its_port_is_taken() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -356,13 +356,13 @@
     assert_ne!(node.clients, taken.local_addr().expect("bound"));
 }
 
-/// Clients take up connections that have rested for up to four fifths of the time that they are told.
+/// Clients reuse connections that were idle for up to four fifths of the announced idle time.
 #[test]
-fn an_idle_connection_is_kept_for_the_time_that_clients_are_told() {
+fn idle_connection_is_kept_for_the_announced_idle_time() {
     const IDLE_MILLIS: u64 = 500;
     let history = Arc::new(History::default());
     let platform = platform(&history);
-    // The visitors' server on the node's own thread goes by the configuration.
+    // With no worker threads, the server on the node's thread must apply the limits of the configuration.
     let settings = std::env::temp_dir().join(format!("vanelane-test-idle-{}.toml", std::process::id()));
     std::fs::write(&settings, "worker_threads = 0\n").expect("written");
     let mut program = vanelane();
@@ -374,7 +374,7 @@
     let limited = WHOLE.replace('\n', " ").replace(r#"{"change_id": "first", "whole": {"#, &limits);
     let outcome = change(&node, &format!("{limited}\n"));
     assert!(outcome.contains("\"outcome\":\"accepted\""), "{outcome}");
-    // The first call starts the cell, so that the others are quick.
+    // The first call starts the instance, so that the others are fast.
     assert_eq!(call(&node, "/proof/1", "", "x").0, 200);
     let mut stream = TcpStream::connect(node.clients).expect("a connection");
     for _ in 0..5 {
@@ -384,12 +384,12 @@
         let mut response = Vec::new();
         while !response.ends_with(b"\"end\":true}") {
             let mut piece = [0; 4096];
-            let length = stream.read(&mut piece).expect("an answer");
-            assert!(length > 0, "closed amid an answer: {}", String::from_utf8_lossy(&response));
+            let length = stream.read(&mut piece).expect("a response");
+            assert!(length > 0, "closed during a response: {}", String::from_utf8_lossy(&response));
             response.extend_from_slice(&piece[..length]);
         }
         assert_eq!(statuses(&response), [200]);
-        // Nothing comes in that time, not even the connection's end.
+        // Nothing arrives in that time, not even the end of the connection.
         let rest = Duration::from_millis(IDLE_MILLIS * 4 / 5);
         stream.set_read_timeout(Some(rest)).expect("a limit");
         let silence = stream.read(&mut [0]);
--- a/packages/vanelane/tests/planned_stop.rs
+++ b/packages/vanelane/tests/planned_stop.rs
@@ -1,5 +1,5 @@
-//! A planned stop under load: clients keep using their connections until the process is gone, and every
-//! whole request gets an answer.
+//! A planned stop under load: clients use their connections until the process has ended, and every complete request
+//! gets a response.
 
 mod running_node;
 
@@ -13,10 +13,10 @@
 
 const STOP_WITHIN: Duration = Duration::from_millis(2_000);
 const STILL_ACCEPTING: Duration = Duration::from_millis(300);
-/// Cells boot for longer than any of these tests takes: calls wait for a ticket to their end.
+/// Boot time longer than the test, so that calls wait for a permit until they end.
 const BOOTS_FOREVER_MILLIS: u64 = 600_000;
 
-/// A node whose stop is short, with clients on this many threads of their own.
+/// A node with a short time limit for its stop and this many worker threads.
 fn start_short_stop(name: &str, worker_threads: usize, platform: std::net::SocketAddr) -> RunningNode {
     let settings = std::env::temp_dir().join(format!("vanelane-test-{name}-{}.toml", std::process::id()));
     let text = format!(
@@ -49,7 +49,7 @@
     assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
 }
 
-/// All that comes on a connection until it ends.
+/// The response read from a connection until it ends.
 fn rest_of(mut stream: TcpStream) -> (u16, String) {
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_stop_answers_calls_that_wait_for_a_permit() {
+fn planned_stop_answers_calls_that_wait_for_a_permit() {
     for worker_threads in [0, 2] {
         let history = Arc::new(History::default());
         let platform = platform_that_boots(&history, BOOTS_FOREVER_MILLIS);
@@ -66,7 +66,7 @@
         let outcome = change(&node, &format!("{}\n", WHOLE.replace('\n', " ")));
         assert!(outcome.contains("\"outcome\":\"accepted\""), "{outcome}");
 
-        // One call is under way when the stop begins; one comes later on a connection opened before.
+        // One call is open when the stop begins; one arrives later on a connection opened before.
         let mut early = connected(&node);
         let mut late = connected(&node);
         send_call(&mut early, "early");
--- a/packages/vanelane/tests/running_node/mod.rs
+++ b/packages/vanelane/tests/running_node/mod.rs
@@ -1,4 +1,4 @@
-//! A real node as a child process on loopback, and raw exchanges with it.
+//! Runs a real node as a child process on loopback and exchanges raw HTTP with it.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use history_checker::History;
@@ -33,7 +33,7 @@
     platform_that_boots(history, 100)
 }
 
-/// A platform whose cells take this long from their start to their first connection.
+/// A platform whose instances take this long from their start to their first connection.
 pub fn platform_that_boots(history: &Arc<History>, boot_millis: u64) -> FakePlatform {
     let behaviour =
         FakeFunction { boot_millis, calls_at_once: 4, work_millis: 5, misbehaviour: Misbehaviour::default() };
@@ -49,7 +49,7 @@
     FakePlatform::start(listen, settings, history.clone(), Instant::now()).expect("a platform")
 }
 
-/// Starts a lone node and waits for its own word that it is ready.
+/// Starts a single node and waits until it logs that it is ready.
 pub fn start_node(name: &str, platform: SocketAddr) -> RunningNode {
     start_node_by(vanelane(), name, platform)
 }
@@ -60,7 +60,7 @@
     start_node_in(program, folder, platform, "\"message\":\"ready\"")
 }
 
-/// Starts a lone node on a folder as it is, and waits for a line of its log.
+/// Starts a single node on an existing folder and waits for a log line that contains `awaited`.
 pub fn start_node_in(
     program: Command,
     folder: std::path::PathBuf,
@@ -70,8 +70,8 @@
     start_node_on(program, folder, platform, awaited, |_| free_addresses())
 }
 
-/// The same with the addresses that each attempt uses: a port that was free when it was picked may be taken by
-/// the time that the node binds it, and only such a node is started again.
+/// Like `start_node_in`, with the addresses for each attempt. A free port may be taken by another process before the
+/// node binds it; only then is the start repeated.
 pub fn start_node_on(
     mut program: Command,
     folder: std::path::PathBuf,
@@ -84,27 +84,27 @@
     }
     for attempt in 0..START_ATTEMPTS {
         let addresses = addresses_of(attempt);
-        match started(&program, &folder, platform, awaited, addresses) {
+        match try_start(&program, &folder, platform, awaited, addresses) {
             Ok(node) => return node,
-            Err(reported) if reported.contains(ADDRESS_TAKEN) => {}
-            Err(reported) => panic!("the node ended before it told {awaited}; it told: {reported}"),
+            Err(logged) if logged.contains(ADDRESS_TAKEN) => {}
+            Err(logged) => panic!("the node ended before it logged {awaited:?}; its log: {logged}"),
         }
     }
-    panic!("{START_ATTEMPTS} times in a row a port was taken before the node bound it");
+    panic!("in each of {START_ATTEMPTS} attempts a port was taken before the node bound it");
 }
 
 const START_ATTEMPTS: usize = 5;
-/// What a node that finds its port taken tells before it ends.
+/// Part of the message with which a node ends if its port is taken.
 const ADDRESS_TAKEN: &str = "Address already in use";
 
-/// Three ports of the system's choice, released for the node to bind.
+/// Three free ports chosen by the system, released for the node to bind.
 pub fn free_addresses() -> [SocketAddr; 3] {
     let holders = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
     holders.map(|holder| holder.local_addr().expect("bound"))
 }
 
-/// One start: the node once it told the line, or all that it told before it ended.
-fn started(
+/// One attempt. Returns the node once it has logged `awaited`, or its whole log if it ended before.
+fn try_start(
     program: &Command,
     folder: &std::path::Path,
     platform: SocketAddr,
@@ -127,16 +127,16 @@
         .expect("the program");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
     let mut line = String::new();
-    let mut reported = String::new();
+    let mut logged = String::new();
     while !line.contains(awaited) {
         line.clear();
         if log.read_line(&mut line).expect("a log") == 0 {
             let _ = child.wait();
-            return Err(reported);
+            return Err(logged);
         }
-        reported.push_str(&line);
+        logged.push_str(&line);
     }
-    // The rest of the log is read away, so that the node never waits on a full pipe.
+    // Drain the rest of the log, so that the node never blocks on a full pipe.
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut log, &mut std::io::sink());
     });
@@ -144,7 +144,7 @@
     Ok(RunningNode { child, clients: addresses[0], control: addresses[1], folder })
 }
 
-/// One raw exchange; everything up to the end of the connection.
+/// Sends a raw request and returns all bytes received until the connection ends.
 pub fn exchange(address: SocketAddr, request: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
--- a/packages/vanelane/tests/usage_reports.rs
+++ b/packages/vanelane/tests/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of usage of a real node at a platform stand-in.
+//! Usage reports of a real node to a fake platform.
 
 mod running_node;
 
@@ -20,10 +20,10 @@
     reports.collect()
 }
 
-/// Guards against a duty that is built in the protocol and never reaches the platform: windows are reported
-/// one after the other, in true time, once a configuration names tenants, and not before.
+/// Guards against usage reports that the protocol makes but that never reach the platform. Windows are reported in
+/// order and numbered by wall-clock time, from the moment when the configuration contains tenants.
 #[test]
-fn windows_are_reported_in_order_once_there_are_tenants() {
+fn usage_windows_are_reported_in_order_once_tenants_are_configured() {
     let history = Arc::new(History::default());
     let platform = platform(&history);
     let settings = std::env::temp_dir().join(format!("vanelane-usage-{}.toml", std::process::id()));
