--- a/packages/monotonic_clock/src/lib.rs
+++ b/packages/monotonic_clock/src/lib.rs
@@ -1,7 +1,7 @@
 //! Times in whole microseconds on a monotonic clock, and tickers with a fixed interval.
 //!
-//! Nothing is ordered or timed by the wall clock. Only [`wall_clock`] reads it, and only to number usage windows, on
-//! which the fleet agrees; a jump of the wall clock has no other effect.
+//! Nothing is ordered or timed by the wall clock. Only [`wall_clock`] reads it, and only to number usage
+//! windows, on which the fleet agrees; a jump of the wall clock has no other effect.
 
 pub mod wall_clock;
 
@@ -82,8 +82,8 @@
         Ticker { interval, due_at: Micros(0) }
     }
 
-    /// Whether the ticker is due. If so, it is next due one interval from now: intervals missed while the process
-    /// was suspended are not made up in a burst. Example: `if ticker.due(now) { send_probe(); }`.
+    /// Whether the ticker is due. If so, it is next due one interval from now: intervals missed while the
+    /// process was suspended are not made up in a burst. Example: `if ticker.due(now) { send_probe(); }`.
     pub fn due(&mut self, now: Micros) -> bool {
         if now < self.due_at {
             return false;
--- a/packages/supervisor/src/lib.rs
+++ b/packages/supervisor/src/lib.rs
@@ -1,5 +1,5 @@
-//! A supervisor tree: each part of the program is a named child that is restarted a limited number of times when it
-//! fails or panics. A child that exceeds the limit fails its supervisor, and so on up the tree.
+//! A supervisor tree: each part of the program is a named child that is restarted a limited number of times
+//! when it fails or panics. A child that exceeds the limit fails its supervisor, and so on up the tree.
 
 use error_stack::Report;
 use std::future::Future;
--- a/packages/vanelane/src/client_connection.rs
+++ b/packages/vanelane/src/client_connection.rs
@@ -22,13 +22,13 @@
     pub idle: Duration,
     /// Time within which a request's head must arrive.
     pub header_wait: Duration,
-    /// After the last response, bytes that the client still sends are read and dropped for this long: closing with
-    /// unread bytes would reset the connection and could lose the response.
+    /// After the last response, bytes that the client still sends are read and dropped for this long: closing
+    /// with unread bytes would reset the connection and could lose the response.
     pub linger: Duration,
 }
 
-/// Resolution of actix-http's timer, which reads the clock twice a second. Added to the idle and header timeouts,
-/// which could otherwise expire up to this much before the time announced to clients.
+/// Resolution of actix-http's timer, which reads the clock twice a second. Added to the idle and header
+/// timeouts, which could otherwise expire up to this much before the time announced to clients.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(500);
 
 /// Produces the response to one request.
@@ -87,9 +87,9 @@
             .client_request_timeout(timeouts.header_wait + TIMER_RESOLUTION)
             .client_disconnect_timeout(timeouts.linger)
             .keep_alive(KeepAlive::Timeout(timeouts.idle + TIMER_RESOLUTION))
-            // A client that closes its sending side counts as disconnected and its call is cancelled. A client that
-            // still reads cannot be distinguished from one that is gone, and calls without a client occupy
-            // instances that other calls need.
+            // A client that closes its sending side counts as disconnected and its call is cancelled. A
+            // client that still reads cannot be distinguished from one that is gone, and calls without a
+            // client occupy instances that other calls need.
             .h1_allow_half_closed(false)
             .h1(move |request: Request| {
                 let response = request_handler(request);
--- a/packages/vanelane/src/client_connection/closing_stream.rs
+++ b/packages/vanelane/src/client_connection/closing_stream.rs
@@ -1,11 +1,11 @@
 //! Closes idle client connections without losing a request, and detects disconnects during a call.
 //!
 //! The graceful shutdown of actix-http discards everything that it reads after the shutdown signal: a request
-//! that is still in the socket buffer of a busy machine would be lost. [`ClosingStream`] instead reports an end of
-//! stream, and only once no bytes are left to read.
+//! that is still in the socket buffer of a busy machine would be lost. [`ClosingStream`] instead reports an
+//! end of stream, and only once no bytes are left to read.
 //!
-//! For the same reason actix-http does not see a client's end of stream behind bytes that it does not read yet,
-//! such as those of a long pipelined request during a call. [`ClientDisconnect`] detects it.
+//! For the same reason actix-http does not see a client's end of stream behind bytes that it does not read
+//! yet, such as those of a long pipelined request during a call. [`ClientDisconnect`] detects it.
 
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use bytes::Bytes;
--- a/packages/vanelane/src/client_connection/tests.rs
+++ b/packages/vanelane/src/client_connection/tests.rs
@@ -276,8 +276,8 @@
     }
 }
 
-/// Guards against calls that continue without their client (GONE): at whatever stage and in whatever way a client
-/// disconnects, the call ends within half a second and is not sent to an instance.
+/// Guards against calls that continue without their client (GONE): at whatever stage and in whatever way a
+/// client disconnects, the call ends within half a second and is not sent to an instance.
 #[test]
 fn call_ends_after_a_disconnect_at_every_stage_and_of_every_kind() {
     let failed: Vec<String> = STAGES
--- a/packages/vanelane/src/control_costs.rs
+++ b/packages/vanelane/src/control_costs.rs
@@ -1,5 +1,5 @@
-//! Cost of the control plane on this node: messages and bytes by kind, and processor time by category, written
-//! to one log line every few seconds.
+//! Cost of the control plane on this node: messages and bytes by kind, and processor time by category,
+//! written to one log line every few seconds.
 
 use node_protocol::NodeCounts;
 use serde_json::json;
--- a/packages/vanelane/src/disk_opening.rs
+++ b/packages/vanelane/src/disk_opening.rs
@@ -1,23 +1,24 @@
 //! Opens the data folder at the start of a node and handles a disk that cannot be used.
 //!
-//! Synced records that cannot be read may contain promises and stored values that this disk has acknowledged, and
-//! the file may be the last copy of the fleet's state. The options are:
+//! Synced records that cannot be read may contain promises and stored values that this disk has acknowledged,
+//! and the file may be the last copy of the fleet's state. The options are:
 //!
-//! - Refuse to start. This removes a serving node and, under a service manager, restarts the process in a loop.
-//! - Format a new disk at once. This is safe while a majority of the other disks works, which a node cannot know at
-//!   its start. If a majority is damaged at the same time, the result is a blank fleet that could be bootstrapped
-//!   again.
+//! - Refuse to start. This removes a serving node and, under a service manager, restarts the process in a
+//!   loop.
+//! - Format a new disk at once. This is safe while a majority of the other disks works, which a node cannot
+//!   know at its start. If a majority is damaged at the same time, the result is a blank fleet that could be
+//!   bootstrapped again.
 //! - Vote with the readable records. This would revoke acknowledgements on which others rely.
-//! - Start without a disk, which is what the node does. It serves like a node without a data folder, its vote is
-//!   missing and the file stays unchanged. The condition is reported by the log, the status page (`disk_trouble`,
-//!   and `failed` as the member's disk), the metric `vanelane_disk_unusable` and the decision `disk_unusable`. A
-//!   spare disk takes over the vote automatically. Without a spare an operator stops the node, runs
-//!   `vanelane set-aside-records` and starts the node again: it formats a disk with a new id, which a majority
-//!   admits. While the quarantined file is in the folder, the disk reports itself as a spare and takes no part in a
-//!   bootstrap.
+//! - Start without a disk, which is what the node does. It serves like a node without a data folder, its vote
+//!   is missing and the file stays unchanged. The condition is reported by the log, the status page
+//!   (`disk_trouble`, and `failed` as the member's disk), the metric `vanelane_disk_unusable` and the
+//!   decision `disk_unusable`. A spare disk takes over the vote automatically. Without a spare an operator
+//!   stops the node, runs `vanelane set-aside-records` and starts the node again: it formats a disk with a
+//!   new id, which a majority admits. While the quarantined file is in the folder, the disk reports itself as
+//!   a spare and takes no part in a bootstrap.
 //!
-//! The start only reads the records of a disk. They may never have been synced, so the node rewrites the file on
-//! the disk thread before the disk votes; a disk that stalls or fails then does not block the node.
+//! The start only reads the records of a disk. They may never have been synced, so the node rewrites the file
+//! on the disk thread before the disk votes; a disk that stalls or fails then does not block the node.
 
 use control_registers::DiskRegisters;
 use error_stack::Report;
--- a/packages/vanelane/src/disk_thread.rs
+++ b/packages/vanelane/src/disk_thread.rs
@@ -20,15 +20,16 @@
 }
 
 impl DiskThread {
-    /// Starts the thread. After each group commit `done` gets the group's newest token and whether it was synced.
+    /// Starts the thread. After each group commit `done` gets the group's newest token and whether it was
+    /// synced.
     pub fn start(file: RecordFile, done: impl Fn(u64, bool) + Send + 'static) -> std::io::Result<DiskThread> {
         let (sender, receiver) = sync_channel(QUEUE_LIMIT);
         std::thread::Builder::new().name("disk".to_owned()).spawn(move || run(file, &receiver, &done))?;
         Ok(DiskThread { sender })
     }
 
-    /// Queues work. Returns false if the thread has ended or the queue is full: a disk that far behind cannot be
-    /// expected to catch up.
+    /// Queues work. Returns false if the thread has ended or the queue is full: a disk that far behind cannot
+    /// be expected to catch up.
     pub fn submit(&self, work: DiskWork) -> bool {
         !matches!(self.sender.try_send(work), Err(TrySendError::Full(_) | TrySendError::Disconnected(_)))
     }
--- a/packages/vanelane/src/local_server/tests.rs
+++ b/packages/vanelane/src/local_server/tests.rs
@@ -5,7 +5,8 @@
 
 const RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A server whose responses are larger than the buffers of a connection, its open connections and its closing signal.
+/// A server whose responses are larger than the buffers of a connection, its open connections and its closing
+/// signal.
 async fn start_server() -> (std::net::SocketAddr, OpenConnections, watch::Sender<bool>) {
     start_server_with_responses(RESPONSE_BYTES).await
 }
@@ -80,8 +81,8 @@
     response
 }
 
-/// Guards against a lost request: on a busy machine a whole request may still be in the socket buffer when idle
-/// connections are closed.
+/// Guards against a lost request: on a busy machine a whole request may still be in the socket buffer when
+/// idle connections are closed.
 #[actix_rt::test]
 async fn request_received_while_idle_connections_close_is_answered() {
     let (address, open_connections, closing) = start_server_with_responses(1).await;
--- a/packages/vanelane/src/node_lag.rs
+++ b/packages/vanelane/src/node_lag.rs
@@ -71,8 +71,8 @@
 /// The delays that a node measures. Example: `lag.bulk_inbox.record(waited)`.
 #[derive(Debug)]
 pub struct NodeLag {
-    /// How late the ticker ran. Everything else that is ready on the node's thread, client sockets included, waits
-    /// about as long.
+    /// How late the ticker ran. Everything else that is ready on the node's thread, client sockets included,
+    /// waits about as long.
     pub ticker: RecentMaximum,
     /// From reading an urgent message to handling it.
     pub urgent_inbox: RecentMaximum,
--- a/packages/vanelane/src/operator_port.rs
+++ b/packages/vanelane/src/operator_port.rs
@@ -65,7 +65,8 @@
         self.flags.draining.load(Ordering::Relaxed)
     }
 
-    /// Submits a change and waits for its outcome. Example: `port.change(change).await == ChangeOutcome::Accepted {..}`.
+    /// Submits a change and waits for its outcome.
+    /// Example: `port.change(change).await == ChangeOutcome::Accepted {..}`.
     pub async fn change(&self, change: Change) -> ChangeOutcome {
         let outcome = self.request(|reply| RuntimeEvent::Change { change, reply }).await;
         let timed_out = ChangeOutcome::Unknown { reason: "the node did not answer in time".to_owned() };
@@ -85,8 +86,9 @@
         }
     }
 
-    /// The machine to which a client should be redirected to send a body of so many bytes, or to read the whole
-    /// configuration (`None`): the owner of the configuration, if this machine's link is too slow for the transfer.
+    /// The machine to which a client should be redirected to send a body of so many bytes, or to read the
+    /// whole configuration (`None`): the owner of the configuration, if this machine's link is too slow for
+    /// the transfer.
     /// Example: `port.redirect_target(None).await`.
     pub async fn redirect_target(&self, bytes: Option<usize>) -> Option<IpAddr> {
         let address = self.request(|reply| RuntimeEvent::RedirectTarget { bytes, reply }).await??;
--- a/packages/vanelane/src/peer_links.rs
+++ b/packages/vanelane/src/peer_links.rs
@@ -1,4 +1,5 @@
-//! Frames between peers over TCP, with one outgoing connection to each peer. The protocol tolerates dropped frames.
+//! Frames between peers over TCP, with one outgoing connection to each peer. The protocol tolerates dropped
+//! frames.
 
 use crate::node_lag::NodeLag;
 use crate::protocol_runtime::RuntimeEvent;
@@ -251,8 +252,8 @@
     }
 }
 
-/// Whether an accept error is transient: the connection broke before it was accepted, or there are too many open
-/// files (ENFILE 23, EMFILE 24).
+/// Whether an accept error is transient: the connection broke before it was accepted, or there are too many
+/// open files (ENFILE 23, EMFILE 24).
 pub fn is_transient(failure: &std::io::Error) -> bool {
     use std::io::ErrorKind;
     matches!(
--- a/packages/vanelane/src/protocol_runtime.rs
+++ b/packages/vanelane/src/protocol_runtime.rs
@@ -1,5 +1,5 @@
-//! The runtime of the node's protocol: it feeds events to the node and performs its actions. All decisions are
-//! made by the node.
+//! The runtime of the node's protocol: it feeds events to the node and performs its actions. All decisions
+//! are made by the node.
 
 use crate::control_costs::ControlCosts;
 use crate::disk_thread::{DiskThread, DiskWork};
@@ -95,12 +95,12 @@
     pub gateway: Arc<Gateway>,
     pub flags: Arc<NodeFlags>,
     pub inbox_sender: mpsc::Sender<RuntimeEvent>,
-    pub permits: HashMap<u64, oneshot::Sender<PermitResponse>>,
-    pub changes: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
-    pub decisions: HashMap<u64, oneshot::Sender<DecisionsReply>>,
-    pub confirmed: HashMap<u64, oneshot::Sender<ConfigurationResponse>>,
-    pub next_request: u64,
-    pub logged_decision: u64,
+    pub permit_replies: HashMap<u64, oneshot::Sender<PermitResponse>>,
+    pub change_replies: HashMap<u64, oneshot::Sender<ChangeOutcome>>,
+    pub decision_replies: HashMap<u64, oneshot::Sender<DecisionsReply>>,
+    pub configuration_replies: HashMap<u64, oneshot::Sender<ConfigurationResponse>>,
+    pub last_request: u64,
+    pub last_logged_decision: u64,
     pub costs: ControlCosts,
     pub lag: Arc<NodeLag>,
 }
@@ -158,15 +158,15 @@
         if !log::log_enabled!(target: LOG_TARGET, log::Level::Debug) {
             return;
         }
-        for line in self.node.decisions_after(self.logged_decision) {
-            self.logged_decision = line.sequence;
+        for line in self.node.decisions_after(self.last_logged_decision) {
+            self.last_logged_decision = line.sequence;
             log::debug!(target: LOG_TARGET, "{}", line.line.0);
         }
     }
 
     fn handle_event(&mut self, event: RuntimeEvent) {
-        self.next_request += 1;
-        let request = self.next_request;
+        self.last_request += 1;
+        let request = self.last_request;
         match event {
             RuntimeEvent::Received { envelope, at } => {
                 let (name, waited) = (envelope.message.name(), at.elapsed());
@@ -185,11 +185,11 @@
             RuntimeEvent::DiskDone { token, is_synced } => self.handle(Event::DiskDone { token, is_synced }),
             RuntimeEvent::Protocol(event) => self.handle(event),
             RuntimeEvent::Change { change, reply } => {
-                self.changes.insert(request, reply);
+                self.change_replies.insert(request, reply);
                 self.handle(Event::ChangeRequested { request, change });
             }
             RuntimeEvent::Decisions { after, most, reply } => {
-                self.decisions.insert(request, reply);
+                self.decision_replies.insert(request, reply);
                 self.handle(Event::DecisionsRequested { request, after, most });
             }
             RuntimeEvent::Status { reply } => {
@@ -200,7 +200,7 @@
             }
             RuntimeEvent::PlatformMoved { address } => self.platform = self.platform.moved(address),
             RuntimeEvent::ConfirmedConfiguration { reply } => {
-                self.confirmed.insert(request, reply);
+                self.configuration_replies.insert(request, reply);
                 self.handle(Event::ConfigurationRequested { request });
             }
             RuntimeEvent::Drain => self.handle(Event::Drain),
@@ -210,11 +210,11 @@
     fn handle_gateway_message(&mut self, message: GatewayMessage) {
         match message {
             GatewayMessage::RequestPermit { call, parameters, reply } => {
-                self.permits.insert(call, reply);
+                self.permit_replies.insert(call, reply);
                 self.handle(Event::CallNeedsPermit { call, parameters });
             }
             GatewayMessage::End { call } => {
-                self.permits.remove(&call);
+                self.permit_replies.remove(&call);
                 self.handle(Event::CallEnds { call });
             }
             GatewayMessage::Done { permit, outcome, latency } => {
@@ -331,7 +331,7 @@
                 });
             }
             Action::CallGranted { call, permit } => {
-                let reply = self.permits.remove(&call);
+                let reply = self.permit_replies.remove(&call);
                 let is_receiver_gone = match reply {
                     Some(reply) => reply.send(PermitResponse::Granted(permit.clone())).is_err(),
                     None => true,
@@ -345,7 +345,7 @@
                 }
             }
             Action::CallRefused { call, refused_as, reason, retry_after } => {
-                if let Some(reply) = self.permits.remove(&call) {
+                if let Some(reply) = self.permit_replies.remove(&call) {
                     let _ = reply.send(PermitResponse::Refused {
                         is_full: reason == "waitlist full",
                         is_missing: refused_as == RefusedAs::NoFunction,
@@ -360,17 +360,17 @@
             }
             Action::InstanceHosts { hosts } => self.gateway.set_instance_hosts(hosts),
             Action::ChangeAnswered { request, outcome, .. } => {
-                if let Some(reply) = self.changes.remove(&request) {
+                if let Some(reply) = self.change_replies.remove(&request) {
                     let _ = reply.send(outcome);
                 }
             }
             Action::ConfigurationAnswered { request, response } => {
-                if let Some(reply) = self.confirmed.remove(&request) {
+                if let Some(reply) = self.configuration_replies.remove(&request) {
                     let _ = reply.send(response);
                 }
             }
             Action::DecisionsAnswered { request, lines, cursor } => {
-                if let Some(reply) = self.decisions.remove(&request) {
+                if let Some(reply) = self.decision_replies.remove(&request) {
                     let _ = reply.send(DecisionsReply { lines, cursor });
                 }
             }
--- a/packages/vanelane/src/run_node.rs
+++ b/packages/vanelane/src/run_node.rs
@@ -205,12 +205,12 @@
         gateway: gateway.clone(),
         flags: flags.clone(),
         inbox_sender: inbox_sender.clone(),
-        permits: HashMap::new(),
-        changes: HashMap::new(),
-        decisions: HashMap::new(),
-        confirmed: HashMap::new(),
-        next_request: 0,
-        logged_decision: 0,
+        permit_replies: HashMap::new(),
+        change_replies: HashMap::new(),
+        decision_replies: HashMap::new(),
+        configuration_replies: HashMap::new(),
+        last_request: 0,
+        last_logged_decision: 0,
         costs: ControlCosts::new(Instant::now()),
         lag: lag.clone(),
     };
@@ -496,7 +496,8 @@
     if let Some(handle) = &stop.threaded_server {
         actix_rt::spawn(handle.stop(true));
     }
-    // A call ends when its response was passed to its connection; the connection closes once the response is sent.
+    // A call ends when its response was passed to its connection; the connection closes once the response is
+    // sent.
     let is_done = || {
         let clients_are_served = stop.gateway.open_calls() == 0 && stop.client_connections.get() == 0;
         clients_are_served && stop.flags.drained.load(Ordering::Relaxed)
@@ -516,8 +517,8 @@
     log::log!(level, "stopped after {millis} ms with {open_calls}, {client_connections} client connections");
 }
 
-/// Reloads the settings. Seeds, the platform's address and the log level take effect at once; the log line says
-/// that the others need a restart.
+/// Reloads the settings. Seeds, the platform's address and the log level take effect at once; the log line
+/// says that the others need a restart.
 async fn reload(
     integration: &PlatformIntegration,
     inbox: &mpsc::Sender<RuntimeEvent>,
--- a/packages/vanelane/src/settings.rs
+++ b/packages/vanelane/src/settings.rs
@@ -1,4 +1,5 @@
-//! The node's settings: a TOML file, overridden by flags. All fields are checked and wrong ones reported by name.
+//! The node's settings: a TOML file, overridden by flags. All fields are checked and wrong ones reported by
+//! name.
 
 use crate::command_line::Run;
 use monotonic_clock::Micros;
--- a/packages/vanelane/tests/one_node.rs
+++ b/packages/vanelane/tests/one_node.rs
@@ -45,7 +45,8 @@
     assert!(text.contains("{\"call\":\"c1\"") && text.contains("\"body_length\":5"), "{text}");
     assert!(text.contains("x-vanelane-outcome: ran"), "{text}");
 
-    // Instances that run a call and fail to respond correctly: the outcome is unknown, with one dispatch only.
+    // Instances that run a call and fail to respond correctly: the outcome is unknown, with one dispatch
+    // only.
     for behaviour in ["lose", "garble", "cut", "cut_chunks", "until_close"] {
         let headers = format!("x-call-id: once-{behaviour}\r\nx-stand-in: {behaviour}\r\n");
         let (status, text) = call(&node, "/proof/1", &headers, "x");
@@ -79,8 +80,8 @@
 
     let lines = history.lines();
     let runs = |call: &str| {
-        let took = |line: &&history_checker::Line| matches!(line, history_checker::Line::InstanceReceivedCall { call: taken, ran: true, .. } if taken == call);
-        lines.iter().filter(took).count()
+        let is_run = |line: &&history_checker::Line| matches!(line, history_checker::Line::InstanceReceivedCall { call: taken, ran: true, .. } if taken == call);
+        lines.iter().filter(is_run).count()
     };
     assert_eq!((runs("c1"), runs("once-lose"), runs("once-garble"), runs("stalled")), (1, 1, 1, 1));
     assert!((2..=4).contains(&runs("again")), "{}", runs("again"));
@@ -208,8 +209,8 @@
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// With damaged synced records the process keeps running, reports the damage and formats nothing. Only an operator's
-/// command replaces the disk, and the new disk does not bootstrap new state next to the old file.
+/// With damaged synced records the process keeps running, reports the damage and formats nothing. Only an
+/// operator's command replaces the disk, and the new disk does not bootstrap new state next to the old file.
 #[test]
 fn damaged_disk_is_reported_and_its_file_left_unchanged() {
     let history = Arc::new(History::default());
@@ -287,9 +288,11 @@
     let responses = exchange(node.clients, pipelined.as_bytes());
     let text = String::from_utf8_lossy(&responses).into_owned();
     assert_eq!(statuses(&responses), [200, 200, 200], "{text}");
-    let places = ["p1", "p2", "p3"].map(|id| text.find(&format!("{{\"call\":\"{id}\"")).expect("answered"));
-    assert!(places.is_sorted(), "{text}");
-    // A request inside a body stays a body, whether the outer request is served, matches no route or is too long.
+    let positions =
+        ["p1", "p2", "p3"].map(|id| text.find(&format!("{{\"call\":\"{id}\"")).expect("answered"));
+    assert!(positions.is_sorted(), "{text}");
+    // A request inside a body stays a body, whether the outer request is served, matches no route or is too
+    // long.
     let smuggled = post("/proof/1", "smuggled", "", "x");
     let outer = post("/proof/1", "outer", last, &smuggled);
     assert_eq!(statuses(&exchange(node.clients, outer.as_bytes())), [200]);
@@ -335,8 +338,8 @@
     assert!(received.iter().filter(|call| *call == "outer").count() == 1, "{received:?}");
 }
 
-/// Guards against flaky tests: a node ended before it was ready because another process had taken its port between
-/// the choice of the port and the bind.
+/// Guards against flaky tests: a node ended before it was ready because another process had taken its port
+/// between the choice of the port and the bind.
 #[test]
 fn test_node_is_restarted_on_other_ports_if_its_port_is_taken() {
     let history = Arc::new(History::default());
@@ -392,7 +395,7 @@
         // Nothing arrives in that time, not even the end of the connection.
         let rest = Duration::from_millis(IDLE_MILLIS * 4 / 5);
         stream.set_read_timeout(Some(rest)).expect("a limit");
-        let silence = stream.read(&mut [0]);
-        assert!(silence.is_err(), "{silence:?}");
+        let idle_read = stream.read(&mut [0]);
+        assert!(idle_read.is_err(), "{idle_read:?}");
     }
 }
--- a/packages/vanelane/tests/planned_stop.rs
+++ b/packages/vanelane/tests/planned_stop.rs
@@ -1,5 +1,5 @@
-//! A planned stop under load: clients use their connections until the process has ended, and every complete request
-//! gets a response.
+//! A planned stop under load: clients use their connections until the process has ended, and every complete
+//! request gets a response.
 
 mod running_node;
 
--- a/packages/vanelane/tests/running_node/mod.rs
+++ b/packages/vanelane/tests/running_node/mod.rs
@@ -70,8 +70,8 @@
     start_node_on(program, folder, platform, awaited, |_| free_addresses())
 }
 
-/// Like `start_node_in`, with the addresses for each attempt. A free port may be taken by another process before the
-/// node binds it; only then is the start repeated.
+/// Like `start_node_in`, with the addresses for each attempt. A free port may be taken by another process
+/// before the node binds it; only then is the start repeated.
 pub fn start_node_on(
     mut program: Command,
     folder: std::path::PathBuf,
--- a/packages/vanelane/tests/usage_reports.rs
+++ b/packages/vanelane/tests/usage_reports.rs
@@ -20,8 +20,9 @@
     reports.collect()
 }
 
-/// Guards against usage reports that the protocol makes but that never reach the platform. Windows are reported in
-/// order and numbered by wall-clock time, from the moment when the configuration contains tenants.
+/// Guards against usage reports that the protocol makes but that never reach the platform. Windows are
+/// reported in order and numbered by wall-clock time, from the moment when the configuration contains
+/// tenants.
 #[test]
 fn usage_windows_are_reported_in_order_once_tenants_are_configured() {
     let history = Arc::new(History::default());
