--- a/packages/configuration_schema/src/annotations.rs
+++ b/packages/configuration_schema/src/annotations.rs
@@ -1,10 +1,10 @@
-//! What an operator adds to a document for its own use.
+//! Data that an operator adds to a document for its own use.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::fmt;
 
-/// Any JSON, kept as sent and without meaning here. It may hold secrets: its `Debug` form hides it.
+/// Any JSON, kept as sent and not interpreted. It may hold secrets, so its `Debug` form hides it.
 /// Example: `serde_json::from_value::<Annotations>(json!({ "note": 1 }))`.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
--- a/packages/configuration_schema/src/api_key.rs
+++ b/packages/configuration_schema/src/api_key.rs
@@ -1,4 +1,4 @@
-//! A tenant's API key: a secret that is compared and stored, and never printed.
+//! A tenant's API key: a secret that is compared and stored but never printed.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
@@ -10,19 +10,19 @@
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// A key as its text. Example: `ApiKey::new("k1").as_str() == "k1"`.
+    /// A key with this text. Example: `ApiKey::new("k1").as_str() == "k1"`.
     pub fn new(key: impl Into<String>) -> ApiKey {
         ApiKey(key.into())
     }
 
-    /// The text, for comparing only: it belongs in no log, metric, trace or error.
+    /// The text, for comparison only: it must not appear in a log, metric, trace or error.
     /// Example: `key.as_str() == sent`.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A key is found by its text. Example: `keys.get("k1")` in a map by keys.
+/// Allows look-ups by text. Example: `keys.get("k1")` in a map with `ApiKey` keys.
 impl Borrow<str> for ApiKey {
     fn borrow(&self) -> &str {
         &self.0
--- a/packages/configuration_schema/src/delta.rs
+++ b/packages/configuration_schema/src/delta.rs
@@ -1,86 +1,86 @@
-//! What differs between two generations of the configuration, item by item.
+//! The difference between two generations of the configuration, item by item.
 //!
-//! A node that has the older generation makes the newer one of it by the items that changed: the cost of a
-//! change does not grow with the configuration.
+//! A node with the older generation is sent only the items that changed, so that the cost of a change does not
+//! grow with the size of the configuration.
 
 use crate::{Annotations, ClientLimits, Configuration, Function, Quota, Route, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Items by name; one that is removed is none.
+/// Changed items by name; a removed item is `None`.
 type ItemChanges<T> = BTreeMap<String, Option<T>>;
 
-/// The items that lead from one generation to a later one.
+/// The changed items between one generation and a later one.
 /// Example: `ConfigurationDelta::between((4, &old), (5, &new)).apply(&mut old)` makes `old == new`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// The generation that it builds on.
+    /// The generation that the delta is based on.
     pub base_generation: u64,
-    /// The generation that it makes.
+    /// The generation that results.
     pub generation: u64,
-    /// Shares, as far as they changed.
+    /// The quotas that changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "allowances")]
     pub quotas: ItemChanges<Quota>,
-    /// Functions, as far as they changed.
+    /// The functions that changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub functions: ItemChanges<Function>,
-    /// Lanes, as far as they changed.
+    /// The routes that changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "lanes")]
     pub routes: ItemChanges<Route>,
-    /// Tenants, as far as they changed.
+    /// The tenants that changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tenants: ItemChanges<Tenant>,
-    /// Whether the later generation names tenants at all, where that changed.
+    /// Whether the later generation has the group of tenants, if that changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub has_tenants: Option<bool>,
-    /// The bounds on clients, whole, where they changed.
+    /// All limits on clients, if any of them changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<ChangedLimits>,
-    /// The document's annotations, whole, where they changed.
+    /// All annotations of the document, if any of them changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub annotations: Option<ChangedAnnotations>,
 }
 
-/// New bounds on clients; none where the document names none any more.
+/// Changed limits on clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangedLimits {
-    /// What holds now.
+    /// The new limits; none if the document no longer has any.
     pub limits: Option<ClientLimits>,
 }
 
-/// New annotations of the document; none where it has none any more.
+/// Changed annotations of the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangedAnnotations {
-    /// What holds now.
+    /// The new annotations; none if the document no longer has any.
     pub annotations: Option<Annotations>,
 }
 
-/// The functions that a delta brought, changed or took out.
+/// The functions that a delta adds, alters or removes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangedFunctions {
-    /// Not configured before.
+    /// Functions that were not configured before.
     pub added: BTreeSet<String>,
-    /// Configured differently now.
+    /// Functions whose configuration changed.
     pub altered: BTreeSet<String>,
-    /// Configured no more.
+    /// Functions that are no longer configured.
     pub removed: BTreeSet<String>,
 }
 
 impl ConfigurationDelta {
-    /// What leads from one generation to another.
+    /// The delta between two generations.
     /// Example: `ConfigurationDelta::between((4, &old), (5, &new)).routes.len()`.
     pub fn between(
         (base_generation, old): (u64, &Configuration),
         (generation, new): (u64, &Configuration),
     ) -> ConfigurationDelta {
-        let are_limits_new = old.client_limits != new.client_limits;
-        let are_annotations_new = old.annotations != new.annotations;
+        let have_limits_changed = old.client_limits != new.client_limits;
+        let have_annotations_changed = old.annotations != new.annotations;
         let no_tenants = BTreeMap::new();
         let old_tenants = old.tenants.as_ref().unwrap_or(&no_tenants);
         let new_tenants = new.tenants.as_ref().unwrap_or(&no_tenants);
-        let is_presence_new = old.tenants.is_some() != new.tenants.is_some();
+        let has_presence_changed = old.tenants.is_some() != new.tenants.is_some();
         ConfigurationDelta {
             base_generation,
             generation,
@@ -88,25 +88,25 @@
             functions: items_between(&old.functions, &new.functions),
             routes: items_between(&old.routes, &new.routes),
             tenants: items_between(old_tenants, new_tenants),
-            has_tenants: is_presence_new.then_some(new.tenants.is_some()),
-            limits: are_limits_new.then(|| ChangedLimits { limits: new.client_limits.clone() }),
-            annotations: are_annotations_new
+            has_tenants: has_presence_changed.then_some(new.tenants.is_some()),
+            limits: have_limits_changed.then(|| ChangedLimits { limits: new.client_limits.clone() }),
+            annotations: have_annotations_changed
                 .then(|| ChangedAnnotations { annotations: new.annotations.clone() }),
         }
     }
 
-    /// The bytes that travel. Example: `ConfigurationDelta::decode(&delta.encode()) == Some(delta)`.
+    /// Encodes the delta for a message. Example: `ConfigurationDelta::decode(&delta.encode()) == Some(delta)`.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the bytes that travel; none if they are no delta.
+    /// Decodes a delta from a message; none if the bytes are not a valid delta.
     /// Example: `ConfigurationDelta::decode(b"").is_none()`.
     pub fn decode(delta_bytes: &[u8]) -> Option<ConfigurationDelta> {
         serde_json::from_slice(delta_bytes).ok()
     }
 
-    /// Makes the later generation of the one that it builds on. Example: `delta.apply(&mut configuration)`.
+    /// Turns the configuration that the delta is based on into the later one. Example: `delta.apply(&mut configuration)`.
     pub fn apply(&self, configuration: &mut Configuration) {
         apply_items(&self.quotas, &mut configuration.quotas);
         apply_items(&self.functions, &mut configuration.functions);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The functions that it touches, against the configuration that it builds on.
+    /// The functions that the delta changes, given the configuration that it is based on.
     /// Example: `delta.changed_functions(&base).added.contains("new")`.
     pub fn changed_functions(&self, base: &Configuration) -> ChangedFunctions {
         let mut changed = ChangedFunctions::default();
@@ -149,12 +149,12 @@
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
 ) -> ItemChanges<T> {
-    let gone = old.keys().filter(|name| !new.contains_key(*name)).map(|name| (name.clone(), None));
-    let come = new
+    let removed = old.keys().filter(|name| !new.contains_key(*name)).map(|name| (name.clone(), None));
+    let added_or_changed = new
         .iter()
         .filter(|(name, item)| old.get(*name) != Some(*item))
         .map(|(name, item)| (name.clone(), Some(item.clone())));
-    gone.chain(come).collect()
+    removed.chain(added_or_changed).collect()
 }
 
 fn apply_items<T: Clone>(changes: &ItemChanges<T>, items: &mut BTreeMap<String, T>) {
--- a/packages/configuration_schema/src/delta/tests.rs
+++ b/packages/configuration_schema/src/delta/tests.rs
@@ -4,21 +4,21 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use serde_json::{Value, json};
 
-/// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
+/// With a given seed arbtest runs a single case. Each case has its own seed, so that every run tests the same cases.
 const CASES: u64 = 60;
-const CHANGES_A_CASE: u64 = 200;
-const NAMES: u64 = 12;
+const CHANGES_PER_CASE: u64 = 200;
+const NAME_COUNT: u64 = 12;
 
 fn name(source: &mut Unstructured<'_>, kind: &str) -> Result<String> {
-    Ok(format!("{kind}-{}", source.int_in_range(0..=NAMES - 1)?))
+    Ok(format!("{kind}-{}", source.int_in_range(0..=NAME_COUNT - 1)?))
 }
 
-/// A key out of many: some changes are refused since another tenant has it.
+/// One of 100 keys, so that some changes are refused because another tenant has the key.
 fn key(source: &mut Unstructured<'_>) -> Result<String> {
     Ok(format!("key-{}", source.int_in_range(0..=99u32)?))
 }
 
-/// Any item, or none to remove it. Many are refused, since they name what is not there.
+/// A random item, or null to remove one. Many are refused because they refer to items that do not exist.
 fn item(source: &mut Unstructured<'_>, kind: &str) -> Result<Value> {
     if source.ratio(1u8, 4u8)? {
         return Ok(Value::Null);
@@ -58,7 +58,7 @@
         return Ok(Change { partial: Some(json!({ "visitor_limits": limits })), ..change });
     }
     if source.ratio(1u8, 20u8)? {
-        // The group comes, goes, or loses all of its items.
+        // The group is added, removed, or loses all of its items.
         let group = if source.ratio(1u8, 2u8)? { Value::Null } else { json!({}) };
         return Ok(Change { partial: Some(json!({ "tenants": group })), ..change });
     }
@@ -75,13 +75,13 @@
     if let Some(tenants) = tenants {
         document["tenants"] = tenants;
     }
-    crate::check(&document).expect("a sound document")
+    crate::check(&document).expect("a valid document")
 }
 
-/// Guards against ROUTE and CONFIG by keys that spread wrongly: each step between two states of the tenants
-/// makes the later one and carries the tenants that changed, no others.
+/// Guards against violations of the rules ROUTE and CONFIG through wrongly distributed keys: the delta between any
+/// two states of the tenants results in the later one and contains only the tenants that changed.
 #[test]
-fn every_step_between_states_of_the_tenants_is_carried() {
+fn deltas_between_all_states_of_the_tenants_are_exact() {
     let group = |acme: &[&str], zeta: &[&str]| {
         Some(json!({ "acme": { "keys": acme }, "zeta": { "keys": zeta }, "still": { "keys": ["k-still"] } }))
     };
@@ -90,7 +90,7 @@
         Some(json!({})),
         group(&["k1"], &["k2"]),
         group(&["k1", "k3"], &["k2"]),
-        // The keys change their tenants in one step.
+        // The keys are exchanged between the tenants in one step.
         group(&["k2"], &["k1", "k3"]),
         Some(json!({ "acme": { "keys": ["k2"], "rank": 2 } })),
     ];
@@ -98,9 +98,9 @@
         for new in &states {
             let (before, after) = (with_tenants(old.clone()), with_tenants(new.clone()));
             let delta = ConfigurationDelta::between((1, &before), (2, &after));
-            let mut made = before.clone();
-            ConfigurationDelta::decode(&delta.encode()).expect("a delta").apply(&mut made);
-            assert_eq!(made, after, "{old:?} to {new:?}");
+            let mut result = before.clone();
+            ConfigurationDelta::decode(&delta.encode()).expect("a delta").apply(&mut result);
+            assert_eq!(result, after, "{old:?} to {new:?}");
             assert_eq!(delta.has_tenants.is_some(), old.is_some() != new.is_some());
         }
     }
@@ -111,47 +111,48 @@
     assert_eq!(delta.tenants.keys().collect::<Vec<&String>>(), ["acme"]);
 }
 
-/// Deltas that travelled, applied in turn, make what decoding each stored document whole makes.
+/// Deltas that are encoded, decoded and applied in order result in the same configuration as decoding each stored
+/// document.
 #[test]
-fn deltas_make_the_configuration_that_the_whole_document_makes() {
-    let mut taken_count = 0;
+fn deltas_result_in_the_configuration_of_the_whole_document() {
+    let mut accepted_count = 0;
     for number in 0..CASES {
         arbtest::arbtest(|source| {
             let mut stored = StoredConfiguration::empty();
             let mut applied = Configuration::empty();
             let mut targets = FunctionTargets::default();
-            for number in 0..CHANGES_A_CASE {
+            for number in 0..CHANGES_PER_CASE {
                 let before = stored.clone();
                 let outcome = stored.apply(&change(source, number)?);
                 if !matches!(outcome, ChangeOutcome::Accepted { .. }) {
                     continue;
                 }
-                taken_count += 1;
+                accepted_count += 1;
                 let (old, new) = (before.trusted().expect("checked"), stored.trusted().expect("checked"));
                 let delta = ConfigurationDelta::between((before.generation, &old), (stored.generation, &new));
-                let travelled = ConfigurationDelta::decode(&delta.encode()).expect("a delta");
-                let functions = travelled.changed_functions(&applied);
-                targets.apply(&travelled, &applied);
-                travelled.apply(&mut applied);
+                let received = ConfigurationDelta::decode(&delta.encode()).expect("a delta");
+                let functions = received.changed_functions(&applied);
+                targets.apply(&received, &applied);
+                received.apply(&mut applied);
                 assert_eq!(targets, FunctionTargets::of(&applied));
                 let decoded = StoredConfiguration::decode(&stored.encode()).expect("stored");
                 assert_eq!(applied, decoded.trusted().expect("checked"));
-                let is_there = |name: &String| new.functions.contains_key(name);
-                let was_there = |name: &String| old.functions.contains_key(name);
-                assert!(functions.added.iter().all(|name| is_there(name) && !was_there(name)));
-                assert!(functions.removed.iter().all(|name| !is_there(name) && was_there(name)));
-                assert!(functions.altered.iter().all(|name| is_there(name) && was_there(name)));
+                let is_configured = |name: &String| new.functions.contains_key(name);
+                let was_configured = |name: &String| old.functions.contains_key(name);
+                assert!(functions.added.iter().all(|name| is_configured(name) && !was_configured(name)));
+                assert!(functions.removed.iter().all(|name| !is_configured(name) && was_configured(name)));
+                assert!(functions.altered.iter().all(|name| is_configured(name) && was_configured(name)));
             }
             Ok(())
         })
         .seed((0x5eed_0007 + number) << 32 | 0x8000);
     }
-    assert!(taken_count > 1_000, "{taken_count} changes were taken");
+    assert!(accepted_count > 1_000, "{accepted_count} changes were accepted");
 }
 
 #[test]
-fn foreign_bytes_are_no_delta() {
-    for foreign in [&b""[..], b"{}", b"[]", b"null", b"\xff"] {
-        assert_eq!(ConfigurationDelta::decode(foreign), None);
+fn invalid_bytes_are_not_decoded_as_a_delta() {
+    for invalid_bytes in [&b""[..], b"{}", b"[]", b"null", b"\xff"] {
+        assert_eq!(ConfigurationDelta::decode(invalid_bytes), None);
     }
 }
--- a/packages/configuration_schema/src/function_targets.rs
+++ b/packages/configuration_schema/src/function_targets.rs
@@ -1,4 +1,4 @@
-//! The shortest target latency of the lanes that lead to each function, kept up by the lanes that change.
+//! The shortest target latency of the routes to each function, updated for the routes that change.
 
 use crate::{Configuration, ConfigurationDelta, Route};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,7 @@
 /// Targets by function. Example: `FunctionTargets::of(&configuration).get("proof") == Some(300)`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FunctionTargets {
-    /// By function, each lane that leads to it and names a target, in milliseconds.
+    /// By function and route name: the target of each route that has one, in milliseconds.
     by_function: BTreeMap<String, BTreeMap<String, u64>>,
 }
 
@@ -20,20 +20,20 @@
         targets
     }
 
-    /// The shortest target of a function in milliseconds, if a lane that leads to it names one.
+    /// The shortest target of a function in milliseconds; none if no route to it has a target.
     /// Example: `targets.get("nobody") == None`.
     pub fn get(&self, function: &str) -> Option<u64> {
         self.by_function.get(function)?.values().min().copied()
     }
 
-    /// Takes what a delta changes of the configuration that it builds on. Returns the functions whose lanes
+    /// Applies a delta, given the configuration that it is based on. Returns the functions whose routes
     /// changed. Example: `targets.apply(&delta, &base).contains("proof")`.
     pub fn apply(&mut self, delta: &ConfigurationDelta, base: &Configuration) -> BTreeSet<String> {
-        let mut touched = BTreeSet::new();
+        let mut changed_functions = BTreeSet::new();
         for (name, route) in &delta.routes {
             let old = base.routes.get(name);
             for route in old.into_iter().chain(route) {
-                touched.extend(route.shares().into_iter().map(|(function, _)| function.to_owned()));
+                changed_functions.extend(route.shares().into_iter().map(|(function, _)| function.to_owned()));
             }
             if let Some(old) = old {
                 self.remove_route(name, old);
@@ -42,7 +42,7 @@
                 self.add_route(name, route);
             }
         }
-        touched
+        changed_functions
     }
 
     fn add_route(&mut self, name: &str, route: &Route) {
--- a/packages/configuration_schema/src/lib.rs
+++ b/packages/configuration_schema/src/lib.rs
@@ -25,15 +25,15 @@
 
 /// The schema that is shipped with vanelane. Example: `vanelane schema` prints it.
 pub const SCHEMA: &str = include_str!("../configuration.schema.json");
-/// The longest configuration document.
+/// The maximum length of a configuration document, in bytes.
 pub const DOCUMENT_LIMIT: usize = 8 * 1024 * 1024;
-/// The most reasons told of one document.
+/// The maximum number of reasons reported for one document.
 const REASON_LIMIT: usize = 100;
 
-/// One reason against a document. Example: `Reason::at("/lanes/a/function", "no such function")`.
+/// One reason why a document is refused. Example: `Reason::at("/lanes/a/function", "no such function")`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reason {
-    /// Where: a JSON pointer.
+    /// The place in the document, as a JSON pointer.
     pub path: String,
     /// What is wrong there.
     pub reason: String,
@@ -46,143 +46,143 @@
     }
 }
 
-/// What decides how many cells of a function are kept. Example: `"kept_by": "cost"`.
+/// The policy that decides how many instances of a function are kept. Example: `"kept_by": "cost"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeptBy {
-    /// The peak of the last idle span.
+    /// As many as the peak use during the last `idle_seconds`.
     #[default]
     Idle,
-    /// Load and target latency, weighed by the cost model.
+    /// Load and target latency, weighted by the cost model.
     Cost,
 }
 
-/// Declares a part of the document, with serde derives and defaults.
-macro_rules! document_parts {
-    ($($(#[$note:meta])* $part:ident { $($(#[$field_note:meta])* $field:ident: $type:ty,)* })*) => {
+/// Declares the structs of the document with their serde derives.
+macro_rules! document_structs {
+    ($($(#[$note:meta])* $name:ident { $($(#[$field_note:meta])* $field:ident: $type:ty,)* })*) => {
         $(#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
         $(#[$note])*
-        pub struct $part { $($(#[$field_note])* pub $field: $type,)* })*
+        pub struct $name { $($(#[$field_note])* pub $field: $type,)* })*
     };
 }
 
-document_parts! {
-    /// A node of the tree of shares. Example: `{"parent": "all", "weight": 3}`.
+document_structs! {
+    /// A node of the quota tree. Example: `{"parent": "all", "weight": 3}`.
     #[serde(rename = "Allowance")]
     Quota {
-        /// None for a root.
+        /// The parent quota; none for a root.
         #[serde(default)] parent: Option<String>,
-        /// The share beside its siblings.
+        /// The share relative to its siblings.
         weight: f64,
-        /// Memory it gets first, if it wants it.
+        /// Memory that is guaranteed if there is demand for it.
         #[serde(default)] memory_floor_mb: Option<f64>,
-        /// Memory it never passes.
+        /// The maximum memory.
         #[serde(default)] memory_ceiling_mb: Option<f64>,
-        /// Starts a second it gets first.
+        /// Instance starts per second that are guaranteed if there is demand for them.
         #[serde(default)] starts_floor_per_second: Option<f64>,
-        /// Starts a second it never passes.
+        /// The maximum instance starts per second.
         #[serde(default)] starts_ceiling_per_second: Option<f64>,
     }
-    /// What runs in cells. Example: `{"allowance": "busy", "cell_memory_mb": 600, "calls_at_once": 4}`.
+    /// A function, which runs in instances. Example: `{"allowance": "busy", "cell_memory_mb": 600, "calls_at_once": 4}`.
     Function {
-        /// The tree's node it is a leaf of.
+        /// The quota that it belongs to, as a leaf of the tree.
         #[serde(rename = "allowance")] quota: String,
-        /// The share beside its siblings.
+        /// The share relative to its siblings.
         #[serde(default = "default_weight")] weight: f64,
-        /// Memory of one cell.
+        /// The memory of one instance.
         #[serde(rename = "cell_memory_mb")] instance_memory_mb: u64,
-        /// Calls one cell may run at once.
+        /// The maximum number of concurrent calls of one instance.
         calls_at_once: u32,
-        /// How long a cell boots, until that is learnt.
-        #[serde(default = "default_boot")] boot_millis: u64,
-        /// How long a cell may idle before it is stopped, where cells are kept by idling.
-        #[serde(default = "default_idle")] idle_seconds: u64,
-        /// What decides how many cells are kept.
+        /// The assumed boot time of an instance, until boot times have been measured.
+        #[serde(default = "default_boot_millis")] boot_millis: u64,
+        /// How long an instance may be idle before it is stopped, if instances are kept by `idle`.
+        #[serde(default = "default_idle_seconds")] idle_seconds: u64,
+        /// The policy that decides how many instances are kept.
         #[serde(default)] kept_by: KeptBy,
-        /// Cells kept even when idle.
+        /// The minimum number of instances, kept even when idle.
         #[serde(default)] #[serde(rename = "least_cells")] min_instances: u32,
-        /// Cells never passed.
-        #[serde(default = "default_most")] #[serde(rename = "most_cells")] max_instances: u32,
-        /// Calls that may wait at the steward.
+        /// The maximum number of instances.
+        #[serde(default = "default_max_instances")] #[serde(rename = "most_cells")] max_instances: u32,
+        /// The maximum number of calls queued at the leader.
         #[serde(default = "default_queue_limit")] #[serde(rename = "waitlist")] queue_limit: u32,
-        /// Connections that one cell takes from all nodes together.
+        /// The maximum number of connections of one instance, from all nodes together.
         #[serde(default, skip_serializing_if = "Option::is_none")] connection_limit: Option<u32>,
-        /// Kept as sent, without meaning here.
+        /// Kept as sent and not interpreted.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
-    /// One part of a lane that is split over functions. Example: `{"function": "proof", "weight": 3}`.
+    /// One share of a route that is split over functions. Example: `{"function": "proof", "weight": 3}`.
     #[serde(rename = "LaneShare")]
     RouteShare {
-        /// Where these calls go.
+        /// The function that these calls go to.
         function: String,
-        /// The share beside the others; zero sends none.
+        /// The share relative to the others; no calls are sent for zero.
         weight: f64,
     }
-    /// Bounds on what visitors may send and how slowly. Example: `{"body_bytes": 262144}`.
+    /// Limits on the size and duration of clients' requests. Example: `{"body_bytes": 262144}`.
     #[serde(rename = "VisitorLimits")]
     ClientLimits {
-        /// The longest head of a call, in bytes.
+        /// The maximum length of a request head, in bytes.
         #[serde(default, skip_serializing_if = "Option::is_none")] header_bytes: Option<u64>,
-        /// The longest body of a call, in bytes.
+        /// The maximum length of a request body, in bytes.
         #[serde(default, skip_serializing_if = "Option::is_none")] body_bytes: Option<u64>,
-        /// How long a head may take to come, in milliseconds.
+        /// How long a request head may take to arrive, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")] header_wait_millis: Option<u64>,
-        /// How long a connection may stay idle between two calls, in milliseconds.
+        /// How long a connection may be idle between two requests, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")] idle_millis: Option<u64>,
-        /// Kept as sent, without meaning here.
+        /// Kept as sent and not interpreted.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
-    /// Which calls go to a function. Example: `{"function": "proof", "path_prefix": "/proof"}`.
+    /// A route: which calls go to which function. Example: `{"function": "proof", "path_prefix": "/proof"}`.
     #[serde(rename = "Lane")]
     Route {
-        /// Where its calls go, unless it is split.
+        /// The function that its calls go to, unless it is split.
         #[serde(default, skip_serializing_if = "String::is_empty")] function: String,
-        /// Where its calls go by weight, instead of one function.
+        /// The functions that its calls go to by weight, instead of one function.
         #[serde(default, skip_serializing_if = "Vec::is_empty")] split: Vec<RouteShare>,
-        /// Only for this host, if named.
+        /// The only host that it applies to; any host if none is named.
         #[serde(default)] host: Option<String>,
-        /// Matched at whole path segments; the longest wins.
+        /// Matched at whole path segments; the longest prefix wins.
         path_prefix: String,
-        /// Only these methods; all when empty.
+        /// The methods that it applies to; all if empty.
         #[serde(default)] methods: Vec<String>,
-        /// Whether a call whose fate is unknown may be dispatched again.
+        /// Whether a call whose outcome is unknown may be dispatched again.
         #[serde(default)] repeatable: bool,
-        /// How long a call may take in all, where the visitor names no shorter time.
+        /// The time limit of a call as a whole, unless the client names a shorter one.
         #[serde(default = "default_timeout")] #[serde(rename = "patience_millis")] timeout_millis: u64,
-        /// The time within which an answer is worth most: decides whether a cold start may be waited for.
+        /// The latency within which a response is worth most: decides whether a call may wait for a cold start.
         #[serde(default, skip_serializing_if = "Option::is_none")] target_millis: Option<u64>,
-        /// Zero is served first where not all can be.
+        /// The priority when not all calls can be served; zero is served first.
         #[serde(default)] rank: u32,
-        /// Whether its calls need no tenant's key.
+        /// Whether its calls need no API key.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")] is_public: bool,
-        /// Cells that one call may be sent to at the most.
+        /// The maximum number of instances that one call may be dispatched to.
         #[serde(default, skip_serializing_if = "Option::is_none")] dispatch_limit: Option<u32>,
-        /// Kept as sent, without meaning here.
+        /// Kept as sent and not interpreted.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
-    /// Who calls, known by API keys. Example: `{"keys": ["k1", "k2"], "rank": 1}`.
+    /// A tenant, whose calls are identified by API keys. Example: `{"keys": ["k1", "k2"], "rank": 1}`.
     Tenant {
-        /// The keys that its calls may carry; no two tenants share one.
+        /// The keys that its calls may carry; a key belongs to one tenant only.
         keys: Vec<ApiKey>,
-        /// Goes before the rank of lanes: zero is served first where not all can be.
+        /// The priority when not all calls can be served, compared before the route's rank; zero is served first.
         #[serde(default)] rank: u32,
-        /// Kept as sent, without meaning here.
+        /// Kept as sent and not interpreted.
         #[serde(default, skip_serializing_if = "Option::is_none")] annotations: Option<Annotations>,
     }
     /// A checked document. Example: `check(&document)?.routes["proofs"].function`.
     Configuration {
-        /// The tree of shares.
+        /// The quota tree.
         #[serde(rename = "allowances")] quotas: BTreeMap<String, Quota>,
         /// The functions.
         functions: BTreeMap<String, Function>,
-        /// The lanes.
+        /// The routes.
         #[serde(rename = "lanes")] routes: BTreeMap<String, Route>,
-        /// The tenants; where the document names the group, even an empty one, calls on lanes that are not
-        /// public need a tenant's key.
+        /// The tenants. If the document has this group, even empty, calls on routes that are not public need a
+        /// tenant's key.
         #[serde(default, skip_serializing_if = "Option::is_none")] tenants: Option<BTreeMap<String, Tenant>>,
-        /// Bounds on visitors; the program's own where none is named.
+        /// Limits on clients; the program's defaults apply where none is given.
         #[serde(default)] #[serde(rename = "visitor_limits")] client_limits: Option<ClientLimits>,
-        /// Kept as sent, without meaning here.
+        /// Kept as sent and not interpreted.
         #[serde(default)] annotations: Option<Annotations>,
     }
 }
@@ -190,13 +190,13 @@
 fn default_weight() -> f64 {
     1.0
 }
-fn default_idle() -> u64 {
+fn default_idle_seconds() -> u64 {
     60
 }
-fn default_boot() -> u64 {
+fn default_boot_millis() -> u64 {
     1_000
 }
-fn default_most() -> u32 {
+fn default_max_instances() -> u32 {
     1_000
 }
 fn default_queue_limit() -> u32 {
@@ -221,8 +221,8 @@
 }
 
 impl Route {
-    /// The functions that this lane may send calls to, with their weights.
-    /// Example: an unsplit lane gives its one function with weight 1.
+    /// The functions that this route may send calls to, with their weights.
+    /// Example: for an unsplit route, its one function with weight 1.
     pub fn shares(&self) -> Vec<(&str, f64)> {
         match self.split.is_empty() {
             true => vec![(self.function.as_str(), 1.0)],
@@ -239,7 +239,7 @@
     jsonschema::validator_for(&schema_value).map_err(|failure| failure.to_string())
 });
 
-/// Checks a document by schema and meaning; every reason comes with its path.
+/// Checks a document against the schema and then for meaning; every reason has its path.
 /// Example: `check(&json!({"lanes": 3})).unwrap_err()[0].path == "/lanes"`.
 pub fn check(document: &Value) -> Result<Configuration, Vec<Reason>> {
     let validator = match &*VALIDATOR {
@@ -256,7 +256,7 @@
     }
     let configuration = match Configuration::deserialize(document) {
         Ok(configuration) => configuration,
-        Err(failure) => return Err(vec![misfit(document, &failure)]),
+        Err(failure) => return Err(vec![type_mismatch(document, &failure)]),
     };
     let mut reasons = Vec::new();
     check_quotas(&configuration, &mut reasons);
@@ -267,9 +267,9 @@
     if reasons.is_empty() { Ok(configuration) } else { Err(reasons) }
 }
 
-/// The reason against a document that the schema takes and its types do not, such as a whole number written
-/// as `1.0`. What is wrong with a tenant is not quoted.
-fn misfit(document: &Value, failure: &serde_json::Error) -> Reason {
+/// The reason for a document that passes the schema but does not fit the types, such as a whole number written
+/// as `1.0`. For tenants the failure's text is left out, as it may quote a key.
+fn type_mismatch(document: &Value, failure: &serde_json::Error) -> Reason {
     let mut without_tenants = document.clone();
     if let Some(fields) = without_tenants.as_object_mut() {
         fields.remove("tenants");
@@ -355,7 +355,7 @@
 }
 
 fn check_routes(configuration: &Configuration, reasons: &mut Vec<Reason>) {
-    let mut taken_places: BTreeMap<(Option<&str>, &str, &str), &str> = BTreeMap::new();
+    let mut routes_by_match: BTreeMap<(Option<&str>, &str, &str), &str> = BTreeMap::new();
     for (name, route) in &configuration.routes {
         let place = format!("/lanes/{name}");
         let is_named = !route.function.is_empty();
@@ -382,7 +382,7 @@
         };
         for method in methods {
             let key = (route.host.as_deref(), trimmed_prefix, method);
-            if let Some(other_name) = taken_places.insert(key, name) {
+            if let Some(other_name) = routes_by_match.insert(key, name) {
                 let reason = format!("lane {other_name} takes the same calls");
                 reasons.push(Reason::at(format!("{place}/path_prefix"), reason));
                 break;
--- a/packages/configuration_schema/src/tenant_checks.rs
+++ b/packages/configuration_schema/src/tenant_checks.rs
@@ -1,10 +1,10 @@
-//! Whether the tenants of a document can be told from one another.
+//! Checks that each API key identifies one tenant.
 
 use crate::{ApiKey, Configuration, Reason};
 use std::collections::BTreeMap;
 
-/// Refuses keys that another tenant has too. The reason names that tenant and never the key; a key that its
-/// own tenant lists twice does no harm. Costs n log n for n keys.
+/// Refuses keys that another tenant has too. The reason names that tenant but never the key. A key that its own
+/// tenant lists twice is allowed. Takes O(n log n) for n keys.
 /// Example: `check_tenants(&configuration, &mut reasons)` adds a reason at `/tenants/zeta/keys/2`.
 pub fn check_tenants(configuration: &Configuration, reasons: &mut Vec<Reason>) {
     let mut owners: BTreeMap<&ApiKey, &str> = BTreeMap::new();
--- a/packages/configuration_schema/src/tests.rs
+++ b/packages/configuration_schema/src/tests.rs
@@ -14,23 +14,23 @@
 }
 
 #[test]
-fn every_reason_is_told_with_its_path() {
+fn all_reasons_are_reported_with_their_paths() {
     assert!(check(&small_document()).is_ok());
-    let mut bad_shape = small_document();
-    bad_shape["allowances"]["all"]["weight"] = json!(0);
-    bad_shape["lanes"]["proofs"]["path_prefix"] = json!("proof");
-    bad_shape["surprise"] = json!(1);
-    let bad_paths = paths(&bad_shape);
-    for wanted_path in ["/allowances/all/weight", "/lanes/proofs/path_prefix", ""] {
-        assert!(bad_paths.contains(&wanted_path.to_owned()), "{wanted_path} in {bad_paths:?}");
+    let mut schema_violation = small_document();
+    schema_violation["allowances"]["all"]["weight"] = json!(0);
+    schema_violation["lanes"]["proofs"]["path_prefix"] = json!("proof");
+    schema_violation["surprise"] = json!(1);
+    let reported_paths = paths(&schema_violation);
+    for expected_path in ["/allowances/all/weight", "/lanes/proofs/path_prefix", ""] {
+        assert!(reported_paths.contains(&expected_path.to_owned()), "{expected_path} in {reported_paths:?}");
     }
-    let mut bad_meaning = small_document();
-    bad_meaning["allowances"]["all"]["parent"] = json!("busy");
-    bad_meaning["functions"]["other"] =
+    let mut invalid_references = small_document();
+    invalid_references["allowances"]["all"]["parent"] = json!("busy");
+    invalid_references["functions"]["other"] =
         json!({ "allowance": "none", "cell_memory_mb": 1, "calls_at_once": 1 });
-    bad_meaning["lanes"]["twin"] = json!({ "function": "ghost", "path_prefix": "/proof/" });
+    invalid_references["lanes"]["twin"] = json!({ "function": "ghost", "path_prefix": "/proof/" });
     assert_eq!(
-        paths(&bad_meaning),
+        paths(&invalid_references),
         [
             "/allowances/all/parent",
             "/allowances/busy/parent",
@@ -39,13 +39,13 @@
             "/lanes/twin/path_prefix"
         ]
     );
-    let mut bad_floors = small_document();
-    bad_floors["allowances"]["all"]["memory_ceiling_mb"] = json!(100);
-    bad_floors["allowances"]["busy"]["memory_floor_mb"] = json!(200);
-    assert_eq!(paths(&bad_floors), ["/allowances/all/memory_ceiling_mb"]);
+    let mut invalid_floors = small_document();
+    invalid_floors["allowances"]["all"]["memory_ceiling_mb"] = json!(100);
+    invalid_floors["allowances"]["busy"]["memory_floor_mb"] = json!(200);
+    assert_eq!(paths(&invalid_floors), ["/allowances/all/memory_ceiling_mb"]);
 }
 
-/// A document with tenants, each with its keys.
+/// The small document with these tenants and their keys.
 fn document_of_tenants(tenants: &[(&str, &[&str])]) -> Value {
     let mut document = small_document();
     for (name, keys) in tenants {
@@ -54,17 +54,17 @@
     document
 }
 
-/// Guards against CONFIG on the duties: an invalid configuration was taken, and every proper one after it was
-/// refused as built on another version.
+/// Guards against violations of the rule CONFIG: an invalid configuration was accepted, and every valid one after it
+/// was refused because it was based on another version.
 #[test]
 fn tenants_that_share_a_key_are_refused_without_naming_it() {
     let shared =
         document_of_tenants(&[("acme", &["k-a", "k-shared"]), ("zeta", &["k-z", "k-y", "k-shared"])]);
     let reasons = check(&shared).expect_err("refused");
     assert_eq!(reasons, [Reason::at("/tenants/zeta/keys/2", "tenant acme has this key too")]);
-    // All of them are told, each beside the tenant that had the key first.
-    let thrice = document_of_tenants(&[("a", &["k", "l"]), ("b", &["k"]), ("c", &["l", "k"])]);
-    assert_eq!(paths(&thrice), ["/tenants/b/keys/0", "/tenants/c/keys/0", "/tenants/c/keys/1"]);
-    // A key that its own tenant lists twice tells no other tenant: it is taken, and read back as sent.
+    // All shared keys are reported, each with the first tenant that has the key.
+    let shared_by_three = document_of_tenants(&[("a", &["k", "l"]), ("b", &["k"]), ("c", &["l", "k"])]);
+    assert_eq!(paths(&shared_by_three), ["/tenants/b/keys/0", "/tenants/c/keys/0", "/tenants/c/keys/1"]);
+    // A key that its own tenant lists twice still identifies one tenant: it is accepted, and read back as sent.
     assert!(check(&document_of_tenants(&[("acme", &["k-a", "k-a"]), ("zeta", &[])])).is_ok());
 }
--- a/packages/configuration_schema/tests/key_secrecy.rs
+++ b/packages/configuration_schema/tests/key_secrecy.rs
@@ -1,19 +1,19 @@
-//! Keys are secrets: whatever is wrong with a document, no reason, outcome or `Debug` form holds one.
+//! Keys are secrets: whatever is wrong with a document, no reason, outcome or `Debug` form contains one.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use configuration_schema::{Change, ChangeOutcome, ConfigurationDelta, StoredConfiguration, check};
 use serde_json::{Value, json};
 
-/// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
+/// With a given seed arbtest runs a single case. Each case has its own seed, so that every run tests the same cases.
 const CASES: u64 = 400;
-/// Every key that is drawn begins so.
-const MARK: &str = "SECRET";
+/// The prefix of every random key.
+const KEY_PREFIX: &str = "SECRET";
 
 fn key(source: &mut Unstructured<'_>) -> Result<String> {
-    Ok(format!("{MARK}-{}", source.int_in_range(0..=60u32)?))
+    Ok(format!("{KEY_PREFIX}-{}", source.int_in_range(0..=60u32)?))
 }
 
-fn sound_document(source: &mut Unstructured<'_>) -> Result<Value> {
+fn valid_document(source: &mut Unstructured<'_>) -> Result<Value> {
     let tenants = json!({
         "acme": { "keys": [key(source)?], "rank": 1, "annotations": { "old": key(source)? } },
         "zeta": { "keys": [key(source)?, key(source)?] },
@@ -27,8 +27,8 @@
     }))
 }
 
-/// A value that holds a key where none, or none of this form, belongs.
-fn odd_value(source: &mut Unstructured<'_>) -> Result<Value> {
+/// A random value that holds a key in a wrong place or a wrong form.
+fn misplaced_key(source: &mut Unstructured<'_>) -> Result<Value> {
     let key = key(source)?;
     Ok(match source.int_in_range(0..=9u32)? {
         0 => json!(key),
@@ -44,37 +44,37 @@
     })
 }
 
-/// Puts an odd value somewhere.
-fn spoil(document: &mut Value, source: &mut Unstructured<'_>) -> Result<()> {
-    let odd = odd_value(source)?;
-    let places =
+/// Inserts such a value at a random place.
+fn corrupt(document: &mut Value, source: &mut Unstructured<'_>) -> Result<()> {
+    let misplaced = misplaced_key(source)?;
+    let tenant_paths =
         ["", "/tenants", "/tenants/acme", "/tenants/acme/keys", "/tenants/zeta/keys/0", "/tenants/acme/rank"];
-    let groups =
+    let other_paths =
         ["/lanes", "/functions", "/allowances", "/lanes/proofs", "/annotations", "/tenants/zeta/annotations"];
     match source.int_in_range(0..=9u32)? {
         0..=4 => {
-            if let Some(place) = document.pointer_mut(source.choose(&places)?) {
-                *place = odd;
+            if let Some(place) = document.pointer_mut(source.choose(&tenant_paths)?) {
+                *place = misplaced;
             }
         }
         5..=6 => {
-            if let Some(place) = document.pointer_mut(source.choose(&groups)?) {
-                *place = odd;
+            if let Some(place) = document.pointer_mut(source.choose(&other_paths)?) {
+                *place = misplaced;
             }
         }
         7 => {
             if let Some(fields) = document.pointer_mut("/tenants/acme").and_then(Value::as_object_mut) {
-                fields.insert(key(source)?, odd);
+                fields.insert(key(source)?, misplaced);
             }
         }
         8 => {
             if let Some(fields) = document.pointer_mut("/tenants").and_then(Value::as_object_mut) {
-                fields.insert("no name".to_owned(), odd);
+                fields.insert("no name".to_owned(), misplaced);
             }
         }
         _ => {
             if let Some(fields) = document.as_object_mut() {
-                fields.insert("customers".to_owned(), odd);
+                fields.insert("customers".to_owned(), misplaced);
             }
         }
     }
@@ -82,7 +82,7 @@
 }
 
 fn assert_hidden(reported: &str, what: &str) {
-    assert!(!reported.contains(MARK), "{what} tells a key: {reported}");
+    assert!(!reported.contains(KEY_PREFIX), "{what} reveals a key: {reported}");
 }
 
 fn change_in_some_form(number: u64, document: Value, source: &mut Unstructured<'_>) -> Result<Change> {
@@ -95,15 +95,15 @@
 }
 
 #[test]
-fn no_key_is_told_by_a_reason_an_outcome_or_a_debug_form() {
+fn no_key_is_revealed_by_a_reason_an_outcome_or_a_debug_form() {
     let (mut refused_count, mut accepted_count) = (0, 0);
     for case in 0..CASES {
         arbtest::arbtest(|source| {
             let mut stored = StoredConfiguration::empty();
             for number in 0..8 {
-                let mut document = sound_document(source)?;
+                let mut document = valid_document(source)?;
                 for _ in 0..source.int_in_range(0..=2u32)? {
-                    spoil(&mut document, source)?;
+                    corrupt(&mut document, source)?;
                 }
                 if let Err(reasons) = check(&document) {
                     assert_hidden(&format!("{reasons:?}"), "a reason");
@@ -113,7 +113,7 @@
                 let outcome = stored.apply(&change);
                 assert_hidden(&format!("{outcome:?}"), "an outcome");
                 assert_hidden(&outcome.line(&change.change_id).to_string(), "a line");
-                assert_hidden(&format!("{change:?} {stored:?}"), "a change or what stands");
+                assert_hidden(&format!("{change:?} {stored:?}"), "a change or a stored configuration");
                 match outcome {
                     ChangeOutcome::Accepted { .. } => accepted_count += 1,
                     _ => refused_count += 1,
@@ -132,9 +132,9 @@
     );
 }
 
-/// Reasons stay of use: they tell the place and what is wrong there.
+/// Reasons must stay useful: they name the place and the fault.
 #[test]
-fn a_reason_against_a_tenant_tells_the_place_and_the_fault() {
+fn reasons_for_tenants_name_the_place_and_the_fault() {
     let reported = |tenants: Value| {
         let document = json!({ "allowances": {}, "functions": {}, "lanes": {}, "tenants": tenants });
         let reasons = check(&document).expect_err("refused");
@@ -155,27 +155,27 @@
         reported(json!({ "a b": { "keys": [] } })),
         one("/tenants", r#"a name does not match "^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$""#)
     );
-    let misfit = reported(json!({ "a": { "keys": [], "rank": 1.0 } }));
-    assert_eq!(misfit[0].0, "/tenants");
-    // Elsewhere a number is told, as before.
+    let type_mismatch = reported(json!({ "a": { "keys": [], "rank": 1.0 } }));
+    assert_eq!(type_mismatch[0].0, "/tenants");
+    // Outside the tenants numbers are quoted.
     let document = json!({ "allowances": { "a": { "weight": 0 } }, "functions": {}, "lanes": {} });
     assert!(check(&document).expect_err("refused")[0].reason.starts_with("0 is less than"));
 }
 
-/// Thousands of tenants with thousands of keys are within every bound, and the last shared key is found.
+/// Thousands of tenants and keys are accepted, and a single shared key among them is found.
 #[test]
-fn many_keys_are_checked() {
+fn a_shared_key_among_thousands_is_found() {
     const TENANTS: usize = 8_000;
-    const MOST_KEYS: usize = 8_000;
+    const KEYS_OF_ONE: usize = 8_000;
     let mut document = json!({ "allowances": {}, "functions": {}, "lanes": {} });
     for tenant in 0..TENANTS {
-        let keys = [format!("{MARK}-{tenant}-old"), format!("{MARK}-{tenant}-new")];
+        let keys = [format!("{KEY_PREFIX}-{tenant}-old"), format!("{KEY_PREFIX}-{tenant}-new")];
         document["tenants"][format!("tenant-{tenant}")] = json!({ "keys": keys });
     }
-    let many: Vec<String> = (0..MOST_KEYS).map(|number| format!("{MARK}-of-one-{number}")).collect();
+    let many: Vec<String> = (0..KEYS_OF_ONE).map(|number| format!("{KEY_PREFIX}-of-one-{number}")).collect();
     document["tenants"]["one"] = json!({ "keys": many });
-    assert_eq!(check(&document).expect("sound").tenants.expect("tenants").len(), TENANTS + 1);
-    document["tenants"]["tenant-9"]["keys"][1] = json!(format!("{MARK}-of-one-{}", MOST_KEYS - 1));
+    assert_eq!(check(&document).expect("a valid document").tenants.expect("tenants").len(), TENANTS + 1);
+    document["tenants"]["tenant-9"]["keys"][1] = json!(format!("{KEY_PREFIX}-of-one-{}", KEYS_OF_ONE - 1));
     let reasons = check(&document).expect_err("refused");
     assert_eq!(reasons.len(), 1);
     assert_eq!(
@@ -184,9 +184,9 @@
     );
 }
 
-/// A document that is sent in several lines, or a field that holds what belongs elsewhere, is not quoted.
+/// Neither a document that is sent in several lines nor a misplaced value is quoted.
 #[test]
-fn a_line_that_is_no_change_is_not_quoted() {
+fn invalid_lines_of_the_change_stream_are_not_quoted() {
     let pretty = serde_json::to_string_pretty(
         &json!({ "change_id": "a", "whole": { "keys": ["SECRET-1", "SECRET-2"] } }),
     );
