--- a/packages/record_file/src/folder.rs
+++ b/packages/record_file/src/folder.rs
@@ -1,4 +1,4 @@
-//! The file operations that the record file rests on, so that tests can lose power between any two.
+//! The file operations that the record file uses, as a trait: tests simulate a loss of power between any two.
 
 use crate::RecordError;
 use error_stack::{Report, ResultExt};
@@ -9,37 +9,37 @@
 
 const LOCK_NAME: &str = "lock";
 
-/// A folder of files. Until the matching sync returned, each operation may be lost with the power,
-/// each one by itself.
+/// A folder of files. Until the matching sync has returned, each operation may be lost in a power failure,
+/// independently of the others.
 pub trait Folder {
-    /// An open file that is written at its end.
+    /// An open file that is appended to.
     type File;
 
-    /// The whole of a file; `None` if there is none. Example: `folder.read("records")?`.
+    /// The whole content of a file; `None` if it does not exist. Example: `folder.read("records")?`.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Makes a new, empty file; a file that has the name loses the name and is left as it is.
+    /// Creates a new, empty file. An existing file of this name loses the name, but its content is not changed.
     /// Example: `let mut file = folder.create("records.rewrite")?;`.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Appends bytes. Example: `folder.append(&mut file, b"head")?`.
     fn append(&self, file: &mut Self::File, added_bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes the file's bytes last. Example: `folder.sync(&mut file)?`.
+    /// Makes the file's content durable. Example: `folder.sync(&mut file)?`.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
 
-    /// Gives a file another name, in place of the file that had it.
+    /// Renames a file, replacing any file of the new name.
     /// Example: `folder.rename("records.rewrite", "records")?`.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Takes a name away; no error if there is none. Example: `folder.remove("records.rewrite")?`.
+    /// Removes a name; no error if it does not exist. Example: `folder.remove("records.rewrite")?`.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes the names last. Example: `folder.sync_names()?`.
+    /// Makes the changes of names durable. Example: `folder.sync_names()?`.
     fn sync_names(&self) -> io::Result<()>;
 }
 
-/// A folder of the operating system, locked against other processes as long as one copy of this lives.
+/// A folder of the file system, locked against other processes until the last clone of this value is dropped.
 /// Example: `DiskFolder::lock(Path::new("data"))?`.
 #[derive(Clone, Debug)]
 pub struct DiskFolder {
@@ -48,12 +48,12 @@
 }
 
 impl DiskFolder {
-    /// Makes the folder if need be and locks it until the value and its copies are dropped.
+    /// Creates the folder if necessary and locks it until this value and its clones are dropped.
     ///
-    /// Errors: `InUse` if another process holds it, `Storage` if the system refuses.
+    /// Errors: `InUse` if another process has locked it, `Storage` if a file operation fails.
     /// Example: `DiskFolder::lock(Path::new("data"))?`.
     pub fn lock(path: &Path) -> Result<DiskFolder, Report<RecordError>> {
-        make_lasting_folder(path).change_context(RecordError::Storage)?;
+        create_durable_folder(path).change_context(RecordError::Storage)?;
         let lock_file = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -67,8 +67,8 @@
     }
 }
 
-/// A folder that was made lasts only once its parent is synced.
-fn make_lasting_folder(path: &Path) -> io::Result<()> {
+/// Creates a folder and syncs its parent: only then is the new folder durable.
+fn create_durable_folder(path: &Path) -> io::Result<()> {
     if path.is_dir() {
         return Ok(());
     }
@@ -76,7 +76,7 @@
         Some(parent) if !parent.as_os_str().is_empty() => parent,
         _ => Path::new("."),
     };
-    make_lasting_folder(parent)?;
+    create_durable_folder(parent)?;
     match fs::create_dir(path) {
         Err(failure) if failure.kind() != io::ErrorKind::AlreadyExists => return Err(failure),
         _ => {}
@@ -84,7 +84,7 @@
     File::open(parent)?.sync_all()
 }
 
-fn unless_missing<T>(outcome: io::Result<T>) -> io::Result<Option<T>> {
+fn none_if_missing<T>(outcome: io::Result<T>) -> io::Result<Option<T>> {
     match outcome {
         Ok(value) => Ok(Some(value)),
         Err(failure) if failure.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -96,11 +96,11 @@
     type File = File;
 
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        unless_missing(fs::read(self.path.join(name)))
+        none_if_missing(fs::read(self.path.join(name)))
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
-        // Not truncated: after a loss of power the name may be a second one of the file in use.
+        // Not truncated: after a power failure the name may be a second link to the file in use.
         self.remove(name)?;
         OpenOptions::new().create_new(true).append(true).open(self.path.join(name))
     }
@@ -118,7 +118,7 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        unless_missing(fs::remove_file(self.path.join(name))).map(|_| ())
+        none_if_missing(fs::remove_file(self.path.join(name))).map(|_| ())
     }
 
     fn sync_names(&self) -> io::Result<()> {
--- a/packages/record_file/src/format_one.rs
+++ b/packages/record_file/src/format_one.rs
@@ -1,9 +1,9 @@
-//! Reads files of format 1: records of `length u32, checksum u32, body` behind the common head.
+//! Reads files of format 1: records of `length u32, checksum u32, body` after the common head.
 //!
-//! Such a file does not tell how far it was synced. A sound record behind an unreadable place may have been
-//! synced with it or not, so it counts as damage: a disk that may have lost synced records must not vote.
-//! A file is written in the newest format when it is opened, so this concerns the first start after
-//! an upgrade only.
+//! Format 1 does not record how far the file was synced. If a valid record follows an unreadable place, the
+//! unreadable bytes may have been synced, so this counts as damage: a disk that may have lost synced records
+//! must not vote. An opened file is rewritten in the newest format, so this concerns only the first start after an
+//! upgrade.
 
 use crate::framing::{COMMON_HEAD_LENGTH, read_u32};
 use crate::{RECORD_LIMIT, RecordError};
@@ -11,11 +11,11 @@
 
 const RECORD_HEADER_LENGTH: usize = 8;
 
-/// One sound record at `start`, with the offset behind it.
+/// The valid record at `start`, with the offset after it.
 fn record_at(file_bytes: &[u8], start: usize) -> Option<(&[u8], usize)> {
     let body_start = start.checked_add(RECORD_HEADER_LENGTH)?;
     let body_length = read_u32(file_bytes, start)? as usize;
-    // An empty record is never written: a tail of zeros is torn, not a row of records.
+    // An empty record is never written, so a tail of zeros is a torn tail and not a series of records.
     if body_length == 0 || body_length > RECORD_LIMIT {
         return None;
     }
@@ -24,9 +24,9 @@
     (Some(crc32fast::hash(body)) == read_u32(file_bytes, start + 4)).then_some((body, body_end))
 }
 
-/// The records in order; a torn tail is left out.
+/// The records in order, without a torn tail.
 ///
-/// Errors: `Damaged` if a sound record stands behind a place that cannot be read.
+/// Errors: `Damaged` if a valid record follows an unreadable place.
 pub(crate) fn read_records(file_bytes: &[u8]) -> Result<Vec<Vec<u8>>, Report<RecordError>> {
     let mut records = Vec::new();
     let mut offset = COMMON_HEAD_LENGTH;
@@ -34,8 +34,9 @@
         records.push(body.to_vec());
         offset = next_offset;
     }
-    let hides_records = (offset + 1..file_bytes.len()).any(|start| record_at(file_bytes, start).is_some());
-    match hides_records {
+    let has_later_records =
+        (offset + 1..file_bytes.len()).any(|start| record_at(file_bytes, start).is_some());
+    match has_later_records {
         true => Err(Report::new(RecordError::Damaged(offset as u64))),
         false => Ok(records),
     }
--- a/packages/record_file/src/framing.rs
+++ b/packages/record_file/src/framing.rs
@@ -1,42 +1,42 @@
-//! The bytes of the file (format 2), and what may be read after a loss of power.
+//! The file format (format 2), and which records are read after a loss of power.
 //!
-//! The file is a head and groups of records, one for each append. Integers are little-endian.
+//! The file consists of a head and groups of records, one group for each append. Integers are little-endian.
 //!
 //! - Head: the head common to all formats (`magic`, `format u32`, `fleet u64`, `disk u64`, `checksum u32`),
-//!   then `salt u64`, `base_length u64`, `checksum u32`. The salt is drawn for each file. All bytes up to
+//!   then `salt u64`, `base_length u64`, `checksum u32`. The salt is random for each file. All bytes up to
 //!   `base_length` were synced before the file got its name.
-//! - Group: `offset u64` (its own place), `synced_length u64`, `body_length u64`,
+//! - Group: `offset u64` (of the group itself), `synced_length u64`, `body_length u64`,
 //!   `body_checksum u32`, `header_checksum u32`, then the body: records of `length u32` and bytes. Both
 //!   checksums are salted.
 //!
-//! When power is lost each write since the last sync is found whole, missing or torn by itself, so a
-//! sound group behind an unreadable place proves nothing by its being there. What it does prove is its
-//! `synced_length`: the file had been synced up to there when the group was written. An unreadable place
-//! below that, or below the head's `base_length`, is therefore damage; every other one is the beginning of
-//! the torn tail, and nothing behind it is read. No place of a file is written twice, and old bytes of another file
-//! or of another place are none of its groups, by their salt and offset.
+//! After a loss of power each write since the last sync may independently be complete, missing or torn, so the
+//! presence of a valid group after an unreadable place does not prove that the place had been synced. Its
+//! `synced_length` does: the file had been synced up to there when the group was written. An unreadable place
+//! below that, or below the head's `base_length`, is therefore damage; any other one is the beginning of the torn
+//! tail, and nothing after it is read. No offset of a file is written twice, and the salt and the offset keep old
+//! bytes of another file or of another offset from being read as groups.
 //!
-//! Damage of the last synced bytes, with no later group, cannot be told from a torn tail.
+//! Damage to the last synced bytes, with no later group, cannot be distinguished from a torn tail.
 
 use crate::{RECORD_LIMIT, RecordError, format_one};
 use error_stack::Report;
 
 const FILE_MAGIC: &[u8; 8] = b"VANELANE";
 const FORMAT: u32 = 2;
-/// The head that all formats begin with.
+/// The length of the head that all formats begin with.
 pub(crate) const COMMON_HEAD_LENGTH: usize = 32;
 const FLEET_OFFSET: usize = 12;
 const HEAD_LENGTH: usize = 52;
 const GROUP_HEADER_LENGTH: usize = 32;
 
-/// What a file was found to hold.
+/// The content of a file that was read.
 #[derive(Debug)]
 pub(crate) struct Contents {
     pub disk: u64,
     pub records: Vec<Vec<u8>>,
 }
 
-/// Frames groups for one file.
+/// Encodes the groups of one file.
 #[derive(Clone, Debug)]
 pub(crate) struct Framer {
     salt: u64,
@@ -45,31 +45,31 @@
 }
 
 impl Framer {
-    /// A whole new file of these records, with the framer for what is appended to it.
-    pub(crate) fn whole(
+    /// The bytes of a new file with these records, and the framer for later appends.
+    pub(crate) fn new_file(
         fleet: u64,
         disk: u64,
         salt: u64,
         records: &[Vec<u8>],
     ) -> Result<(Framer, Vec<u8>), Report<RecordError>> {
-        let body = body_of(records)?;
+        let body = encode_body(records)?;
         let group_length = if body.is_empty() { 0 } else { GROUP_HEADER_LENGTH + body.len() };
         let base_length = (HEAD_LENGTH + group_length) as u64;
-        let mut whole_bytes = common_head(FORMAT, fleet, disk);
-        whole_bytes.extend_from_slice(&salt.to_le_bytes());
-        whole_bytes.extend_from_slice(&base_length.to_le_bytes());
-        let head_checksum = crc32fast::hash(&whole_bytes);
-        whole_bytes.extend_from_slice(&head_checksum.to_le_bytes());
+        let mut file_bytes = common_head(FORMAT, fleet, disk);
+        file_bytes.extend_from_slice(&salt.to_le_bytes());
+        file_bytes.extend_from_slice(&base_length.to_le_bytes());
+        let head_checksum = crc32fast::hash(&file_bytes);
+        file_bytes.extend_from_slice(&head_checksum.to_le_bytes());
         let length = HEAD_LENGTH as u64;
         let mut framer = Framer { salt, length, synced_length: length };
-        whole_bytes.extend(framer.frame(&body));
-        framer.all_synced();
-        Ok((framer, whole_bytes))
+        file_bytes.extend(framer.frame(&body));
+        framer.set_all_synced();
+        Ok((framer, file_bytes))
     }
 
     /// The bytes of a group of records to append. Example: `framer.group(&[b"one".to_vec()])?`.
     pub(crate) fn group(&mut self, records: &[Vec<u8>]) -> Result<Vec<u8>, Report<RecordError>> {
-        Ok(self.frame(&body_of(records)?))
+        Ok(self.frame(&encode_body(records)?))
     }
 
     fn frame(&mut self, body: &[u8]) -> Vec<u8> {
@@ -88,13 +88,13 @@
         group_bytes
     }
 
-    /// Bytes in the file once all that was framed is written.
+    /// The length of the file once all framed bytes are written.
     pub(crate) fn length(&self) -> u64 {
         self.length
     }
 
-    /// Notes that all that was framed is synced.
-    pub(crate) fn all_synced(&mut self) {
+    /// Records that all framed bytes are synced.
+    pub(crate) fn set_all_synced(&mut self) {
         self.synced_length = self.length;
     }
 }
@@ -106,7 +106,7 @@
     hasher.finalize()
 }
 
-fn body_of(records: &[Vec<u8>]) -> Result<Vec<u8>, Report<RecordError>> {
+fn encode_body(records: &[Vec<u8>]) -> Result<Vec<u8>, Report<RecordError>> {
     let mut body = Vec::with_capacity(records.iter().map(|record| record.len() + 4).sum());
     for record in records {
         if record.is_empty() || record.len() > RECORD_LIMIT {
@@ -149,7 +149,7 @@
     Ok(Contents { disk, records })
 }
 
-/// Whether synced bytes of a whole file cannot be read, whichever fleet's it is.
+/// Whether synced bytes of a file cannot be read, whichever fleet it belongs to.
 pub(crate) fn is_damaged(file_bytes: &[u8]) -> bool {
     let fleet = read_u64(file_bytes, FLEET_OFFSET).unwrap_or_default();
     let outcome = read_file(file_bytes, fleet);
@@ -160,12 +160,12 @@
     Report::new(RecordError::Damaged(offset as u64))
 }
 
-/// The format and the disk's id. The head was synced before the file got its name.
+/// The format and the disk id. The head was synced before the file got its name, so an unreadable head is damage.
 fn read_common_head(file_bytes: &[u8], fleet: u64) -> Result<(u32, u64), Report<RecordError>> {
-    let is_sound = file_bytes.get(..8) == Some(FILE_MAGIC)
+    let is_valid = file_bytes.get(..8) == Some(FILE_MAGIC)
         && file_bytes.get(..28).map(crc32fast::hash) == read_u32(file_bytes, 28);
     let (true, Some(format), Some(file_fleet), Some(disk)) =
-        (is_sound, read_u32(file_bytes, 8), read_u64(file_bytes, FLEET_OFFSET), read_u64(file_bytes, 20))
+        (is_valid, read_u32(file_bytes, 8), read_u64(file_bytes, FLEET_OFFSET), read_u64(file_bytes, 20))
     else {
         return Err(damaged_at(0));
     };
@@ -178,7 +178,7 @@
     Ok((format, disk))
 }
 
-/// The salt, and the length that was synced before the file got its name.
+/// The salt, and the length that had been synced before the file got its name.
 fn read_rest_of_head(file_bytes: &[u8]) -> Option<(u64, u64)> {
     let checksum = read_u32(file_bytes, HEAD_LENGTH - 4)?;
     if crc32fast::hash(file_bytes.get(..HEAD_LENGTH - 4)?) != checksum {
@@ -193,7 +193,7 @@
     body_checksum: u32,
 }
 
-/// The header at an offset, if one was written there.
+/// The group header at an offset, if a valid one is there.
 fn header_at(file_bytes: &[u8], offset: usize, salt: u64) -> Option<GroupHeader> {
     if read_u64(file_bytes, offset)? != offset as u64 {
         return None;
@@ -209,7 +209,7 @@
     })
 }
 
-/// The records of the group at an offset, with the offset behind it.
+/// The records of the group at an offset, with the offset after it.
 fn group_at(file_bytes: &[u8], offset: usize, salt: u64) -> Option<(Vec<Vec<u8>>, usize)> {
     let header = header_at(file_bytes, offset, salt)?;
     let body_start = offset + GROUP_HEADER_LENGTH;
--- a/packages/record_file/src/lib.rs
+++ b/packages/record_file/src/lib.rs
@@ -1,15 +1,15 @@
 //! An append-only file of checksummed records that is rewritten when it gets long.
 //!
-//! What was appended lasts once [`RecordFile::sync`] returned: it is found again after the end of the
-//! process and after a loss of power, at any moment, also during a rewrite or a recovery. What was not
-//! synced may be found, as far as it is whole from its beginning. Synced bytes that cannot be read are
-//! reported as [`RecordError::Damaged`] and the file is left as it is: such a disk must not vote.
+//! Appended records are durable once [`RecordFile::sync`] has returned: they survive the end of the process and a
+//! loss of power at any moment, also during a rewrite or a recovery. Of the records that were not synced, a
+//! prefix may be found again. Synced bytes that cannot be read are reported as [`RecordError::Damaged`] and the
+//! file is left unchanged: such a disk must not vote.
 //!
-//! - `framing`: the bytes, and what counts as a torn tail or as damage;
-//! - `format_one`: files of the format before;
-//! - `folder`: the file operations, in a trait that tests can fail at each step;
-//! - `record_file`: the file itself;
-//! - `quarantine`: a damaged file moved out of the way on an operator's word.
+//! - `framing`: the file format, and the distinction between a torn tail and damage;
+//! - `format_one`: reads files of the previous format;
+//! - `folder`: the file operations as a trait, so that tests can inject failures at each step;
+//! - `record_file`: the open file;
+//! - `quarantine`: renames a damaged file at an operator's request.
 
 mod folder;
 mod format_one;
@@ -23,7 +23,7 @@
 pub use record_error::RecordError;
 pub use record_file::{DAMAGED_NAME, FILE_NAME, Opened, REWRITE_NAME, RecordFile};
 
-/// The longest record body.
+/// The maximum length of a record's body, in bytes.
 pub const RECORD_LIMIT: usize = 16 * 1024 * 1024;
 
 #[cfg(test)]
--- a/packages/record_file/src/quarantine.rs
+++ b/packages/record_file/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Moving a damaged file out of the way, on an operator's word only.
+//! Renames a damaged file, at an operator's request only.
 
 use crate::folder::{DiskFolder, Folder};
 use crate::framing::is_damaged;
@@ -7,12 +7,13 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+/// The maximum number of damaged files kept in one folder.
 const QUARANTINE_LIMIT: usize = 1_000;
 
-/// Gives the folder's record file, if it is damaged, a name that it is not opened by, and returns the new
-/// path; the next open formats a new disk with a new id. `None` if the file is sound or there is none.
+/// Renames the folder's record file if it is damaged and returns the new path; the next open formats a new disk with
+/// a new id. `None` if the file is not damaged or does not exist.
 ///
-/// Errors: `InUse` while a node runs on the folder, `Storage` if there is no free name or the system refuses.
+/// Errors: `InUse` while a node uses the folder, `Storage` if there is no free name or a file operation fails.
 /// Example: `quarantine_damaged(Path::new("data"))? == Some(PathBuf::from("data/records.damaged-0"))`.
 pub fn quarantine_damaged(folder: &Path) -> Result<Option<PathBuf>, Report<RecordError>> {
     let locked_folder = DiskFolder::lock(folder)?;
@@ -29,8 +30,8 @@
     Ok(Some(folder.join(free_name)))
 }
 
-/// Whether a file of the folder was set aside: its state may be the fleet's last copy, so a node on this
-/// folder must not found a new state.
+/// Whether the folder has a quarantined file. Its state may be the fleet's last copy, so a node on this folder must
+/// not bootstrap a new state.
 ///
 /// Errors: the folder cannot be listed. Example: `has_quarantined(Path::new("data"))?`.
 pub fn has_quarantined(folder: &Path) -> io::Result<bool> {
--- a/packages/record_file/src/record_error.rs
+++ b/packages/record_file/src/record_error.rs
@@ -3,17 +3,17 @@
 /// Why the file cannot be used. Example: `RecordError::OtherFleet`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// The operating system refused.
+    /// A file operation failed.
     Storage,
-    /// Another process holds the folder.
+    /// Another process has locked the folder.
     InUse,
     /// The folder belongs to another fleet.
     OtherFleet,
-    /// A newer vanelane wrote the file.
+    /// The file was written by a newer version of vanelane.
     NewerFormat,
     /// Synced bytes are damaged at this offset.
     Damaged(u64),
-    /// A record is empty or over [`crate::RECORD_LIMIT`].
+    /// A record is empty or longer than [`crate::RECORD_LIMIT`].
     TooLong,
     /// An earlier write or sync failed: the file is not trusted until it is rewritten.
     Distrusted,
--- a/packages/record_file/src/record_file.rs
+++ b/packages/record_file/src/record_file.rs
@@ -1,4 +1,4 @@
-//! The open file: append, sync, rewrite, and the recovery at open.
+//! The open file: append, sync, rewrite, and the recovery when it is opened.
 
 use crate::RecordError;
 use crate::folder::{DiskFolder, Folder};
@@ -10,7 +10,7 @@
 pub const FILE_NAME: &str = "records";
 /// The name of a new file until it replaces the old one.
 pub const REWRITE_NAME: &str = "records.rewrite";
-/// What a damaged file is called once it was set aside, with a number behind it.
+/// The name of a quarantined file, without the number that follows.
 pub const DAMAGED_NAME: &str = "records.damaged-";
 
 /// An open record file. Example: `let (file, records) = RecordFile::open(folder, fleet_id)?;`.
@@ -19,7 +19,7 @@
     folder: F,
     fleet: u64,
     disk: u64,
-    /// `None` while the file is not trusted: nothing may be appended until a rewrite succeeded.
+    /// `None` while the file is not trusted: nothing may be appended until a rewrite has succeeded.
     writer: Option<Writer<F::File>>,
     rewritten_length: u64,
 }
@@ -36,7 +36,7 @@
 impl RecordFile {
     /// Locks the folder, then opens or formats its file and returns the records in order.
     ///
-    /// Errors: as [`RecordFile::open_in`], and `InUse` if another process holds the folder.
+    /// Errors: as [`RecordFile::open_in`], and `InUse` if another process has locked the folder.
     /// Example: `RecordFile::open(Path::new("data"), 7)` formats an empty folder with a new disk id.
     pub fn open(folder: &Path, fleet: u64) -> Result<Opened<DiskFolder>, Report<RecordError>> {
         RecordFile::open_in(DiskFolder::lock(folder)?, fleet)
@@ -44,28 +44,29 @@
 }
 
 impl<F: Folder> RecordFile<F> {
-    /// Reads the folder's file as [`RecordFile::read_in`] does, and writes what it read as a new file, so
-    /// that all of it lasts. If the disk refuses that, the file is returned without trust.
+    /// Reads the folder's file as [`RecordFile::read_in`] does, and rewrites it with the records that were read, so
+    /// that all of them are durable. If the rewrite fails, the file is returned untrusted.
     ///
     /// Errors: as [`RecordFile::read_in`]. Example: `RecordFile::open_in(folder, 7)?.0.is_trusted()`.
     pub fn open_in(folder: F, fleet: u64) -> Result<Opened<F>, Report<RecordError>> {
         let (mut file, records) = RecordFile::read_in(folder, fleet)?;
         if !file.is_trusted() {
-            // Without trust nothing is appended, and the caller sees it.
+            // On failure the file stays untrusted: the caller can see it, and appends are refused.
             let _ = file.rewrite(&records);
         }
         Ok((file, records))
     }
 
     /// Returns the records of the folder's file in order; those up to the last sync are always among them.
-    /// Nothing is written, so a disk that stalls holds nobody up, but that a folder without a file is formatted.
+    /// Nothing is written, so that a stalled disk does not block the caller; only a folder without a file is
+    /// formatted.
     ///
-    /// After the end of a process, or after a sync that failed, records may be readable and not be synced:
-    /// the file is not trusted, and its records must not be answered for, until a rewrite succeeded.
-    /// Only a file that was just formatted is trusted.
+    /// After the end of a process, or after a sync that failed, records may be readable without being synced:
+    /// the file is not trusted, and no response may depend on its records, until a rewrite has succeeded. Only a
+    /// file that was just formatted is trusted.
     ///
-    /// Errors: `Damaged` if synced bytes cannot be read (the file is left as it is), `OtherFleet`,
-    /// `NewerFormat`; `Storage` if the file cannot be read, or not be formatted.
+    /// Errors: `Damaged` if synced bytes cannot be read (the file is left unchanged), `OtherFleet`,
+    /// `NewerFormat`; `Storage` if the file cannot be read or formatted.
     /// Example: `let (mut file, records) = RecordFile::read_in(folder, 7)?; file.rewrite(&records)?;`.
     pub fn read_in(folder: F, fleet: u64) -> Result<Opened<F>, Report<RecordError>> {
         let found_bytes = folder.read(FILE_NAME).change_context(RecordError::Storage)?;
@@ -81,88 +82,87 @@
         Ok((file, contents.records))
     }
 
-    /// The disk's id, drawn when it was formatted. Example: `file.disk() != 0`.
+    /// The disk's id, chosen at random when it was formatted. Example: `file.disk() != 0`.
     pub fn disk(&self) -> u64 {
         self.disk
     }
 
-    /// Whether records may be appended; otherwise the file must be rewritten first.
+    /// Whether records may be appended; if not, the file must be rewritten first.
     /// Example: `file.is_trusted()`.
     pub fn is_trusted(&self) -> bool {
         self.writer.is_some()
     }
 
-    /// Bytes in the file; zero without trust. Example: `file.length() >= 52`.
+    /// The length of the file in bytes; zero if it is not trusted. Example: `file.length() >= 52`.
     pub fn length(&self) -> u64 {
         self.writer.as_ref().map_or(0, |writer| writer.framer.length())
     }
 
-    /// Whether the file has outgrown its last rewrite by `slack_bytes` and doubled.
+    /// Whether the file is longer than twice its length at the last rewrite plus `slack_bytes`.
     ///
     /// Example: `if file.wants_rewrite(1 << 20) { file.rewrite(&live)?; }`.
     pub fn wants_rewrite(&self, slack_bytes: u64) -> bool {
         self.length() > self.rewritten_length * 2 + slack_bytes
     }
 
-    /// Appends records as one group; they last only after [`RecordFile::sync`].
+    /// Appends records as one group; they are durable only after [`RecordFile::sync`].
     ///
-    /// Errors: `TooLong`, `Distrusted`, `Storage`; after the last the file is not trusted.
+    /// Errors: `TooLong`, `Distrusted`, `Storage`; after `Storage` the file is not trusted.
     /// Example: `file.append(&[body])?`.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), Report<RecordError>> {
         let Some(writer) = &mut self.writer else { return Err(Report::new(RecordError::Distrusted)) };
         let group_bytes = writer.framer.group(records)?;
         let outcome = self.folder.append(&mut writer.file, &group_bytes);
-        self.trust_if(outcome)
+        self.distrust_on_failure(outcome)
     }
 
-    /// Makes all that was appended last.
+    /// Makes all appended records durable.
     ///
-    /// Errors: `Distrusted`, `Storage`; after the latter the file is not trusted.
+    /// Errors: `Distrusted`, `Storage`; after `Storage` the file is not trusted.
     /// Example: `file.append(&group)?; file.sync()?;`.
     pub fn sync(&mut self) -> Result<(), Report<RecordError>> {
         let Some(writer) = &mut self.writer else { return Err(Report::new(RecordError::Distrusted)) };
         let outcome = self.folder.sync(&mut writer.file);
         if outcome.is_ok() {
-            writer.framer.all_synced();
+            writer.framer.set_all_synced();
         }
-        self.trust_if(outcome)
+        self.distrust_on_failure(outcome)
     }
 
-    fn trust_if(&mut self, outcome: std::io::Result<()>) -> Result<(), Report<RecordError>> {
+    fn distrust_on_failure(&mut self, outcome: std::io::Result<()>) -> Result<(), Report<RecordError>> {
         if outcome.is_err() {
             self.writer = None;
         }
         outcome.change_context(RecordError::Storage)
     }
 
-    /// Replaces the file by one that holds just `records`: it is synced before it takes the name, and the
-    /// name is synced before anything is appended to it. That also makes a file trusted again whose last
-    /// write or sync failed.
+    /// Replaces the file by one that holds only `records`: it is synced before it gets the name, and the name is
+    /// synced before anything is appended. This also restores trust in a file whose last write or sync failed.
     ///
-    /// Errors: `TooLong`, `Storage`. After an error the old file or the new one has the name, which
-    /// of the two is unknown, and the file is not trusted.
+    /// Errors: `TooLong`, `Storage`. After an error it is unknown whether the old or the new file has the name,
+    /// and the file is not trusted.
     /// Example: `file.rewrite(&live_records)?` keeps the disk id.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), Report<RecordError>> {
         self.writer = None;
-        match self.write_whole(records) {
+        match self.write_new_file(records) {
             Ok(writer) => {
                 self.rewritten_length = writer.framer.length();
                 self.writer = Some(writer);
                 Ok(())
             }
             Err(failure) => {
-                // What was written of the new file gives its room back.
+                // Frees the space of the incomplete new file.
                 let _ = self.folder.remove(REWRITE_NAME);
                 Err(failure)
             }
         }
     }
 
-    fn write_whole(&self, records: &[Vec<u8>]) -> Result<Writer<F::File>, Report<RecordError>> {
+    fn write_new_file(&self, records: &[Vec<u8>]) -> Result<Writer<F::File>, Report<RecordError>> {
         let salt = fastrand::u64(..);
-        let (framer, whole_bytes) = Framer::whole(self.fleet, self.disk, salt, records)?;
+        let (framer, file_bytes) = Framer::new_file(self.fleet, self.disk, salt, records)?;
         let mut file = self.folder.create(REWRITE_NAME).change_context(RecordError::Storage)?;
-        self.folder.append(&mut file, &whole_bytes).change_context(RecordError::Storage)?;
+        self.folder.append(&mut file, &file_bytes).change_context(RecordError::Storage)?;
         self.folder.sync(&mut file).change_context(RecordError::Storage)?;
         self.folder.rename(REWRITE_NAME, FILE_NAME).change_context(RecordError::Storage)?;
         self.folder.sync_names().change_context(RecordError::Storage)?;
--- a/packages/record_file/src/tests.rs
+++ b/packages/record_file/src/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn records_last_and_a_torn_tail_is_cut() {
+fn synced_records_are_durable_and_a_torn_tail_is_dropped() {
     let folder = scratch_folder("torn");
     let (mut file, records) = open(&folder);
     assert!(records.is_empty());
@@ -34,13 +34,13 @@
     drop(file);
     let file_path = folder.join(FILE_NAME);
     let whole_bytes = fs::read(&file_path).expect("read");
-    // Every way the last record can be torn leaves the first.
+    // Wherever the last record is torn, the first one is still read.
     for torn_length in synced_length..whole_bytes.len() {
         fs::write(&file_path, &whole_bytes[..torn_length]).expect("tear");
         let (file, records) = open(&folder);
         assert_eq!((file.disk(), records), (first_disk, vec![b"one".to_vec()]));
     }
-    // A tail of zeros, as some file systems leave after power loss, is no record.
+    // A tail of zeros, as some file systems leave after a loss of power, is not read as a record.
     let zero_tail = [&whole_bytes[..], &[0; 64]].concat();
     fs::write(&file_path, &zero_tail).expect("zeros");
     let (_, records) = open(&folder);
@@ -53,17 +53,17 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Every single byte that was synced before the last group was written, changed or zeroed, is damage; the
-/// file is left as it is.
+/// A changed or zeroed byte that was synced before the last group was written must be reported as damage, at or
+/// before that byte.
 #[test]
-fn damage_below_what_a_later_group_knows_synced_is_told() {
+fn damage_below_the_synced_length_of_a_later_group_is_reported() {
     let records = [b"one".to_vec(), b"two".to_vec()];
-    let (mut framer, mut whole_bytes) = Framer::whole(FLEET, 5, 6, &records).expect("framed");
+    let (mut framer, mut whole_bytes) = Framer::new_file(FLEET, 5, 6, &records).expect("framed");
     whole_bytes.extend(framer.group(&[b"three".to_vec()]).expect("framed"));
-    framer.all_synced();
+    framer.set_all_synced();
     let synced_length = whole_bytes.len();
     whole_bytes.extend(framer.group(&[b"four".to_vec()]).expect("framed"));
-    let mut damages = 0;
+    let mut damaged_count = 0;
     for place in 0..synced_length {
         for changed in [0, whole_bytes[place] ^ 1, whole_bytes[place] ^ 0x80] {
             if changed == whole_bytes[place] {
@@ -76,19 +76,19 @@
                 matches!(error, RecordError::Damaged(at) if at <= place as u64),
                 "byte {place}: {error:?}"
             );
-            damages += 1;
+            damaged_count += 1;
         }
     }
-    assert!(damages > synced_length);
-    // What was never known to be synced is a torn tail.
+    assert!(damaged_count > synced_length);
+    // Bytes that no group records as synced are a torn tail.
     for place in synced_length..whole_bytes.len() {
         let mut torn_bytes = whole_bytes.clone();
         torn_bytes[place] ^= 1;
-        assert_eq!(read_file(&torn_bytes, FLEET).expect("sound").records.len(), 3);
+        assert_eq!(read_file(&torn_bytes, FLEET).expect("no damage").records.len(), 3);
     }
 }
 
-/// A sync between two appends is what makes a hole in the first one damage.
+/// A hole in the first of two appends is damage only if a sync between them made the first one durable.
 #[test]
 fn a_hole_is_damage_only_if_it_was_synced_before_the_next_append() {
     for is_synced in [false, true] {
@@ -117,26 +117,26 @@
     }
 }
 
-/// The records of a rewrite were synced before the file got its name: it is never torn.
+/// The records of a rewrite were synced before the file got its name, so a shorter file is damaged and not torn.
 #[test]
-fn a_rewritten_file_that_is_cut_is_damaged() {
-    let (_, whole_bytes) = Framer::whole(FLEET, 5, 6, &[b"one".to_vec()]).expect("framed");
+fn a_truncated_rewritten_file_is_damaged() {
+    let (_, whole_bytes) = Framer::new_file(FLEET, 5, 6, &[b"one".to_vec()]).expect("framed");
     for length in 0..whole_bytes.len() {
         let error = error_of(read_file(&whole_bytes[..length], FLEET));
         assert!(matches!(error, RecordError::Damaged(_)), "{length}: {error:?}");
     }
-    assert_eq!(read_file(&whole_bytes, FLEET).expect("sound").records, vec![b"one".to_vec()]);
+    assert_eq!(read_file(&whole_bytes, FLEET).expect("no damage").records, vec![b"one".to_vec()]);
 }
 
 #[test]
-fn a_damaged_file_is_left_as_it_is_until_it_is_set_aside() {
+fn a_damaged_file_is_unchanged_until_it_is_quarantined() {
     let folder = scratch_folder("damaged");
     let (mut file, _) = open(&folder);
     let first_disk = file.disk();
     file.rewrite(&[b"one".to_vec()]).expect("rewrite");
     assert_eq!(error_of(quarantine_damaged(&folder)), RecordError::InUse);
     drop(file);
-    assert_eq!(quarantine_damaged(&folder).expect("a sound file stays"), None);
+    assert_eq!(quarantine_damaged(&folder).expect("an undamaged file stays"), None);
     let file_path = folder.join(FILE_NAME);
     let mut damaged_bytes = fs::read(&file_path).expect("read");
     let last = damaged_bytes.len() - 1;
@@ -147,8 +147,8 @@
         assert_eq!(fs::read(&file_path).expect("read"), damaged_bytes);
     }
     assert!(!has_quarantined(&folder).expect("listed"));
-    let kept_path = quarantine_damaged(&folder).expect("renamed").expect("damaged");
-    assert_eq!(fs::read(kept_path).expect("read"), damaged_bytes);
+    let quarantine_path = quarantine_damaged(&folder).expect("renamed").expect("damaged");
+    assert_eq!(fs::read(quarantine_path).expect("read"), damaged_bytes);
     assert!(has_quarantined(&folder).expect("listed"));
     let (file, records) = open(&folder);
     assert!(records.is_empty() && file.disk() != first_disk);
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn a_file_of_format_one_is_read_and_written_anew() {
+fn a_file_of_format_one_is_read_and_rewritten_in_format_two() {
     let folder = scratch_folder("format-one");
     fs::create_dir_all(&folder).expect("a folder");
     let file_path = folder.join(FILE_NAME);
     let whole_bytes = format_one_file(&[b"one", b"two"]);
-    // Every way the last record can be torn leaves the first.
+    // Wherever the last record is torn, the first one is still read.
     for torn_length in whole_bytes.len() - 10..whole_bytes.len() {
         fs::write(&file_path, &whole_bytes[..torn_length]).expect("tear");
         let (file, records) = open(&folder);
@@ -186,7 +186,7 @@
     assert_eq!(fs::read(&file_path).expect("read")[8], 2);
     let (_, records) = open(&folder);
     assert_eq!(records, vec![b"one".to_vec(), b"two".to_vec(), b"three".to_vec()]);
-    // Damage to the first record may have lost the second, which may have been synced.
+    // Damage to the first record is reported, as the second one may have been synced.
     let mut damaged_bytes = whole_bytes;
     damaged_bytes[32 + 9] ^= 1;
     fs::write(&file_path, &damaged_bytes).expect("damage");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_rewrite_keeps_the_disk_and_the_live_records() {
+fn a_rewrite_keeps_the_disk_id_and_the_live_records() {
     let folder = scratch_folder("rewrite");
     let (mut file, _) = open(&folder);
     let disk = file.disk();
@@ -213,9 +213,9 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// After a loss of power a leftover may be a second name of the file in use.
+/// After a loss of power the rewrite's name may be a second link to the file in use.
 #[test]
-fn a_leftover_name_of_the_file_in_use_is_no_harm() {
+fn a_second_link_to_the_file_in_use_does_no_damage() {
     let folder = scratch_folder("linked");
     let (mut file, _) = open(&folder);
     file.append(&[b"one".to_vec()]).expect("append");
@@ -229,23 +229,23 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-const FOREIGN_FILES: u64 = 2_000;
-const FOREIGN_BYTES: u64 = 128;
+const RANDOM_FILES: u64 = 2_000;
+const RANDOM_BYTES: u64 = 128;
 
 #[test]
-fn no_file_makes_the_reader_panic() {
-    for number in 0..FOREIGN_FILES {
-        let read_foreign = |source: &mut arbtest::arbitrary::Unstructured| {
-            let foreign_bytes: Vec<u8> = source.arbitrary()?;
-            let _ = read_file(&foreign_bytes, FLEET);
+fn random_files_cause_no_panic() {
+    for number in 0..RANDOM_FILES {
+        let read_random_file = |source: &mut arbtest::arbitrary::Unstructured| {
+            let random_bytes: Vec<u8> = source.arbitrary()?;
+            let _ = read_file(&random_bytes, FLEET);
             for format in [1, 2] {
-                let _ = read_file(&[common_head(format, FLEET, 5), foreign_bytes.clone()].concat(), FLEET);
+                let _ = read_file(&[common_head(format, FLEET, 5), random_bytes.clone()].concat(), FLEET);
             }
-            // A sound head of format 2, and anything behind it.
-            let (_, whole_bytes) = Framer::whole(FLEET, 5, 6, &[]).expect("framed");
-            let _ = read_file(&[whole_bytes, foreign_bytes].concat(), FLEET);
+            // A valid head of format 2 followed by random bytes.
+            let (_, whole_bytes) = Framer::new_file(FLEET, 5, 6, &[]).expect("framed");
+            let _ = read_file(&[whole_bytes, random_bytes].concat(), FLEET);
             Ok(())
         };
-        arbtest::arbtest(read_foreign).seed((0x5eed_0002 + number) << 32 | FOREIGN_BYTES);
+        arbtest::arbtest(read_random_file).seed((0x5eed_0002 + number) << 32 | RANDOM_BYTES);
     }
 }
--- a/packages/record_file/tests/power_loss/history.rs
+++ b/packages/record_file/tests/power_loss/history.rs
@@ -1,4 +1,4 @@
-//! Histories of a record file, and what must be found after each of them.
+//! Sequences of operations on a record file, and which records must be read after each of them.
 
 use crate::memory_folder::MemoryFolder;
 use record_file::RecordFile;
@@ -8,52 +8,53 @@
 pub type Records = Vec<Vec<u8>>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
-    /// Appends a group of so many records.
+pub enum Operation {
+    /// Appends a group of this many records.
     Append(usize),
     Sync,
-    /// Rewrites the file with so many records.
+    /// Rewrites the file with this many records.
     Rewrite(usize),
 }
 
-/// A file that may be found: its records in order, of which the first must be there.
+/// A possible state of the file: a prefix of the written records that has at least the durable ones.
 #[derive(Clone, Debug)]
-struct Possible {
+struct PossibleFile {
     written: Records,
-    lasting: usize,
+    durable_count: usize,
 }
 
-/// What may be found after a loss of power, and what must.
+/// Which records may and which must be read after a loss of power.
 #[derive(Clone, Debug)]
 pub struct Expected {
-    possible: Vec<Possible>,
-    /// Known once the first open returned.
+    possible: Vec<PossibleFile>,
+    /// Known once the first open has returned.
     pub disk: Option<u64>,
     next_record: u8,
 }
 
 impl Expected {
     pub fn new() -> Expected {
-        let blank = Possible { written: Vec::new(), lasting: 0 };
-        Expected { possible: vec![blank], disk: None, next_record: 0 }
+        let empty = PossibleFile { written: Vec::new(), durable_count: 0 };
+        Expected { possible: vec![empty], disk: None, next_record: 0 }
     }
 
-    /// After a recovery that returned these records, they alone must be found.
+    /// After a recovery has returned these records, exactly these must be read.
     pub fn recovered(&mut self, records: &Records) {
-        self.possible = vec![Possible { written: records.clone(), lasting: records.len() }];
+        self.possible = vec![PossibleFile { written: records.clone(), durable_count: records.len() }];
     }
 
-    /// Why these records must not be found; `None` if they may.
-    pub fn complaint(&self, found: &Records) -> Option<String> {
-        let fits =
-            |possible: &Possible| found.len() >= possible.lasting && possible.written.starts_with(found);
+    /// Why these records must not be read; `None` if they may.
+    pub fn violation(&self, found: &Records) -> Option<String> {
+        let fits = |possible: &PossibleFile| {
+            found.len() >= possible.durable_count && possible.written.starts_with(found)
+        };
         match self.possible.iter().any(fits) {
             true => None,
             false => Some(format!("found {found:?}, possible {:?}", self.possible)),
         }
     }
 
-    fn fresh_records(&mut self, count: usize) -> Records {
+    fn new_records(&mut self, count: usize) -> Records {
         (0..count)
             .map(|_| {
                 self.next_record += 1;
@@ -62,26 +63,28 @@
             .collect()
     }
 
-    /// Does one operation; whether it succeeded.
-    pub fn action(&mut self, file: &mut RecordFile<MemoryFolder>, op: Op) -> bool {
-        match op {
-            Op::Append(count) => {
-                let records = self.fresh_records(count);
+    /// Performs one operation; returns whether it succeeded.
+    pub fn perform(&mut self, file: &mut RecordFile<MemoryFolder>, operation: Operation) -> bool {
+        match operation {
+            Operation::Append(count) => {
+                let records = self.new_records(count);
                 for possible in &mut self.possible {
                     possible.written.extend(records.iter().cloned());
                 }
                 file.append(&records).is_ok()
             }
-            Op::Sync => {
+            Operation::Sync => {
                 let is_synced = file.sync().is_ok();
                 if is_synced {
-                    self.possible.iter_mut().for_each(|possible| possible.lasting = possible.written.len());
+                    self.possible
+                        .iter_mut()
+                        .for_each(|possible| possible.durable_count = possible.written.len());
                 }
                 is_synced
             }
-            Op::Rewrite(count) => {
-                let written = self.fresh_records(count);
-                let rewritten = Possible { lasting: written.len(), written };
+            Operation::Rewrite(count) => {
+                let written = self.new_records(count);
+                let rewritten = PossibleFile { durable_count: written.len(), written };
                 self.possible.push(rewritten.clone());
                 let is_rewritten = file.rewrite(&rewritten.written).is_ok();
                 if is_rewritten {
@@ -93,21 +96,21 @@
     }
 }
 
-/// Opens the folder and does the operations; goes on after one that failed.
-pub fn run(folder: &MemoryFolder, history: &[Op]) -> Expected {
+/// Opens the folder and performs the operations; continues after one that failed.
+pub fn run(folder: &MemoryFolder, history: &[Operation]) -> Expected {
     let mut expected = Expected::new();
     if let Ok((mut file, _)) = RecordFile::open_in(folder.clone(), FLEET) {
         expected.disk = Some(file.disk());
-        for op in history {
-            expected.action(&mut file, *op);
+        for operation in history {
+            expected.perform(&mut file, *operation);
         }
     }
     expected
 }
 
-/// Histories of several shapes.
-pub fn shapes() -> Vec<Vec<Op>> {
-    use Op::{Append, Rewrite, Sync};
+/// The histories that are tested.
+pub fn histories() -> Vec<Vec<Operation>> {
+    use Operation::{Append, Rewrite, Sync};
     vec![
         vec![Append(1), Sync],
         vec![Append(1), Sync, Append(1), Append(1)],
--- a/packages/record_file/tests/power_loss/main.rs
+++ b/packages/record_file/tests/power_loss/main.rs
@@ -1,17 +1,18 @@
-//! Power lost at every step of small histories, with every subset of the unsynced writes and name changes and
-//! every tear point: all that was synced is found, in order, under the same disk id.
+//! A loss of power at every step of short histories, with every subset of the unsynced writes and name changes and
+//! every tear point: all synced records must be read, in order and under the same disk id.
 
 mod history;
 mod memory_folder;
 
-use history::{Expected, FLEET, Op, Records, run, shapes};
+use history::{Expected, FLEET, Operation, Records, histories, run};
 use memory_folder::{Fault, Files, MemoryFolder, WriteOutcome};
 use record_file::{FILE_NAME, RecordFile};
 
-/// Beyond so many combinations of fates one write is torn at a time, beside every plain fate of the others.
+/// Above this number of combinations of outcomes, only one write at a time is torn, combined with every plain outcome
+/// of the others.
 const COMBINATIONS_LIMIT: usize = 30_000;
 
-/// Cases that were tried, and those that broke the rule.
+/// The number of tested cases and of failed ones.
 #[derive(Debug, Default)]
 struct RunCounts {
     cases: usize,
@@ -20,7 +21,7 @@
 }
 
 impl RunCounts {
-    fn note(&mut self, outcome: Result<Records, String>) -> Option<Records> {
+    fn record(&mut self, outcome: Result<Records, String>) -> Option<Records> {
         self.cases += 1;
         match outcome {
             Ok(records) => Some(records),
@@ -32,48 +33,48 @@
         }
     }
 
-    fn assert_sound(&self, what: &str) {
+    fn assert_none_failed(&self, what: &str) {
         println!("{what}: {} cases, {} failed", self.cases, self.failed);
         assert_eq!(self.failed, 0, "of {} cases; the first: {:?}", self.cases, self.first_failure);
     }
 }
 
-/// Opens the files; what is found must be as expected.
+/// Opens the file; the records that are read must be among those expected.
 fn recover(folder: MemoryFolder, expected: &Expected) -> Result<Records, String> {
     let (file, found) = RecordFile::open_in(folder, FLEET)
         .map_err(|failure| format!("{:?}, expected {expected:?}", failure.current_context()))?;
     if expected.disk.is_some_and(|disk| disk != file.disk()) {
-        return Err("the disk has another id".to_owned());
+        return Err("the disk id has changed".to_owned());
     }
-    match expected.complaint(&found) {
+    match expected.violation(&found) {
         None => Ok(found),
-        Some(complaint) => Err(complaint),
+        Some(violation) => Err(violation),
     }
 }
 
-/// What was found is answered for: it lasts at once, and what is appended to it lasts with it.
-fn recover_and_go_on(files: &Files, expected: &Expected) -> Result<Records, String> {
+/// After a recovery the records that were read must be durable at once, and those appended later as well.
+fn recover_and_append(files: &Files, expected: &Expected) -> Result<Records, String> {
     let folder = MemoryFolder::with(files.clone());
     let found = recover(folder.clone(), expected)?;
-    let mut lasting = expected.clone();
-    lasting.recovered(&found);
-    recover(MemoryFolder::with(folder.files().after_full_loss()), &lasting)?;
+    let mut durable = expected.clone();
+    durable.recovered(&found);
+    recover(MemoryFolder::with(folder.files().after_full_loss()), &durable)?;
     let (mut file, _) = RecordFile::open_in(folder.clone(), FLEET).map_err(|failure| failure.to_string())?;
-    for op in [Op::Append(1), Op::Sync] {
-        lasting.action(&mut file, op);
+    for operation in [Operation::Append(1), Operation::Sync] {
+        durable.perform(&mut file, operation);
     }
-    recover(MemoryFolder::with(folder.files().after_full_loss()), &lasting)?;
+    recover(MemoryFolder::with(folder.files().after_full_loss()), &durable)?;
     Ok(found)
 }
 
-/// Combinations of one fate for each write.
+/// All combinations of one outcome for each write.
 fn combinations(choices: &[Vec<WriteOutcome>]) -> Vec<Vec<WriteOutcome>> {
     let mut found = vec![Vec::new()];
     for choice in choices {
         found = found
             .iter()
-            .flat_map(|begun| {
-                choice.iter().map(move |write_outcome| [&begun[..], &[*write_outcome]].concat())
+            .flat_map(|prefix| {
+                choice.iter().map(move |write_outcome| [&prefix[..], &[*write_outcome]].concat())
             })
             .collect();
     }
@@ -98,22 +99,22 @@
     one_torn.collect()
 }
 
-/// Every state that a loss of power may leave.
-fn losses(files: &Files, write_outcomes: fn(&[usize]) -> Vec<Vec<WriteOutcome>>) -> Vec<Files> {
-    let mut left = Vec::new();
+/// All states that a loss of power may leave.
+fn states_after_loss(files: &Files, write_outcomes: fn(&[usize]) -> Vec<Vec<WriteOutcome>>) -> Vec<Files> {
+    let mut remaining = Vec::new();
     for kept in files.name_choices() {
         for write_outcomes in write_outcomes(&files.unsynced(&kept, FILE_NAME)) {
-            left.push(files.after_power_loss(&kept, FILE_NAME, &write_outcomes));
+            remaining.push(files.after_power_loss(&kept, FILE_NAME, &write_outcomes));
         }
     }
-    left
+    remaining
 }
 
-/// The files, and what is expected of them, with the machine ended at each step of a history.
-fn cut_points(history: &[Op]) -> Vec<(Files, Expected)> {
-    let whole = MemoryFolder::default();
-    run(&whole, history);
-    (0..=whole.steps())
+/// The files and the expected records with the machine stopped at each step of a history.
+fn cut_points(history: &[Operation]) -> Vec<(Files, Expected)> {
+    let complete = MemoryFolder::default();
+    run(&complete, history);
+    (0..=complete.steps())
         .map(|steps| {
             let folder = MemoryFolder::ending_after(Files::default(), steps);
             let expected = run(&folder, history);
@@ -122,11 +123,11 @@
         .collect()
 }
 
-/// The files with the machine ended at each step of opening them.
+/// The files with the machine stopped at each step of opening them.
 fn recovery_cut_points(files: &Files) -> Vec<Files> {
-    let whole = MemoryFolder::with(files.clone());
-    let _ = RecordFile::open_in(whole.clone(), FLEET);
-    (0..=whole.steps())
+    let complete = MemoryFolder::with(files.clone());
+    let _ = RecordFile::open_in(complete.clone(), FLEET);
+    (0..=complete.steps())
         .map(|steps| {
             let folder = MemoryFolder::ending_after(files.clone(), steps);
             let _ = RecordFile::open_in(folder.clone(), FLEET);
@@ -136,100 +137,102 @@
 }
 
 #[test]
-fn every_loss_of_power_leaves_what_was_synced() {
+fn synced_records_survive_every_loss_of_power() {
     fastrand::seed(1);
     let mut run_counts = RunCounts::default();
-    for history in shapes() {
+    for history in histories() {
         for (files, expected) in cut_points(&history) {
-            for left in losses(&files, all_write_outcomes) {
-                run_counts.note(recover_and_go_on(&left, &expected));
+            for remaining in states_after_loss(&files, all_write_outcomes) {
+                run_counts.record(recover_and_append(&remaining, &expected));
             }
         }
     }
-    run_counts.assert_sound("one loss of power");
+    run_counts.assert_none_failed("one loss of power");
 }
 
 #[test]
-fn a_second_loss_of_power_in_the_recovery_loses_nothing_either() {
+fn synced_records_survive_a_second_loss_of_power_during_recovery() {
     fastrand::seed(2);
     let mut run_counts = RunCounts::default();
-    for history in shapes() {
+    for history in histories() {
         for (files, expected) in cut_points(&history) {
-            for left in losses(&files, plain_write_outcomes) {
-                for recovering in recovery_cut_points(&left) {
-                    for left_again in losses(&recovering, plain_write_outcomes) {
-                        run_counts.note(recover_and_go_on(&left_again, &expected));
+            for remaining in states_after_loss(&files, plain_write_outcomes) {
+                for recovering_files in recovery_cut_points(&remaining) {
+                    for remaining_again in states_after_loss(&recovering_files, plain_write_outcomes) {
+                        run_counts.record(recover_and_append(&remaining_again, &expected));
                     }
                 }
             }
         }
     }
-    run_counts.assert_sound("two losses of power");
+    run_counts.assert_none_failed("two losses of power");
 }
 
-/// When the process ends files stand as they are; the next process's answers must last nevertheless.
+/// The end of a process leaves unsynced writes readable: records that the next process reads must be durable
+/// nevertheless.
 #[test]
-fn what_is_read_after_the_end_of_a_process_lasts() {
+fn records_read_after_the_end_of_a_process_are_durable() {
     fastrand::seed(3);
     let mut run_counts = RunCounts::default();
-    for history in shapes() {
+    for history in histories() {
         for (files, expected) in cut_points(&history) {
-            run_counts.note(recover_and_go_on(&files, &expected));
-            for recovering in recovery_cut_points(&files) {
-                for left in losses(&recovering, plain_write_outcomes) {
-                    run_counts.note(recover_and_go_on(&left, &expected));
+            run_counts.record(recover_and_append(&files, &expected));
+            for recovering_files in recovery_cut_points(&files) {
+                for remaining in states_after_loss(&recovering_files, plain_write_outcomes) {
+                    run_counts.record(recover_and_append(&remaining, &expected));
                 }
             }
         }
     }
-    run_counts.assert_sound("the end of a process, then a loss of power");
+    run_counts.assert_none_failed("the end of a process, then a loss of power");
 }
 
-/// One operation fails, with its effect or without; what is acknowledged afterwards lasts.
+/// One operation fails, with or without having its effect: records that are acknowledged afterwards must be durable.
 #[test]
-fn one_failed_operation_loses_nothing() {
+fn one_failed_operation_loses_no_acknowledged_records() {
     fastrand::seed(4);
     let mut run_counts = RunCounts::default();
-    for history in shapes() {
-        let whole = MemoryFolder::default();
-        run(&whole, &history);
-        for step in 0..whole.steps() {
+    for history in histories() {
+        let complete = MemoryFolder::default();
+        run(&complete, &history);
+        for step in 0..complete.steps() {
             for has_effect in [false, true] {
                 let folder = MemoryFolder::failing(Files::default(), Fault { step, has_effect });
                 let expected = run(&folder, &history);
-                for left in losses(&folder.files(), plain_write_outcomes) {
-                    run_counts.note(recover_and_go_on(&left, &expected));
+                for remaining in states_after_loss(&folder.files(), plain_write_outcomes) {
+                    run_counts.record(recover_and_append(&remaining, &expected));
                 }
-                run_counts.note(recover_and_go_on(&folder.files(), &expected));
+                run_counts.record(recover_and_append(&folder.files(), &expected));
             }
         }
     }
-    run_counts.assert_sound("one failed operation");
+    run_counts.assert_none_failed("one failed operation");
 }
 
-/// A disk that refuses at open: the records are told, and nothing is appended before a rewrite.
+/// A disk that fails writes when the file is opened: the records are returned, and appends are refused until a
+/// rewrite has succeeded.
 #[test]
 fn a_file_that_cannot_be_written_at_open_is_not_trusted() {
     fastrand::seed(5);
     let folder = MemoryFolder::default();
-    let expected = run(&folder, &[Op::Append(2), Op::Sync]);
-    let whole = MemoryFolder::with(folder.files());
-    recover(whole.clone(), &expected).expect("sound");
-    for step in 0..whole.steps() {
+    let expected = run(&folder, &[Operation::Append(2), Operation::Sync]);
+    let complete = MemoryFolder::with(folder.files());
+    recover(complete.clone(), &expected).expect("no damage");
+    for step in 0..complete.steps() {
         let failing = MemoryFolder::failing(folder.files(), Fault { step, has_effect: false });
         let (mut file, found) = RecordFile::open_in(failing.clone(), FLEET).expect("readable");
         assert!(!file.is_trusted());
         assert!(file.append(&found).is_err());
         assert!(file.sync().is_err());
-        file.rewrite(&found).expect("the disk is sound again");
+        file.rewrite(&found).expect("the disk works again");
         file.sync().expect("trusted again");
         drop(file);
-        let left = MemoryFolder::with(failing.files().after_full_loss());
-        assert_eq!(recover(left, &expected).as_ref(), Ok(&found));
+        let remaining = MemoryFolder::with(failing.files().after_full_loss());
+        assert_eq!(recover(remaining, &expected).as_ref(), Ok(&found));
     }
 }
 
-/// Draws what a loss of power leaves, every fate by itself.
+/// A random state that a loss of power may leave, with an independent outcome for each write.
 fn random_loss(
     files: &Files,
     source: &mut arbtest::arbitrary::Unstructured,
@@ -243,32 +246,32 @@
     Ok(files.after_power_loss(&kept, FILE_NAME, &write_outcomes))
 }
 
-fn random_op(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Op> {
+fn random_operation(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Operation> {
     Ok(match source.int_in_range(0..=9)? {
-        0..=4 => Op::Append(source.int_in_range(1..=3)?),
-        5..=7 => Op::Sync,
-        _ => Op::Rewrite(source.int_in_range(0..=3)?),
+        0..=4 => Operation::Append(source.int_in_range(1..=3)?),
+        5..=7 => Operation::Sync,
+        _ => Operation::Rewrite(source.int_in_range(0..=3)?),
     })
 }
 
-/// A life of a disk: operations that fail, ends of the process and losses of power, again and again.
-fn live(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<()> {
+/// A random sequence of failed operations, ends of the process and losses of power on one disk.
+fn test_random_disk_history(source: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<()> {
     let mut files = Files::default();
     let mut expected = Expected::new();
     for _ in 0..source.int_in_range(1..=5)? {
         let fault = Fault { step: source.int_in_range(0..=30)?, has_effect: source.arbitrary()? };
         let folder = MemoryFolder::failing(files, fault);
         if let Ok((mut file, found)) = RecordFile::open_in(folder.clone(), FLEET) {
-            assert_eq!(expected.complaint(&found), None);
+            assert_eq!(expected.violation(&found), None);
             assert!(expected.disk.is_none_or(|disk| disk == file.disk()));
             if file.is_trusted() {
                 expected.recovered(&found);
                 expected.disk = Some(file.disk());
             }
             for _ in 0..source.int_in_range(0..=8)? {
-                expected.action(&mut file, random_op(source)?);
+                expected.perform(&mut file, random_operation(source)?);
             }
-            // A disk that was never trusted has told nobody its id.
+            // The id of a disk that was never trusted has not been reported to anyone.
             if file.is_trusted() {
                 expected.disk = Some(file.disk());
             }
@@ -278,20 +281,21 @@
             false => folder.files(),
         };
     }
-    let outcome = recover_and_go_on(&files, &expected);
+    let outcome = recover_and_append(&files, &expected);
     assert!(outcome.is_ok(), "{outcome:?}");
     Ok(())
 }
 
-const LIVES: u64 = 20_000;
-/// Bytes that a life is drawn from; arbtest takes the length from a seed's lower half.
-const LIFE_BYTES: u64 = 256;
+const RANDOM_HISTORIES: u64 = 20_000;
+/// The number of random bytes for one history; arbtest takes it from the lower half of the seed.
+const HISTORY_BYTES: u64 = 256;
 
-/// One given seed makes arbtest run a single case: each life has its own, so that all are the same each time.
+/// With a given seed arbtest runs a single case. Each history has its own seed, so that every run tests the same
+/// histories.
 #[test]
-fn whatever_happens_to_a_disk_acknowledged_records_last() {
-    for number in 0..LIVES {
+fn acknowledged_records_survive_random_faults() {
+    for number in 0..RANDOM_HISTORIES {
         fastrand::seed(number);
-        arbtest::arbtest(live).seed(number << 32 | LIFE_BYTES);
+        arbtest::arbtest(test_random_disk_history).seed(number << 32 | HISTORY_BYTES);
     }
 }
--- a/packages/record_file/tests/power_loss/memory_folder.rs
+++ b/packages/record_file/tests/power_loss/memory_folder.rs
@@ -1,5 +1,5 @@
-//! A folder in memory that can lose power: each write since the file's last sync, and each change of a name
-//! since the folder's last sync, is kept or lost by itself.
+//! A folder in memory that simulates a loss of power: each write since the file's last sync, and each change of a
+//! name since the folder's last sync, is independently kept or lost.
 
 use record_file::Folder;
 use std::cell::RefCell;
@@ -7,26 +7,26 @@
 use std::io;
 use std::rc::Rc;
 
-/// What became of one write that was not synced.
+/// What a loss of power leaves of one write that was not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Not there; a later write that is there leaves zeros in its place.
+    /// The write is lost; if a later write was kept, zeros are in its place.
     Missing,
-    /// The length is there, the bytes are zeros.
+    /// The file has the new length, but the bytes are zeros.
     Zeros,
-    /// The length is there, the bytes are old ones: those that stand before it in the file, again.
+    /// The file has the new length, but the bytes are old ones: a copy of those before the write.
     OldBytes,
     Whole,
-    /// So many first bytes.
+    /// Only the first bytes, of this number.
     First(usize),
-    /// So many first bytes, then zeros.
+    /// The first bytes, of this number, then zeros.
     FirstThenZeros(usize),
-    /// So many zeros, then the last bytes.
+    /// Zeros, of this number, then the last bytes.
     ZerosThenLast(usize),
 }
 
 impl WriteOutcome {
-    /// Every fate of a write: the plain ones, and each tear point.
+    /// All outcomes of a write: the plain ones, and each tear point.
     pub fn all(length: usize) -> Vec<WriteOutcome> {
         let torn = |place| {
             [
@@ -42,7 +42,7 @@
         vec![WriteOutcome::Missing, WriteOutcome::Zeros, WriteOutcome::OldBytes, WriteOutcome::Whole]
     }
 
-    fn leave(self, file_bytes: &mut Vec<u8>, place: usize, written: &[u8]) {
+    fn apply(self, file_bytes: &mut Vec<u8>, place: usize, written: &[u8]) {
         let (kept, length) = match self {
             WriteOutcome::Missing => return,
             WriteOutcome::OldBytes => {
@@ -80,7 +80,7 @@
         let mut synced = self.synced.clone();
         let mut place = synced.len();
         for (written, write_outcome) in self.unsynced.iter().zip(write_outcomes) {
-            write_outcome.leave(&mut synced, place, written);
+            write_outcome.apply(&mut synced, place, written);
             place += written.len();
         }
         Inode { synced, unsynced: Vec::new() }
@@ -99,7 +99,7 @@
 pub struct Files {
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
-    lasting_names: BTreeMap<String, usize>,
+    durable_names: BTreeMap<String, usize>,
     name_changes: Vec<NameChange>,
 }
 
@@ -112,21 +112,21 @@
         self.name_changes.push(NameChange { name: name.to_owned(), inode, is_creation });
     }
 
-    /// A new file endures by its own sync.
+    /// The sync of a new file also makes its name durable.
     fn sync_file(&mut self, inode: usize) {
         let synced = self.inodes[inode].view();
         self.inodes[inode] = Inode { synced, unsynced: Vec::new() };
-        let made =
+        let creation =
             self.name_changes.iter().position(|change| change.is_creation && change.inode == Some(inode));
-        let Some(made) = made else { return };
-        let name = self.name_changes[made].name.clone();
-        self.lasting_names.insert(name.clone(), inode);
-        let later = self.name_changes.split_off(made + 1);
+        let Some(creation) = creation else { return };
+        let name = self.name_changes[creation].name.clone();
+        self.durable_names.insert(name.clone(), inode);
+        let later = self.name_changes.split_off(creation + 1);
         self.name_changes.retain(|change| change.name != name);
         self.name_changes.extend(later);
     }
 
-    /// Every subset of the name changes that were not synced: which of them are kept.
+    /// All subsets of the unsynced name changes, each as flags of the changes that are kept.
     pub fn name_choices(&self) -> Vec<Vec<bool>> {
         (0..1_usize << self.name_changes.len())
             .map(|kept| (0..self.name_changes.len()).map(|place| kept >> place & 1 == 1).collect())
@@ -134,7 +134,7 @@
     }
 
     fn names_after(&self, kept: &[bool]) -> BTreeMap<String, usize> {
-        let mut names = self.lasting_names.clone();
+        let mut names = self.durable_names.clone();
         for (change, _) in self.name_changes.iter().zip(kept).filter(|(_, is_kept)| **is_kept) {
             match change.inode {
                 Some(inode) => names.insert(change.name.clone(), inode),
@@ -144,15 +144,15 @@
         names
     }
 
-    /// Lengths of the unsynced writes of a name's file, if these name changes are kept.
+    /// The lengths of the unsynced writes of the file with this name, if these name changes are kept.
     pub fn unsynced(&self, kept: &[bool], name: &str) -> Vec<usize> {
         let names = self.names_after(kept);
         let inode = names.get(name).map(|inode| &self.inodes[*inode]);
         inode.map_or_else(Vec::new, |inode| inode.unsynced.iter().map(Vec::len).collect())
     }
 
-    /// The files after a loss of power with these name changes kept, and these fates for the unsynced writes
-    /// of a name's file; those of other files are whole.
+    /// The files after a loss of power, with these name changes kept and these outcomes for the unsynced writes of the
+    /// file with this name; the writes of other files are kept whole.
     pub fn after_power_loss(&self, kept: &[bool], name: &str, write_outcomes: &[WriteOutcome]) -> Files {
         let names = self.names_after(kept);
         let chosen = names.get(name);
@@ -160,14 +160,14 @@
             Some(chosen) if *chosen == number => inode.after(write_outcomes),
             _ => inode.after(&vec![WriteOutcome::Whole; inode.unsynced.len()]),
         });
-        Files { inodes: inodes.collect(), lasting_names: names.clone(), names, name_changes: Vec::new() }
+        Files { inodes: inodes.collect(), durable_names: names.clone(), names, name_changes: Vec::new() }
     }
 
-    /// Nothing that was not synced remains.
+    /// The files after a loss of power that loses everything that was not synced.
     pub fn after_full_loss(&self) -> Files {
         let inodes = self.inodes.iter().map(|inode| inode.after(&[])).collect();
-        let names = self.lasting_names.clone();
-        Files { inodes, lasting_names: names.clone(), names, name_changes: Vec::new() }
+        let names = self.durable_names.clone();
+        Files { inodes, durable_names: names.clone(), names, name_changes: Vec::new() }
     }
 
     pub fn name_change_count(&self) -> usize {
@@ -175,7 +175,7 @@
     }
 }
 
-/// One operation that fails, with or without its effect; the others go on.
+/// One operation that fails, with or without having its effect; the others succeed.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub step: usize,
@@ -186,12 +186,12 @@
 struct Machine {
     files: Files,
     steps: usize,
-    /// No operation is carried out from this step on.
-    dead_from: Option<usize>,
+    /// From this step on no operation has an effect.
+    stopped_from: Option<usize>,
     fault: Option<Fault>,
 }
 
-/// A handle of the folder.
+/// A handle to the folder; clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFolder {
     machine: Rc<RefCell<Machine>>,
@@ -203,10 +203,10 @@
         MemoryFolder { machine: Rc::new(RefCell::new(machine)) }
     }
 
-    /// The machine ends after so many steps.
+    /// The machine stops after this many steps.
     pub fn ending_after(files: Files, steps: usize) -> MemoryFolder {
         let folder = MemoryFolder::with(files);
-        folder.machine.borrow_mut().dead_from = Some(steps);
+        folder.machine.borrow_mut().stopped_from = Some(steps);
         folder
     }
 
@@ -220,7 +220,7 @@
         self.machine.borrow().files.clone()
     }
 
-    /// Steps that were asked for.
+    /// The number of operations that were requested.
     pub fn steps(&self) -> usize {
         self.machine.borrow().steps
     }
@@ -229,7 +229,7 @@
         let mut machine = self.machine.borrow_mut();
         let step = machine.steps;
         machine.steps += 1;
-        if machine.dead_from.is_some_and(|dead_from| step >= dead_from) {
+        if machine.stopped_from.is_some_and(|stopped_from| step >= stopped_from) {
             return Err(io::Error::other("the machine has no power"));
         }
         match machine.fault.filter(|fault| fault.step == step) {
@@ -298,7 +298,7 @@
 
     fn sync_names(&self) -> io::Result<()> {
         self.step(|files| {
-            files.lasting_names = files.names.clone();
+            files.durable_names = files.names.clone();
             files.name_changes.clear();
             Ok(())
         })
