--- a/packages/configuration_schema/src/delta.rs
+++ b/packages/configuration_schema/src/delta.rs
@@ -106,7 +106,8 @@
         serde_json::from_slice(delta_bytes).ok()
     }
 
-    /// Turns the configuration that the delta is based on into the later one. Example: `delta.apply(&mut configuration)`.
+    /// Turns the configuration that the delta is based on into the later one.
+    /// Example: `delta.apply(&mut configuration)`.
     pub fn apply(&self, configuration: &mut Configuration) {
         apply_items(&self.quotas, &mut configuration.quotas);
         apply_items(&self.functions, &mut configuration.functions);
--- a/packages/configuration_schema/src/lib.rs
+++ b/packages/configuration_schema/src/lib.rs
@@ -83,7 +83,8 @@
         /// The maximum instance starts per second.
         #[serde(default)] starts_ceiling_per_second: Option<f64>,
     }
-    /// A function, which runs in instances. Example: `{"allowance": "busy", "cell_memory_mb": 600, "calls_at_once": 4}`.
+    /// A function, which runs in instances.
+    /// Example: `{"allowance": "busy", "cell_memory_mb": 600, "calls_at_once": 4}`.
     Function {
         /// The quota that it belongs to, as a leaf of the tree.
         #[serde(rename = "allowance")] quota: String,
