--- a/packages/fleet_simulator/benches/configuration_change.rs
+++ b/packages/fleet_simulator/benches/configuration_change.rs
@@ -1,6 +1,6 @@
-//! What one changed lane costs a node that has the generation before, at 100, 1,000 and 10,000 lanes: the parts
-//! that go by what changed, the body of the news, and taking the document whole as before. The same by item for
-//! one tenant that gets a key, at as many tenants.
+//! Cost of one changed route for a node that has the previous generation, at 100, 1,000 and 10,000 routes: the
+//! incremental parts, the body of the gossip item, and decoding the whole document. Incremental application is
+//! also measured for one tenant that gets a key, at as many tenants.
 //!
 //! `cargo bench -p fleet_simulator --bench configuration_change`
 
@@ -20,7 +20,7 @@
 const OWNER: u64 = 1;
 const READER: u64 = 2;
 
-/// Two generations that differ by one lane, in all the forms in which a node meets them.
+/// Two generations that differ by one route, in all forms that a node handles.
 struct Generations {
     old_stored: StoredConfiguration,
     new_stored: StoredConfiguration,
@@ -47,7 +47,7 @@
     json!({"allowances": {"all": {"weight": 1}}, "functions": functions, "lanes": rows})
 }
 
-/// What stands in the register; the schema's bounds, which are below the largest size here, are not asked.
+/// A stored configuration. It is not checked against the schema, whose bounds are below the largest size here.
 fn stored(generation: u64, document: &Value) -> StoredConfiguration {
     let text = json!({"generation": generation, "document": document, "recent": []}).to_string();
     StoredConfiguration::decode(text.as_bytes()).expect("a stored configuration")
@@ -81,14 +81,14 @@
     (old, delta)
 }
 
-/// The message that tells a colleague of the change, and that colleague's news before it.
-fn reported(generations: &Generations) -> (Message, Gossip) {
+/// The message that announces the change to a peer, and that peer's gossip state before it.
+fn announced_change(generations: &Generations) -> (Message, Gossip) {
     let mut owner = Gossip::new(7);
     owner.set_neighbours(OWNER, Neighbours::of_one_zone(vec![READER]));
     let body = |stored: &StoredConfiguration| Bytes(stored.encode());
     owner.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
-    let meaning = Bytes(generations.delta.encode());
-    owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), meaning);
+    let encoded_delta = Bytes(generations.delta.encode());
+    owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), encoded_delta);
     let known = peer_messages::List(vec![peer_messages::GossipVersion { topic: TOPIC.into(), sequence: 1 }]);
     let (_, sends) = owner.received(READER, Message::GossipRequest { known });
     let message = sends.into_iter().map(|(_, message)| message).next().expect("an answer");
@@ -120,11 +120,11 @@
     delta: &ConfigurationDelta,
 ) {
     let table = RouteTable::new(1, old);
-    let meaning = delta.encode();
+    let encoded_delta = delta.encode();
     let mut configuration = old.clone();
     group.bench_function(name, |bencher| {
         bencher.iter(|| {
-            let delta = ConfigurationDelta::decode(black_box(&meaning)).expect("a delta");
+            let delta = ConfigurationDelta::decode(black_box(&encoded_delta)).expect("a delta");
             delta.apply(&mut configuration);
             let mut next = table.clone();
             next.apply_changes(2, &configuration, std::slice::from_ref(&delta));
@@ -137,10 +137,10 @@
     let mut group = criterion.benchmark_group("news");
     for routes in SIZES {
         let generations = generations(routes);
-        let (message, _) = reported(&generations);
+        let (message, _) = announced_change(&generations);
         group.bench_function(BenchmarkId::new("the body", routes), |bencher| {
             bencher.iter_batched(
-                || (message.clone(), reported(&generations).1),
+                || (message.clone(), announced_change(&generations).1),
                 |(message, mut reader)| {
                     let (newer, _) = reader.received(OWNER, message);
                     assert_eq!(newer, [TOPIC]);
@@ -168,12 +168,12 @@
     group.finish();
 }
 
-fn bounded() -> Criterion {
+fn short_benchmark() -> Criterion {
     Criterion::default()
         .sample_size(20)
         .warm_up_time(Micros::from_millis(300).duration())
         .measurement_time(Micros::from_millis(1_500).duration())
 }
 
-criterion_group! { name = changes; config = bounded(); targets = by_item, gossip, whole }
+criterion_group! { name = changes; config = short_benchmark(); targets = by_item, gossip, whole }
 criterion_main!(changes);
--- a/packages/fleet_simulator/src/bin/grown_loss.rs
+++ b/packages/fleet_simulator/src/bin/grown_loss.rs
@@ -1,6 +1,6 @@
-//! What becomes of a grown fleet of small machines when most of its processes, or with `disks` as argument
-//! all of those with disks, are killed at once and start again after a second: second by second, how many functions have no steward, how many calls were answered,
-//! and what a node sends by kind of message.
+//! Behaviour of a large fleet of small machines when most of its processes, or with the argument `disks` all of
+//! those with disks, are killed at once and start again after a second. For each second it prints how many
+//! functions have no leader, how many calls ran, and the messages a node sends, by kind.
 
 use fleet_simulator::{LinkRates, Processors, Simulation, SimulationSettings};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 const NODES: usize = 77;
 const DISKS: usize = 8;
 const SECONDS: usize = 10;
-const CALLS_A_SECOND: f64 = 800.0;
+const CALLS_PER_SECOND: f64 = 800.0;
 
 fn main() {
     let settings = SimulationSettings {
@@ -24,9 +24,9 @@
     };
     let mut simulation = Simulation::new(settings, 1);
     println!("founded and settled: {}", simulation.bootstrap());
-    simulation.call_rate = CALLS_A_SECOND;
+    simulation.call_rate = CALLS_PER_SECOND;
     simulation.run_for(5.0);
-    second(&mut simulation, "before");
+    report_second(&mut simulation, "before");
     let is_disks = std::env::args().any(|argument| argument == "disks");
     let killed = |number: &usize| if is_disks { *number < DISKS } else { number % 8 < 5 };
     for number in (0..NODES).filter(killed) {
@@ -37,12 +37,12 @@
         simulation.start(number);
     }
     for number in 0..SECONDS {
-        second(&mut simulation, &format!("second {number}"));
+        report_second(&mut simulation, &format!("second {number}"));
     }
 }
 
-/// Lets a second pass and tells what was seen in it.
-fn second(simulation: &mut Simulation, name: &str) {
+/// Runs one second and prints what happened in it.
+fn report_second(simulation: &mut Simulation, name: &str) {
     let outcomes_before = simulation.outcomes;
     simulation.traffic = Some(BTreeMap::new());
     simulation.run_for(1.0);
--- a/packages/fleet_simulator/src/bin/grown_traffic.rs
+++ b/packages/fleet_simulator/src/bin/grown_traffic.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a grown fleet say to each other a second, by kind of message.
+//! Measures the messages per second between the nodes of a large fleet, by kind.
 
 use fleet_simulator::{Simulation, SimulationSettings};
 use std::collections::BTreeMap;
@@ -23,15 +23,15 @@
         simulation.bootstrap(),
         begun.elapsed().as_secs_f64()
     );
-    for calls_a_second in [0.0, 300.0, 800.0] {
-        simulation.call_rate = calls_a_second;
+    for calls_per_second in [0.0, 300.0, 800.0] {
+        simulation.call_rate = calls_per_second;
         simulation.run_for(3.0);
         simulation.traffic = Some(BTreeMap::new());
         let begun = Instant::now();
         simulation.run_for(SECONDS);
         let traffic = simulation.traffic.take().unwrap_or_default();
         let spent = begun.elapsed().as_secs_f64() / SECONDS / NODES as f64;
-        println!("{calls_a_second} calls a second; {spent:.4} s of this machine a node and second");
+        println!("{calls_per_second} calls a second; {spent:.4} s of this machine a node and second");
         println!("{:<18}{:>14}{:>14}", "a node and second", "messages", "bytes");
         let rate = |count: u64| count as f64 / SECONDS / NODES as f64;
         for (name, (count, bytes)) in &traffic {
--- a/packages/fleet_simulator/src/bin/simulate.rs
+++ b/packages/fleet_simulator/src/bin/simulate.rs
@@ -1,4 +1,4 @@
-//! Runs simulated scenarios over many seeds and tells what broke.
+//! Runs simulated scenarios over many seeds and prints the violated rules.
 
 use fleet_simulator::scenarios;
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,7 +79,7 @@
         let mut figures: Vec<(&str, Vec<f64>)> = Vec::new();
         let mut refusals: BTreeMap<String, u64> = BTreeMap::new();
         let mut broken_count = 0;
-        // For each rule in how many runs it was broken.
+        // Number of runs in which each rule was violated.
         let mut broken_rules: BTreeMap<&str, u64> = BTreeMap::new();
         for (seed, verdict) in verdicts {
             let Some(verdict) = verdict else { continue };
--- a/packages/fleet_simulator/src/control_scenarios.rs
+++ b/packages/fleet_simulator/src/control_scenarios.rs
@@ -1,5 +1,4 @@
-//! Control machines that are cut off, stand still or return, while operators go on ordering and
-//! reading at them all the while.
+//! Disk nodes that are cut off, freeze or return while operators go on sending orders and reads to them.
 
 use crate::operator_clients::OperatorClients;
 use crate::scenarios::{Trial, Verdict};
@@ -9,30 +8,30 @@
 use history_checker::OrderResponse;
 use monotonic_clock::Micros;
 
-/// How long a control machine is cut off.
+/// How long a disk node is cut off.
 const CUT_SECONDS: f64 = 20.0;
-/// Disk machines of the default fleet.
+/// Disk nodes of the default fleet.
 const DISK_NODES: [usize; 3] = [0, 1, 2];
 
-/// The disk nodes but one.
+/// The disk nodes except one.
 fn other_disk_nodes(victim: usize) -> Vec<usize> {
     DISK_NODES.into_iter().filter(|number| *number != victim).collect()
 }
 
-/// What the cut of a control machine loses, and what happens besides.
+/// Which links of a disk node a cut affects, and which faults are added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CutKind {
-    /// All between it and the other disk nodes, both ways.
+    /// All links between it and the other disk nodes, both ways.
     Full,
-    /// What it sends to the other disk nodes.
+    /// Its messages to the other disk nodes.
     OneWayOut,
-    /// What they send to it.
+    /// Their messages to it.
     OneWayIn,
-    /// All between it and every other node.
+    /// All links between it and every other node.
     FromEveryone,
-    /// Full; the seeds name only it, and some other nodes are restarted meanwhile.
+    /// As `Full`; the seeds name only this node, and some other nodes are restarted meanwhile.
     SeedsNameIt,
-    /// Full; it is restarted meanwhile, and then the other disk nodes one by one.
+    /// As `Full`; this node is restarted meanwhile, and then the other disk nodes one by one.
     BothRestarted,
 }
 
@@ -65,15 +64,15 @@
     }
 }
 
-/// A node is killed and started again half a second later, while the operators work.
+/// Kills a node and starts it again half a second later, while the operators work.
 fn restart(trial: &mut Trial, operator_clients: &mut OperatorClients, number: usize) {
     trial.simulation.kill_either_way(number);
     operator_clients.work(&mut trial.simulation, 0.5);
     trial.simulation.start(number);
 }
 
-/// One disk node is cut off from the other disk nodes for twenty seconds; orders and reads go to it and
-/// to others all the while, and meet it at its return.
+/// One disk node is cut off from the other disk nodes for twenty seconds; orders and reads go to it and to
+/// others throughout, and reach it as it returns.
 pub(crate) fn control_machine_cut_off(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let kind = CutKind::of(seed);
@@ -82,7 +81,7 @@
         .with_operators(2)
         .with_operator_at(victim)
         .reading_at(&[victim, (victim + 1) % 3, 3 + (seed % 7) as usize]);
-    // Nodes that restart without hearing a majority refuse what they get: told as a figure.
+    // Nodes that restart without a majority refuse calls; reported as a figure only.
     trial.checks.count_refusals = false;
     operator_clients.work(&mut trial.simulation, 3.0);
     kind.begin(&mut trial.simulation, victim);
@@ -111,13 +110,13 @@
     trial.simulation.set_seeds(&DISK_NODES);
     operator_clients.work(&mut trial.simulation, 3.0);
     operator_clients.close(&mut trial);
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     trial.verdict()
 }
 
-/// Whoever owns the configuration's key stands still, or runs at a tenth of its pace, amid orders: once
-/// it wakes its old writes take no effect, and nobody is told that they did.
+/// The owner of the configuration's key freezes, or runs at a tenth of its speed, amid orders. Once it resumes,
+/// its old writes must have no effect and must not be acknowledged.
 pub(crate) fn owner_frozen_amid_orders(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0xf0e2);
@@ -145,12 +144,12 @@
         operator_clients.work(&mut trial.simulation, rng.f64() * 2.0);
     }
     operator_clients.close(&mut trial);
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     trial.verdict()
 }
 
-/// Orders race on one version at both sides of a cut between the disk nodes, at the owner's above all.
+/// Orders race on one version on both sides of a cut between the disk nodes, often at the owner's side.
 pub(crate) fn orders_race_during_a_cut(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0xacc);
@@ -158,7 +157,7 @@
     for version in 0..5 {
         let victim = trial.simulation.configuration_owner().filter(|_| rng.bool());
         let victim = victim.unwrap_or(rng.usize(..3));
-        let (left, right) = sides_of_a_cut(victim, &mut rng);
+        let (left, right) = random_partition(victim, &mut rng);
         trial.simulation.cut(&left, &right);
         trial.simulation.run_for(rng.f64() * 1.5);
         let mut names = Vec::new();
@@ -174,14 +173,14 @@
         }
         trial.simulation.run_for(0.5 + rng.f64() * 5.0);
         trial.simulation.heal();
-        trial.must_have_one_winner(&names);
+        trial.require_one_accepted(&names);
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
-/// A disk node with one half of the others, and the rest.
-fn sides_of_a_cut(victim: usize, rng: &mut Rng) -> (Vec<usize>, Vec<usize>) {
+/// One disk node with a random half of the nodes without disks, and all other nodes.
+fn random_partition(victim: usize, rng: &mut Rng) -> (Vec<usize>, Vec<usize>) {
     let mut left = vec![victim];
     left.extend((3..10).filter(|_| rng.bool()));
     let right = (0..10).filter(|number| !left.contains(number)).collect();
@@ -189,32 +188,36 @@
 }
 
 impl Trial {
-    /// Of orders on one version exactly one is accepted in the end, and the others are refused.
-    pub(crate) fn must_have_one_winner(&mut self, names: &[String]) {
+    /// Exactly one of the orders on one version must be accepted; the others must be refused.
+    pub(crate) fn require_one_accepted(&mut self, names: &[String]) {
         let is_over = self
             .simulation
             .run_until(8.0, |simulation| names.iter().all(|name| simulation.is_order_over(name)));
-        self.must(is_over, "orders are answered clearly", &format!("{names:?} are not answered after 8 s"));
+        self.require(
+            is_over,
+            "orders are answered clearly",
+            &format!("{names:?} are not answered after 8 s"),
+        );
         let accepted: Vec<&String> =
             names.iter().filter(|name| self.simulation.is_order_accepted(name)).collect();
         let seen = format!("of {names:?} these were accepted: {accepted:?}");
         let is_one = accepted.len() == 1;
-        self.must(is_one, "one of the orders on a version is taken", &seen);
+        self.require(is_one, "one of the orders on a version is taken", &seen);
     }
 
-    /// An order is accepted within some seconds.
-    pub(crate) fn must_take(&mut self, plan: OrderPlan, seconds: f64) {
+    /// An order must be accepted within some seconds.
+    pub(crate) fn require_order_accepted(&mut self, plan: OrderPlan, seconds: f64) {
         let name = plan.order.clone();
         self.simulation.send_order(plan);
         let is_accepted =
             self.simulation.run_until(seconds, |simulation| simulation.is_order_accepted(&name));
         let seen = format!("{name}: {:?} after {seconds} s", self.simulation.order_response(&name));
-        self.must(is_accepted, "orders are answered clearly", &seen);
+        self.require(is_accepted, "orders are answered clearly", &seen);
     }
 }
 
-/// Orders meet a disk machine that was killed, cut off or frozen at its return, from a tenth of a second
-/// before it on, and are sent to it alone until it answers.
+/// Orders arrive at a disk node that was killed, cut off or frozen as it returns, from a tenth of a second
+/// before that, and go to it alone until it responds.
 pub(crate) fn orders_meet_a_returning_machine(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0x3ee7);
@@ -230,28 +233,34 @@
             _ => trial.simulation.freeze(victim, away),
         }
         trial.simulation.run_for(away / 2.0);
-        // Others order meanwhile, so that it returns with an older configuration.
+        // Another order is accepted meanwhile, so that the node returns with an older configuration.
         let meanwhile = OrderPlan::new(format!("away-{round}"), 5, Some(version), version + 1);
-        trial.must_take(meanwhile, 10.0);
+        trial.require_order_accepted(meanwhile, 10.0);
         version += 1;
         trial.simulation.run_for(away / 2.0 - 0.1);
-        let meeting = trial.meet(round, victim, version, &mut rng);
+        let names = trial.send_to_returning_node(round, victim, version, &mut rng);
         trial.simulation.run_for(0.1);
         match kind {
             0 => trial.simulation.start(victim),
             1 => trial.simulation.heal(),
             _ => {}
         }
-        trial.must_be_met(&meeting);
+        trial.require_one_accepted_one_refused(&names);
         version += 1;
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
 impl Trial {
-    /// Two orders on one version go to a node that is not back yet, and go on until it answers.
-    fn meet(&mut self, round: usize, victim: usize, version: u64, rng: &mut Rng) -> Vec<String> {
+    /// Sends two orders on one version to a node that is not back yet; they are repeated until it responds.
+    fn send_to_returning_node(
+        &mut self,
+        round: usize,
+        victim: usize,
+        version: u64,
+        rng: &mut Rng,
+    ) -> Vec<String> {
         let names: Vec<String> = (0..2).map(|number| format!("meet-{round}-{number}")).collect();
         for name in &names {
             let mut plan = OrderPlan::new(name.clone(), victim, Some(version), version + 1);
@@ -263,17 +272,17 @@
         names
     }
 
-    fn must_be_met(&mut self, names: &[String]) {
-        self.must_have_one_winner(names);
+    fn require_one_accepted_one_refused(&mut self, names: &[String]) {
+        self.require_one_accepted(names);
         let refused = names.iter().filter(|name| {
             matches!(self.simulation.order_response(name), Some(OrderResponse::RefusedVersion))
         });
         let is_one_refused = refused.count() == 1;
-        self.must(is_one_refused, "one of the orders on a version is taken", "none was refused");
+        self.require(is_one_refused, "one of the orders on a version is taken", "none was refused");
     }
 }
 
-/// Five disks, two of them cut off with a third of the nodes; orders go to both sides.
+/// Five disks; two of them are cut off together with a few other nodes, and orders go to both sides.
 pub(crate) fn two_control_machines_cut_off(seed: u64) -> Verdict {
     let settings = SimulationSettings { disks: 5, bootstrap_disks: 5, ..SimulationSettings::default() };
     let mut trial = Trial::bootstrapped(settings, seed);
@@ -291,22 +300,22 @@
     operator_clients.work(&mut trial.simulation, 2.0);
     trial.simulation.cut(&small, &large);
     operator_clients.work(&mut trial.simulation, CUT_SECONDS / 2.0);
-    // One on the small side restarts without a majority and must not go by what it remembers alone.
+    // A node on the minority side restarts without a majority and must not rely on its own stored state alone.
     restart(&mut trial, &mut operator_clients, small[1]);
     operator_clients.work(&mut trial.simulation, CUT_SECONDS / 2.0);
     trial.simulation.heal();
     operator_clients.work(&mut trial.simulation, 3.0);
     operator_clients.close(&mut trial);
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     trial.verdict()
 }
 
-/// Orders that meet one machine which no colleague reaches; more than it keeps waiting.
-const SPIKE: u64 = 300;
+/// Orders sent to one isolated node; more than it queues.
+const SPIKE_ORDERS: u64 = 300;
 
-/// A disk machine is cut off from everyone, and 300 orders come to it at once: none of them is refused
-/// for that, and none is taken before it is back.
+/// A disk node is cut off from every other node and receives 300 orders at once: it must accept none before it
+/// is back, and accept orders again afterwards.
 pub(crate) fn orders_crowd_at_a_cut_off_machine(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0xc0ffee);
@@ -314,7 +323,7 @@
     let victim = (seed % 3) as usize;
     CutKind::FromEveryone.begin(&mut trial.simulation, victim);
     trial.simulation.run_for(rng.f64() * 4.0);
-    let names: Vec<String> = (1..=SPIKE).map(|version| format!("crowd-{version}")).collect();
+    let names: Vec<String> = (1..=SPIKE_ORDERS).map(|version| format!("crowd-{version}")).collect();
     for (number, name) in names.iter().enumerate() {
         let mut plan = OrderPlan::new(name.clone(), victim, None, number as u64 + 1);
         plan.repeat = Repeat::SameNode;
@@ -324,9 +333,9 @@
     }
     trial.simulation.run_for(4.0);
     let is_any_taken = names.iter().any(|name| trial.simulation.is_order_accepted(name));
-    trial.must(!is_any_taken, "no second state", "a machine took an order by itself");
+    trial.require(!is_any_taken, "no second state", "a machine took an order by itself");
     trial.simulation.heal();
-    trial.must_settle();
-    trial.must_take(OrderPlan::new("after", victim, None, SPIKE + 1), 6.0);
+    trial.require_settled();
+    trial.require_order_accepted(OrderPlan::new("after", victim, None, SPIKE_ORDERS + 1), 6.0);
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/disk_scenarios.rs
+++ b/packages/fleet_simulator/src/disk_scenarios.rs
@@ -1,29 +1,29 @@
-//! Disks that fill up and stall, alone and two at once, and come back without anybody's help; disks
-//! that are wiped and disk machines that are replaced, one after the other.
+//! Disks that fill up or stall, one or two at once, and recover without intervention; disks that are wiped and
+//! machines that are replaced, one after the other.
 
 use crate::scenarios::{Trial, Verdict};
 use crate::{Simulation, SimulationSettings};
 use fastrand::Rng;
 use monotonic_clock::Micros;
 
-fn fill(trial: &mut Trial, number: usize, is_full: bool) {
+fn set_disk_full(trial: &mut Trial, number: usize, is_full: bool) {
     if let Some(disk) = trial.simulation.disk(number) {
         disk.is_full = is_full;
     }
 }
 
-/// A disk that was full votes again once there is room, and another may then be lost.
+/// A disk that was full votes again once it has room, and another may then be lost.
 pub(crate) fn disk_full_and_room_again(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let victim = (seed % 3) as usize;
-    fill(&mut trial, victim, true);
+    set_disk_full(&mut trial, victim, true);
     trial.simulation.run_for(1.0 + (seed % 7) as f64);
-    trial.must_accept(4, "one-full", 5.0);
-    fill(&mut trial, victim, false);
+    trial.require_accepted(4, "one-full", 5.0);
+    set_disk_full(&mut trial, victim, false);
     let votes = trial.simulation.run_until(12.0, |simulation| simulation.is_voting(victim));
-    trial.must(votes, "back within 12 s", "the disk has room again and no vote");
-    trial.must_settle();
-    trial.must_do_without((victim + 1) % 3, 2.0);
+    trial.require(votes, "back within 12 s", "the disk has room again and no vote");
+    trial.require_settled();
+    trial.require_tolerated_loss((victim + 1) % 3, 2.0);
     trial.verdict()
 }
 
@@ -31,18 +31,18 @@
     let mut trial = Trial::default(seed);
     let victims = [(seed % 3) as usize, ((seed + 1) % 3) as usize];
     for victim in victims {
-        fill(&mut trial, victim, true);
+        set_disk_full(&mut trial, victim, true);
         trial.simulation.run_for((seed % 5) as f64 * 0.2);
     }
     trial.simulation.send_marked_change(4, "none-can-take-it");
     trial.simulation.run_for(2.0 + (seed % 4) as f64);
     let is_taken = trial.simulation.is_accepted("none-can-take-it");
-    trial.must(!is_taken, "no acknowledged change lost", "a change was taken without a majority");
+    trial.require(!is_taken, "no acknowledged change lost", "a change was taken without a majority");
     for victim in victims {
-        fill(&mut trial, victim, false);
+        set_disk_full(&mut trial, victim, false);
     }
-    trial.must_settle();
-    trial.must_accept(5, "room-again", 6.0);
+    trial.require_settled();
+    trial.require_accepted(5, "room-again", 6.0);
     trial.verdict()
 }
 
@@ -55,13 +55,13 @@
         }
     }
     trial.simulation.run_for(8.0);
-    trial.must_settle();
-    trial.must_accept(5, "goes-on", 6.0);
+    trial.require_settled();
+    trial.require_accepted(5, "goes-on", 6.0);
     trial.verdict()
 }
 
-/// A voter is gone for good and two spares are there; whoever changes the set is killed, frozen or
-/// cut off again and again in the middle of the change.
+/// A voter is lost for good and two spare disks exist; the owner of the voter set's key is killed, frozen or
+/// cut off repeatedly in the middle of the change.
 pub(crate) fn vote_change_with_owner_lost(seed: u64) -> Verdict {
     let settings = SimulationSettings {
         disks: 5,
@@ -71,7 +71,7 @@
     };
     let mut trial = Trial::bootstrapped(settings, seed);
     let mut rng = Rng::with_seed(seed ^ 0x5e7);
-    trial.must_accept(6, "before", 4.0);
+    trial.require_accepted(6, "before", 4.0);
     trial.simulation.kill_either_way((seed % 3) as usize);
     trial.simulation.run_for(5.0 + rng.f64() * 2.0);
     for _ in 0..6 {
@@ -91,27 +91,28 @@
                 trial.simulation.run_for(span);
             }
             _ => {
-                // It goes on by itself with one other disk, beyond a cut.
-                let friend = (owner + 1 + rng.usize(..4)) % 5;
-                let others: Vec<usize> = (0..10).filter(|number| ![owner, friend].contains(number)).collect();
-                trial.simulation.cut(&[owner, friend], &others);
+                // It continues with one other disk node on its side of a cut.
+                let partner = (owner + 1 + rng.usize(..4)) % 5;
+                let others: Vec<usize> =
+                    (0..10).filter(|number| ![owner, partner].contains(number)).collect();
+                trial.simulation.cut(&[owner, partner], &others);
                 trial.simulation.run_for(span);
                 trial.simulation.heal();
             }
         }
         trial.simulation.run_for(rng.f64() * 0.6);
     }
-    // Six faults on end: refusals are told as a figure.
+    // Six faults in a row: refusals are reported as a figure only.
     trial.checks.count_refusals = false;
     let is_whole = trial.simulation.run_until(40.0, Simulation::has_whole_set);
-    trial.must(is_whole, "a lost disk is replaced", "the voter set is not whole");
-    trial.must_settle();
-    trial.must_accept(7, "after", 6.0);
+    trial.require(is_whole, "a lost disk is replaced", "the voter set is not whole");
+    trial.require_settled();
+    trial.require_accepted(7, "after", 6.0);
     trial.verdict()
 }
 
 impl Trial {
-    /// Each of these disk machines loses its disk, or is replaced by an empty one at a new address.
+    /// Each of these nodes loses its disk, or is replaced by an empty machine at a new address.
     fn wipe(&mut self, victims: &[usize], rng: &mut Rng) {
         for victim in victims {
             match rng.bool() {
@@ -119,13 +120,13 @@
                 false => self.simulation.replace_machine(*victim),
             }
         }
-        // Whoever starts is told where the seeds are now.
+        // Nodes that start receive the current addresses of the seeds.
         self.simulation.set_seeds(&[0, 1, 2]);
     }
 
-    /// Power of these is lost at the very moment at which a change is acknowledged, give or take a
-    /// fifth of a millisecond; they are back half a second later.
-    fn must_accept_then_lose_power(&mut self, number: usize, change_id: &str, victims: &[usize]) {
+    /// These nodes lose power at the moment a change is acknowledged, within a fifth of a millisecond, and are
+    /// back half a second later.
+    fn require_accepted_then_lose_power(&mut self, number: usize, change_id: &str, victims: &[usize]) {
         self.simulation.send_marked_change(number, change_id);
         for _ in 0..30_000 {
             if self.simulation.is_accepted(change_id) {
@@ -134,7 +135,7 @@
             self.simulation.run_for(0.000_2);
         }
         let is_accepted = self.simulation.is_accepted(change_id);
-        self.must(is_accepted, "changes are taken", &format!("{change_id} was not accepted"));
+        self.require(is_accepted, "changes are taken", &format!("{change_id} was not accepted"));
         for victim in victims {
             self.simulation.lose_power(*victim);
         }
@@ -144,15 +145,15 @@
         }
     }
 
-    /// These are started again; the set must be whole, with as many voters as before, within the time
-    /// for which they count as lost after that.
-    fn must_vote_again(&mut self, victims: &[usize]) {
+    /// Starts these nodes; the voter set must be complete, with as many voters as before, within the time for
+    /// which a returned machine still counts as lost (4 s).
+    fn require_voting_again(&mut self, victims: &[usize]) {
         let back_at = self.simulation.now();
         for victim in victims {
             self.simulation.start(*victim);
         }
         let is_whole = self.simulation.run_until(4.0, Simulation::has_whole_set);
-        self.must(is_whole, "votes within 4 s", "the voter set is not whole");
+        self.require(is_whole, "votes within 4 s", "the voter set is not whole");
         let passed = (self.simulation.now() - back_at) as f64 / 1e6;
         self.figures.push(("vote_seconds", passed));
         if passed < 2.0 {
@@ -161,29 +162,29 @@
     }
 }
 
-/// All three disk machines in turn, and the first once more, lose their disks or are replaced by
-/// empty ones, away for one to three seconds. Two seconds after it is back, or once it has its vote,
-/// power of the others is lost at an acknowledgement, and 1.5 s after that the next one goes.
+/// All three disk nodes in turn, and the first once more, lose their disks or are replaced by empty machines,
+/// and are down for one to three seconds. Two seconds after the node is back, or once its disk votes, the
+/// others lose power at an acknowledgement, and 1.5 s after that the next one is wiped.
 pub(crate) fn disks_wiped_in_turn(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0x317e);
-    // A handful for each of four herds.
+    // A few refusals for each of four load spikes.
     trial.checks.refusals_fixed = 20;
     for round in 0..4 {
         let victim = (seed as usize + round) % 3;
         trial.wipe(&[victim], &mut rng);
         trial.simulation.run_for(1.0 + rng.f64() * 2.0);
-        trial.must_vote_again(&[victim]);
+        trial.require_voting_again(&[victim]);
         let others: Vec<usize> = (0..3).filter(|number| *number != victim).collect();
-        trial.must_accept_then_lose_power(3 + round, &format!("wiped-{round}"), &others);
+        trial.require_accepted_then_lose_power(3 + round, &format!("wiped-{round}"), &others);
         trial.simulation.run_for(1.0);
     }
-    trial.must_settle();
-    trial.must_accept(8, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(8, "after", 6.0);
     trial.verdict()
 }
 
-/// Five voters and three spares; two voters at once lose their disks or are replaced, three times.
+/// Five voters and three spares; three times, two voters at once lose their disks or are replaced.
 pub(crate) fn two_of_five_wiped(seed: u64) -> Verdict {
     let settings = SimulationSettings { disks: 8, bootstrap_disks: 5, ..SimulationSettings::default() };
     let mut trial = Trial::bootstrapped(settings, seed);
@@ -195,19 +196,19 @@
         let Some((victims, others)) = voters.split_at_checked(2) else { break };
         trial.wipe(victims, &mut rng);
         trial.simulation.run_for(1.0 + rng.f64() * 2.0);
-        trial.must_vote_again(victims);
+        trial.require_voting_again(victims);
         let is_five = trial.simulation.voter_numbers().len() == 5;
-        trial.must(is_five, "votes within 4 s", "there are not five voters");
-        trial.must_accept_then_lose_power(8 + round % 2, &format!("wiped-{round}"), others);
+        trial.require(is_five, "votes within 4 s", "there are not five voters");
+        trial.require_accepted_then_lose_power(8 + round % 2, &format!("wiped-{round}"), others);
         trial.simulation.run_for(1.0);
     }
-    trial.must_settle();
-    trial.must_accept(9, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(9, "after", 6.0);
     trial.verdict()
 }
 
-/// Whoever changes the set is wiped itself, or the disk that is being taken in is, at any moment of the
-/// change: what was begun is finished, and then the next is taken in.
+/// The owner of the voter set's key, or the disk that is being added, is wiped at any moment of the change: the
+/// change must be completed, and then the next one.
 pub(crate) fn wiped_amid_a_vote_change(seed: u64) -> Verdict {
     let settings =
         SimulationSettings { disks: 8, bootstrap_disks: 5, rare: 60, ..SimulationSettings::default() };
@@ -215,15 +216,15 @@
     let mut rng = Rng::with_seed(seed ^ 0xa31d);
     trial.checks.count_refusals = false;
     for round in 0..3 {
-        trial.must_accept(8, &format!("before-{round}"), 6.0);
+        trial.require_accepted(8, &format!("before-{round}"), 6.0);
         let voters = trial.simulation.voter_numbers();
         let Some(first) = rng.choice(voters) else { break };
         trial.wipe(&[first], &mut rng);
         trial.simulation.run_for(1.0);
         trial.simulation.start(first);
-        // A change takes a few tenths of a second, some time in the next two.
+        // A change takes a few tenths of a second and begins within the next two seconds.
         let is_begun = trial.simulation.run_until_closely(4.0, Simulation::is_set_changing);
-        trial.must(is_begun, "votes within 4 s", "no change of the set was begun");
+        trial.require(is_begun, "votes within 4 s", "no change of the set was begun");
         trial.simulation.run_for(rng.f64() * 0.06);
         let owner = trial.simulation.voters_owner();
         let second = match rng.bool() {
@@ -232,10 +233,10 @@
         };
         trial.wipe(&[second], &mut rng);
         trial.simulation.run_for(1.0 + rng.f64());
-        trial.must_vote_again(&[second]);
+        trial.require_voting_again(&[second]);
     }
-    trial.must_settle();
-    trial.must_accept(9, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(9, "after", 6.0);
     trial.verdict()
 }
 
@@ -250,13 +251,13 @@
     }
 }
 
-/// A voter's synced records are damaged: a spare disk takes its vote. Then those of all voters are, and
-/// every node starts anew beside blank disks: nothing is founded, and once a majority can be read again
-/// all that was acknowledged is there.
+/// A voter's synced records are damaged: a spare disk must take its vote. Then those of all voters are damaged
+/// and every node restarts beside blank disks: no new state may be bootstrapped, and once a majority is
+/// readable again every acknowledged change must be present.
 pub(crate) fn disks_damaged(seed: u64) -> Verdict {
     let settings = SimulationSettings { disks: 7, ..SimulationSettings::default() };
     let mut trial = Trial::bootstrapped(settings, seed);
-    trial.must_accept(8, "before", 4.0);
+    trial.require_accepted(8, "before", 4.0);
     let voters = trial.simulation.voter_numbers();
     let Some(first) = voters.get(seed as usize % voters.len().max(1)).copied() else {
         return trial.verdict();
@@ -266,10 +267,10 @@
     let is_replaced = trial.simulation.run_until(40.0, |simulation| {
         simulation.has_whole_set() && !simulation.voter_numbers().contains(&first)
     });
-    trial.must(is_replaced, "a damaged disk is replaced", "a spare disk has not taken its vote");
+    trial.require(is_replaced, "a damaged disk is replaced", "a spare disk has not taken its vote");
     let voters = trial.simulation.voter_numbers();
-    trial.must_settle();
-    trial.must_accept(8, "replaced", 4.0);
+    trial.require_settled();
+    trial.require_accepted(8, "replaced", 4.0);
 
     trial.checks.count_refusals = false;
     trial.damage(&voters, true);
@@ -278,23 +279,27 @@
     trial.simulation.run_for(10.0);
     let is_bootstrapped =
         (0..10).filter_map(|number| trial.simulation.status(number)).any(|status| !status.voters.is_empty());
-    trial.must(!is_bootstrapped, "nothing is founded beside damaged disks", "a node goes by a new voter set");
+    trial.require(
+        !is_bootstrapped,
+        "nothing is founded beside damaged disks",
+        "a node goes by a new voter set",
+    );
     trial.damage(&voters[..2], false);
     voters[..2].iter().for_each(|number| trial.simulation.start(*number));
-    trial.must_settle();
-    trial.must_accept(9, "readable-again", 6.0);
+    trial.require_settled();
+    trial.require_accepted(9, "readable-again", 6.0);
     trial.verdict()
 }
 
-/// The lowest seeds carry no disk: the lowest that does founds the state.
+/// The lowest seeds have no disk: the lowest node with a disk bootstraps the state.
 pub(crate) fn lowest_seeds_without_disk(seed: u64) -> Verdict {
     let first_disk = 1 + (seed % 2) as usize;
     let settings = SimulationSettings { disks: 4, first_disk, ..SimulationSettings::default() };
     let mut trial = Trial::bootstrapped(settings, seed);
-    trial.must_accept(5, "founded", 4.0);
+    trial.require_accepted(5, "founded", 4.0);
     trial.simulation.kill_either_way(first_disk);
-    trial.must_accept(6, "one-down", 6.0);
+    trial.require_accepted(6, "one-down", 6.0);
     trial.simulation.start(first_disk);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/lib.rs
+++ b/packages/fleet_simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! A seeded simulator of a whole fleet: the very protocol code of the program, with a simulated
-//! network, disks, platform, cells, callers and operators, and the failures of the brief.
+//! Deterministic simulator of a whole fleet: the program's own protocol code with a simulated network, disks,
+//! platform, instances, callers and operators, under injected faults.
 //!
-//! The same seed gives the same history, byte for byte. What is seen goes into a history that
-//! `history_checker` judges after the fact.
+//! The same seed gives the same history, byte for byte. A run records a history, and `history_checker` checks
+//! it afterwards.
 
 mod acknowledgement_scenarios;
 mod catch_up_scenarios;
--- a/packages/fleet_simulator/src/machine_scenarios.rs
+++ b/packages/fleet_simulator/src/machine_scenarios.rs
@@ -1,10 +1,10 @@
-//! Machines that freeze in the middle of an act, clocks that run apart, and the brief's full size.
+//! Machines that freeze during an action, clocks that drift apart, and the specified full size.
 
 use crate::scenarios::{Trial, Verdict};
 use crate::{FreezeIn, SimulationSettings};
 use fastrand::Rng;
 
-/// Whoever does it next freezes while its start, stop, ticket, store or sync is on its way.
+/// The next node to do so freezes while its start, stop, permit, store or disk sync is on its way.
 pub(crate) fn frozen_in_the_act(seed: u64) -> Verdict {
     let mut trial =
         Trial::bootstrapped(SimulationSettings { idle_seconds: 3, ..SimulationSettings::default() }, seed);
@@ -14,11 +14,11 @@
     for round in 0..6 {
         let moment = moments[rng.usize(..moments.len())];
         trial.simulation.freeze_in = Some((moment, 0.5 + rng.f64() * 5.5));
-        // A jump of one function fills waitlists and asks for starts.
-        let crowded = format!("busy-{}", rng.usize(..4));
+        // A load spike at one function fills queues and causes starts.
+        let busy_function = format!("busy-{}", rng.usize(..4));
         for _ in 0..10 {
             for call in 0..8 {
-                trial.simulation.send_call((round + call) % 10, &crowded, 0);
+                trial.simulation.send_call((round + call) % 10, &busy_function, 0);
             }
             trial.simulation.run_for(0.1);
         }
@@ -27,17 +27,18 @@
         frozen_count += u32::from(trial.simulation.freeze_in.take().is_none());
     }
     trial.figures.push(("frozen", f64::from(frozen_count)));
-    trial.must(frozen_count > 0, "the failure came about", "no node was frozen in an act");
-    // A crowd meets deputies alone until the frozen steward's lease is over: told as a figure.
+    trial.require(frozen_count > 0, "the failure came about", "no node was frozen in an act");
+    // Until the frozen leader's lease ends, only fallback schedulers serve a load spike: refusals are reported
+    // as a figure only.
     trial.checks.count_refusals = false;
     trial.simulation.run_for(6.0);
-    trial.must_settle();
-    trial.must_accept(4, "thawed", 6.0);
+    trial.require_settled();
+    trial.require_accepted(4, "thawed", 6.0);
     trial.verdict()
 }
 
-/// Clocks run up to one in a hundred fast or slow, and stewards are cut off from the disks, so that
-/// terms end by the clocks alone.
+/// Clock rates are off by up to one percent, and leaders are cut off from the disks, so that terms end by the
+/// clocks alone.
 pub(crate) fn clocks_drift(seed: u64) -> Verdict {
     let mut trial =
         Trial::bootstrapped(SimulationSettings { clock_drift: 0.01, ..SimulationSettings::default() }, seed);
@@ -50,12 +51,12 @@
         trial.simulation.heal();
         trial.simulation.run_for(0.5 + rng.f64());
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
-/// 8 busy and 150 rare functions, 300 calls/s, twelve workers of one deployment or the other; a node
-/// and a disk node are killed and started again.
+/// 8 busy and 150 rare functions, 300 calls/s, twelve workers of one of two memory sizes; a node and a disk
+/// node are killed and started again.
 pub(crate) fn full_size(seed: u64) -> Verdict {
     let worker_memory = if seed.is_multiple_of(2) { 6_500 } else { 5_300 };
     let settings = SimulationSettings {
@@ -72,11 +73,11 @@
         trial.simulation.kill_either_way(victim);
         trial.simulation.run_for(3.0);
     }
-    trial.must_accept(3 + ((seed + 1) % 7) as usize, "one-down", 4.0);
+    trial.require_accepted(3 + ((seed + 1) % 7) as usize, "one-down", 4.0);
     for victim in victims {
         trial.simulation.start(victim);
     }
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/operator_clients.rs
+++ b/packages/fleet_simulator/src/operator_clients.rs
@@ -1,5 +1,5 @@
-//! Operators at work: each makes one order after another on the version that it knows of, and reads
-//! the configuration after a refusal; others read at chosen nodes all the while.
+//! Operator clients: each sends one order after another based on the version it knows, and reads the
+//! configuration after a refusal. Further reads go to chosen nodes throughout.
 
 use crate::Simulation;
 use crate::scenarios::Trial;
@@ -7,23 +7,23 @@
 use fastrand::Rng;
 use history_checker::ReadResponse;
 
-/// Between two looks of the operators at what was answered.
+/// Interval at which operators check for responses.
 const CHECK_SECONDS: f64 = 0.05;
-/// Between two orders of one operator.
-const ORDER_PAUSE: u64 = 300_000;
-/// Between two reads at each watched node.
-const READ_PAUSE: u64 = 400_000;
-/// Within this every order is answered clearly once all machines are back.
+/// Mean pause between two orders of one operator.
+const ORDER_PAUSE_MICROS: u64 = 300_000;
+/// Interval between two reads at each watched node.
+const READ_PAUSE_MICROS: u64 = 400_000;
+/// Every order has a definite response within this time once all machines are back.
 const CLEAR_WITHIN_SECONDS: f64 = 8.0;
 
 /// One operator.
 struct Operator {
     name: String,
-    /// The one node that it sends to, and goes on sending to; any node if none.
+    /// The only node that it sends orders to; `None` for a random node each time.
     only_node: Option<usize>,
     known_version: u64,
     order_count: u64,
-    /// The order that is not answered clearly yet, with its version.
+    /// The order without a definite response yet, with its version.
     current: Option<(String, u64)>,
     reading: Option<u64>,
     next_at: u64,
@@ -53,7 +53,7 @@
                 self.known_version = *version;
             }
             self.current = None;
-            self.next_at = simulation.now() + rng.u64(0..ORDER_PAUSE * 2);
+            self.next_at = simulation.now() + rng.u64(0..ORDER_PAUSE_MICROS * 2);
             if !is_accepted {
                 self.read(simulation, rng);
                 return;
@@ -70,7 +70,7 @@
     }
 
     fn read(&mut self, simulation: &mut Simulation, rng: &mut Rng) {
-        // A version is learnt anywhere, also by who orders at one node.
+        // Reads go to any node, also for an operator that sends its orders to one node.
         let node = rng.choice(simulation.up()).unwrap_or(0);
         self.reading = Some(simulation.send_read(node));
     }
@@ -90,7 +90,8 @@
     }
 }
 
-/// All operators of a trial. Example: `OperatorClients::new(seed).with_operators(2).reading_at(&[0, 4])`.
+/// All operator clients of a trial.
+/// Example: `OperatorClients::new(seed).with_operators(2).reading_at(&[0, 4])`.
 pub(crate) struct OperatorClients {
     operators: Vec<Operator>,
     read_at: Vec<usize>,
@@ -104,7 +105,7 @@
         OperatorClients { operators: Vec::new(), read_at: Vec::new(), next_read_at: 0, rng }
     }
 
-    /// Operators who send to any node, the next time to another.
+    /// Adds operators that send each order to a random node and repeat it at others.
     pub fn with_operators(mut self, count: usize) -> OperatorClients {
         for _ in 0..count {
             self.add(None);
@@ -112,13 +113,13 @@
         self
     }
 
-    /// An operator who sends to one node again and again.
+    /// Adds an operator that sends all its orders to one node.
     pub fn with_operator_at(mut self, node: usize) -> OperatorClients {
         self.add(Some(node));
         self
     }
 
-    /// Nodes that are asked for the configuration all the while.
+    /// Sets the nodes whose configuration is read throughout.
     pub fn reading_at(mut self, nodes: &[usize]) -> OperatorClients {
         self.read_at = nodes.to_vec();
         self
@@ -137,7 +138,7 @@
         });
     }
 
-    /// Lets the operators work for some seconds. Example: `operator_clients.work(&mut trial.simulation, 20.0)`.
+    /// Runs the operators for some seconds. Example: `operator_clients.work(&mut trial.simulation, 20.0)`.
     pub fn work(&mut self, simulation: &mut Simulation, seconds: f64) {
         let end = simulation.now() + (seconds * 1e6) as u64;
         while simulation.now() < end {
@@ -154,7 +155,7 @@
         if simulation.now() < self.next_read_at || is_closing {
             return;
         }
-        self.next_read_at = simulation.now() + READ_PAUSE;
+        self.next_read_at = simulation.now() + READ_PAUSE_MICROS;
         for node in &self.read_at {
             simulation.send_read(*node);
         }
@@ -164,7 +165,8 @@
         self.operators.iter().all(|operator| operator.current.is_none() && operator.reading.is_none())
     }
 
-    /// No new orders are made; all machines are back, and what is open must be answered clearly soon.
+    /// Sends no new orders and requires a definite response to each open one soon; all machines are back by
+    /// now.
     pub fn close(&mut self, trial: &mut Trial) {
         let end = trial.simulation.now() + (CLEAR_WITHIN_SECONDS * 1e6) as u64;
         while !self.is_idle() && trial.simulation.now() < end {
@@ -174,7 +176,7 @@
         let open: Vec<&String> =
             self.operators.iter().filter_map(|operator| Some(&operator.current.as_ref()?.0)).collect();
         let seen = format!("{open:?} had no clear answer {CLEAR_WITHIN_SECONDS} s after all were back");
-        trial.must(open.is_empty(), "orders are answered clearly", &seen);
+        trial.require(open.is_empty(), "orders are answered clearly", &seen);
         trial
             .figures
             .push(("orders", self.operators.iter().map(|operator| operator.order_count as f64).sum()));
--- a/packages/fleet_simulator/src/order_scenarios.rs
+++ b/packages/fleet_simulator/src/order_scenarios.rs
@@ -1,33 +1,34 @@
-//! Orders that are under way at once, race on one version, or are sent again after a lost answer.
+//! Orders that are in progress at once, race on one version, or are sent again after a lost response.
 
 use crate::scenarios::{Trial, Verdict};
 use crate::sim_operators::OrderPlan;
 use fastrand::Rng;
 use monotonic_clock::Micros;
 
-/// Orders that operators have under way at once.
-const AT_ONCE: u64 = 8;
+/// Orders in progress at once.
+const CONCURRENT_ORDERS: u64 = 8;
 
-/// Which of eight orders may have a fault of its own.
-const FAULTY: usize = 3;
+/// Index of the order, of eight, that may be invalid.
+const INVALID_ORDER_INDEX: usize = 3;
 
-/// Eight orders at once with rising versions, or all on one version, ten times; a node is killed and
-/// started again amid some.
+/// Eight orders at once with rising versions, or all on one version, ten times; in some rounds a node is killed
+/// and started again.
 pub(crate) fn eight_orders_at_once(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0x8a71);
     let mut version = 0;
     for round in 0..10 {
         let is_race = rng.bool();
-        let names: Vec<String> = (0..AT_ONCE).map(|number| format!("eight-{round}-{number}")).collect();
+        let names: Vec<String> =
+            (0..CONCURRENT_ORDERS).map(|number| format!("eight-{round}-{number}")).collect();
         for (number, name) in names.iter().enumerate() {
             let (expected, next) = match is_race {
                 true => (Some(version), version + 1),
                 false => (None, version + 1 + number as u64),
             };
             let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), expected, next);
-            // One of the middle now and then has a fault of its own.
-            plan.is_proper = is_race || number != FAULTY || rng.bool();
+            // One order in the middle is invalid in some rounds.
+            plan.is_proper = is_race || number != INVALID_ORDER_INDEX || rng.bool();
             trial.simulation.send_order(plan);
         }
         trial.simulation.run_for(rng.f64() * 0.02);
@@ -38,26 +39,26 @@
         let is_over = trial
             .simulation
             .run_until(10.0, |simulation| names.iter().all(|name| simulation.is_order_over(name)));
-        trial.must(is_over, "orders are answered clearly", "eight orders were not answered after 10 s");
+        trial.require(is_over, "orders are answered clearly", "eight orders were not answered after 10 s");
         match is_race {
-            true => trial.must_have_one_winner(&names),
+            true => trial.require_one_accepted(&names),
             false => {
                 let is_highest_taken = trial.simulation.is_order_accepted(&names[names.len() - 1]);
-                trial.must(is_highest_taken, "proper orders are taken", "the highest version was refused");
+                trial.require(is_highest_taken, "proper orders are taken", "the highest version was refused");
             }
         }
-        version += if is_race { 1 } else { AT_ONCE };
+        version += if is_race { 1 } else { CONCURRENT_ORDERS };
         if let Some(victim) = victim {
             trial.simulation.start(victim);
-            trial.must_settle();
+            trial.require_settled();
         }
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
-/// Two operators are always both on one version, within a few milliseconds, at one node or at two, with
-/// disks that lose their power and answers that are lost now and then.
+/// Two operators always send orders on the same version within a few milliseconds, at one node or two; some
+/// disks lose power and some responses are lost.
 pub(crate) fn orders_race_on_one_version(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0x2ace);
@@ -74,52 +75,57 @@
         if version % 8 == 7 {
             let victim = trial.simulation.configuration_owner().unwrap_or(rng.usize(..3));
             trial.simulation.kill_either_way(victim);
-            trial.must_have_one_winner(&names);
+            trial.require_one_accepted(&names);
             trial.simulation.start(victim);
-            trial.must_settle();
+            trial.require_settled();
             continue;
         }
-        trial.must_have_one_winner(&names);
+        trial.require_one_accepted(&names);
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
-/// What happens between an order's first sending and the next.
+/// What happens between the first attempt of an order and the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Between {
+enum Interruption {
     Nothing,
-    /// The owner of the configuration's key is killed, and back two seconds later.
+    /// The owner of the configuration's key is killed and is back two seconds later.
     OwnerKilled,
     /// Every node is killed and started again.
     AllRestarted,
-    /// The order is sent again after a few milliseconds, before the first sending is settled.
+    /// The order is sent again after a few milliseconds, before the first attempt is settled.
     SentAtOnce,
 }
 
-/// Half of all answers are lost, and orders are sent again to other nodes: across a change of the
-/// owner, a restart of everything, and before the first is settled. Older ones are sent again as well.
+/// Half of all responses are lost, and orders are sent again to other nodes: across a change of the owner, a
+/// restart of all nodes, and before the first attempt is settled. Older orders are sent again as well.
 pub(crate) fn lost_answers_repeated(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = Rng::with_seed(seed ^ 0x105e);
     trial.checks.count_refusals = false;
     trial.simulation.lose_responses(0.5);
-    let kinds = [Between::Nothing, Between::OwnerKilled, Between::AllRestarted, Between::SentAtOnce];
+    let kinds = [
+        Interruption::Nothing,
+        Interruption::OwnerKilled,
+        Interruption::AllRestarted,
+        Interruption::SentAtOnce,
+    ];
     for version in 0..12 {
-        let between = kinds[(seed as usize + version as usize) % kinds.len()];
+        let interruption = kinds[(seed as usize + version as usize) % kinds.len()];
         let name = format!("lost-{version}");
         let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), Some(version), version + 1);
         plan.wanted_for = Micros::from_secs(60);
-        if between == Between::SentAtOnce {
+        if interruption == Interruption::SentAtOnce {
             plan.silence = Micros::from_millis(1 + rng.u64(..12));
         }
         trial.simulation.send_order(plan);
         trial.simulation.run_for(0.001 + rng.f64() * 0.03);
-        trial.interrupt(between);
+        trial.interrupt(interruption);
         let is_accepted = trial.simulation.run_until(20.0, |simulation| simulation.is_order_accepted(&name));
-        let seen = format!("{name} ({between:?}): {:?}", trial.simulation.order_response(&name));
-        trial.must(is_accepted, "a proper order is taken", &seen);
-        // Another operator repeats what he ordered long ago.
+        let seen = format!("{name} ({interruption:?}): {:?}", trial.simulation.order_response(&name));
+        trial.require(is_accepted, "a proper order is taken", &seen);
+        // Older orders are sent again.
         for _ in 0..2 {
             let older = format!("lost-{}", rng.u64(..=version));
             let node = rng.usize(..10);
@@ -127,21 +133,21 @@
         }
         trial.simulation.run_for(1.6);
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
 impl Trial {
-    fn interrupt(&mut self, between: Between) {
-        match between {
-            Between::Nothing | Between::SentAtOnce => {}
-            Between::OwnerKilled => {
+    fn interrupt(&mut self, interruption: Interruption) {
+        match interruption {
+            Interruption::Nothing | Interruption::SentAtOnce => {}
+            Interruption::OwnerKilled => {
                 let Some(owner) = self.simulation.configuration_owner() else { return };
                 self.simulation.kill_either_way(owner);
                 self.simulation.run_for(2.0);
                 self.simulation.start(owner);
             }
-            Between::AllRestarted => {
+            Interruption::AllRestarted => {
                 for number in 0..10 {
                     self.simulation.kill_either_way(number);
                 }
--- a/packages/fleet_simulator/src/processors.rs
+++ b/packages/fleet_simulator/src/processors.rs
@@ -1,5 +1,5 @@
-//! Processor time of simulated machines: a node does one piece of work after the other, each takes time by
-//! its kind at the machine's share of a core, and what comes meanwhile waits in order.
+//! Processor time of simulated machines: a node handles one event at a time, each takes time by its kind and
+//! the machine's share of a core, and events that arrive meanwhile wait in order.
 
 use crate::simulation::{Simulation, SimulationEvent};
 use node_protocol::{Action, Event};
@@ -7,38 +7,38 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Processor time of machines in thousandths of a core. Example: `Processors { with_disk: 260, others: 62 }`.
+/// Processor share of machines, in thousandths of a core. Example: `Processors { with_disk: 260, others: 62 }`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Processors {
-    /// Of machines with a disk.
+    /// Share of machines with a disk.
     pub with_disk: u32,
-    /// Of all others.
+    /// Share of all other machines.
     pub others: u32,
 }
 
-/// Microseconds of a whole core, of the order that `local_fleet` measures: 1.15 ms for a call's whole way.
-const CALL: u64 = 700;
-const MESSAGE_RECEIVED: u64 = 70;
-const MESSAGE_SENT: u64 = 50;
-const TICK: u64 = 60;
-const OTHER: u64 = 50;
-/// What waits beyond this is lost, as with the program's inbox.
+/// Processing times on a whole core, of the order that `local_fleet` measures: 1.15 ms for a complete call.
+const CALL_MICROS: u64 = 700;
+const MESSAGE_RECEIVED_MICROS: u64 = 70;
+const MESSAGE_SENT_MICROS: u64 = 50;
+const TICK_MICROS: u64 = 60;
+const OTHER_MICROS: u64 = 50;
+/// Events beyond this number are dropped, as in the program's inbox.
 const QUEUE_LIMIT: usize = 8_192;
 
-/// One machine's processor.
+/// Processor of one machine.
 #[derive(Default)]
 pub(crate) struct Processor {
     busy_until: u64,
-    /// Events with when they came.
+    /// Waiting events with their arrival times.
     waiting: VecDeque<(u64, Event)>,
-    /// Messages that come to their turn when nothing else waits.
+    /// Bulk messages, handled when no other event waits.
     bulk: VecDeque<(u64, Event)>,
-    /// A tick waits already: another would find nothing more to do.
+    /// Whether a tick is waiting: a second one would find nothing more to do.
     has_tick: bool,
 }
 
 impl Processor {
-    /// Forgets what waited for a process that ended.
+    /// Drops the events of a process that ended.
     pub(crate) fn clear(&mut self) {
         *self = Processor::default();
     }
@@ -47,7 +47,7 @@
         self.waiting.len() + self.bulk.len()
     }
 
-    fn put(&mut self, event: Event, now: u64) {
+    fn enqueue(&mut self, event: Event, now: u64) {
         let is_tick = matches!(event, Event::Tick);
         let is_bulk =
             matches!(&event, Event::Received(received) if received.message.priority() == Priority::Bulk);
@@ -59,7 +59,7 @@
         queue.push_back((now, event));
     }
 
-    /// The next event; messages that waited for longer than they are of use are dropped, as by the program.
+    /// The next event; messages that waited past their validity are dropped, as in the program.
     fn pop_event(&mut self, now: u64) -> Option<Event> {
         loop {
             let (arrived_at, event) = self.waiting.pop_front().or_else(|| self.bulk.pop_front())?;
@@ -76,38 +76,38 @@
 
 fn cost_of(event: &Event) -> u64 {
     match event {
-        Event::Tick => TICK,
-        Event::Received(_) => MESSAGE_RECEIVED,
-        Event::CallNeedsPermit { .. } => CALL,
-        _ => OTHER,
+        Event::Tick => TICK_MICROS,
+        Event::Received(_) => MESSAGE_RECEIVED_MICROS,
+        Event::CallNeedsPermit { .. } => CALL_MICROS,
+        _ => OTHER_MICROS,
     }
 }
 
 impl Simulation {
-    /// Whether the machine is busy: the event waits then, and is given when its turn comes.
-    pub(crate) fn must_wait(&mut self, number: usize, event: Event) -> Option<Event> {
+    /// Queues the event if the machine is busy, else returns it.
+    pub(crate) fn queue_if_busy(&mut self, number: usize, event: Event) -> Option<Event> {
         if self.settings.processors.is_none() || self.now >= self.nodes[number].processor.busy_until {
             return Some(event);
         }
         let processor = &mut self.nodes[number].processor;
         let is_first = processor.waiting_count() == 0;
         let span = processor.busy_until - self.now;
-        processor.put(event, self.now);
+        processor.enqueue(event, self.now);
         if is_first {
             let incarnation = self.nodes[number].incarnation;
-            self.after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
+            self.schedule_after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
         }
         None
     }
 
-    /// The machine was busy with an event and what came of it.
-    pub(crate) fn spend(&mut self, number: usize, event_cost: u64, actions: &[Action]) {
+    /// Marks the machine as busy for an event and the messages it caused.
+    pub(crate) fn set_busy(&mut self, number: usize, event_cost: u64, actions: &[Action]) {
         if self.settings.processors.is_none() {
             return;
         }
         let share = self.processor_millis(number);
         let sent = actions.iter().filter(|action| matches!(action, Action::Send { .. })).count() as u64;
-        let work = event_cost + sent * MESSAGE_SENT;
+        let work = event_cost + sent * MESSAGE_SENT_MICROS;
         self.nodes[number].processor.busy_until = self.now + work * 1_000 / u64::from(share.max(1));
     }
 
@@ -127,11 +127,11 @@
         let processor = &self.nodes[number].processor;
         if processor.waiting_count() > 0 {
             let span = processor.busy_until.saturating_sub(self.now);
-            self.after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
+            self.schedule_after(span, SimulationEvent::ProcessorFree { node: number, incarnation });
         }
     }
 
-    /// Events that wait for a machine's processor. Example: `simulation.waiting_events(3) < 100`.
+    /// Number of events that wait for a machine's processor. Example: `simulation.waiting_events(3) < 100`.
     pub fn waiting_events(&self, number: usize) -> usize {
         self.nodes[number].processor.waiting_count()
     }
--- a/packages/fleet_simulator/src/route_scenarios.rs
+++ b/packages/fleet_simulator/src/route_scenarios.rs
@@ -1,4 +1,4 @@
-//! Lanes and functions that change under load: calls may go only where a configuration allowed.
+//! Routes and functions that change under load: calls may go only where some configuration in force sent them.
 
 use crate::SimulationSettings;
 use crate::scenarios::{Trial, Verdict};
@@ -6,11 +6,11 @@
 use monotonic_clock::Micros;
 use serde_json::{Value, json};
 
-/// A partial change at one function: its lane moved, its lane removed, both removed, or put back.
+/// A partial change of one function: its route moved, its route removed, both removed, or both restored.
 fn random_change(trial: &Trial, rng: &mut Rng, change_id: &str) -> Value {
     let whole = trial.simulation.document();
     let functions = trial.simulation.functions();
-    // The first function keeps the lanes that mark changes.
+    // The first function keeps the marker routes of changes.
     let name = &functions[rng.usize(1..functions.len())];
     let other = &functions[rng.usize(..functions.len())];
     let mut partial = json!({"lanes": {}, "functions": {}});
@@ -21,7 +21,7 @@
         }
         1 => partial["lanes"][name] = Value::Null,
         2 => {
-            // Whatever lane leads to the function goes with it.
+            // Every route to the function is removed with it.
             for route in functions.iter().skip(1) {
                 let is_leading = trial.simulation.route_of(route).as_ref() == Some(name);
                 if is_leading || route == name {
@@ -40,8 +40,9 @@
     partial
 }
 
-/// Functions are taken out while their cells run; a node is killed, cut off or neither meanwhile; then they are put
-/// back. Their cells are stopped, by one holder under a term of its own, and the functions work again.
+/// Functions are removed while their instances run, while a node is killed, cut off or neither; then they are
+/// restored. Their instances must be stopped by one holder under its own term, and the functions must work
+/// again.
 pub(crate) fn functions_taken_out(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     trial.simulation.call_rate = 200.0;
@@ -67,13 +68,13 @@
     trial.simulation.start(victim);
     trial.simulation.run_for(10.0);
     let left: u64 = names.iter().map(|name| trial.simulation.platform.memory_of(name)).sum();
-    trial.must(left == 0, "cells of functions taken out are stopped", &format!("{left} MB still run"));
+    trial.require(left == 0, "cells of functions taken out are stopped", &format!("{left} MB still run"));
     put_all_back(&mut trial);
     trial.verdict()
 }
 
 fn put_all_back(trial: &mut Trial) {
-    // By now every change that was sent has its answer.
+    // Every change that was sent has its response by then.
     trial.simulation.run_for(6.5);
     let mut whole = trial.simulation.document();
     for change_id in trial.simulation.accepted_markers() {
@@ -82,12 +83,12 @@
     }
     trial.simulation.change(3, "back", Some(whole), None);
     let is_accepted = trial.simulation.run_until(6.0, |simulation| simulation.is_accepted("back"));
-    trial.must(is_accepted, "changes are taken", "putting all back was not accepted");
-    trial.must_propagate();
-    trial.must_settle();
+    trial.require(is_accepted, "changes are taken", "putting all back was not accepted");
+    trial.require_propagated();
+    trial.require_settled();
 }
 
-/// Cells boot for three seconds, so that calls wait at the steward while their lane is changed.
+/// Instances boot for three seconds, so that calls wait at the leader while their route changes.
 pub(crate) fn lanes_moved(seed: u64) -> Verdict {
     let settings = SimulationSettings {
         extra_boot: Micros::from_millis(2_000),
@@ -103,13 +104,13 @@
         let node = rng.usize(..10);
         trial.simulation.change(node, &change_id, None, Some(partial));
         trial.simulation.run_for(rng.f64() * 4.0);
-        trial.must_propagate();
+        trial.require_propagated();
     }
     put_all_back(&mut trial);
     trial.verdict()
 }
 
-/// As above, with nodes frozen, isolated or killed while the change is made.
+/// Routes change while nodes are frozen, isolated or killed.
 pub(crate) fn lanes_moved_while_nodes_sleep(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     trial.simulation.call_rate = 200.0;
--- a/packages/fleet_simulator/src/scenarios.rs
+++ b/packages/fleet_simulator/src/scenarios.rs
@@ -1,4 +1,5 @@
-//! The brief's failures as named scenarios. Each runs a seeded world and returns what was broken.
+//! The specified failures as named scenarios. Each runs a seeded simulation and returns the rules that it
+//! violated.
 
 use crate::acknowledgement_scenarios::{
     acknowledging_node_killed, all_disks_lose_power_after_acknowledging, killed_around_the_acknowledgement,
@@ -34,18 +35,18 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// What a scenario came to: breaches, and figures worth noting.
+/// Result of a scenario: violations and measured figures.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Empty when every rule held.
+    /// Violated rules; empty when every rule held.
     pub violations: Vec<Violation>,
-    /// Calls that ran, were refused, are unknown, got no answer.
+    /// Counts of calls by outcome: ran, not run, unknown, no response.
     pub outcomes: [u64; 4],
-    /// Names and figures.
+    /// Measured figures with their names.
     pub figures: Vec<(&'static str, f64)>,
-    /// Why calls were refused, with counts.
+    /// Counts of refused calls by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// The whole history, for a closer look.
+    /// The whole history of the run.
     pub lines: Vec<Line>,
 }
 
@@ -148,7 +149,7 @@
     bodies_of_changes_lost,
 }
 
-/// A scenario under way.
+/// A running scenario.
 pub(crate) struct Trial {
     pub simulation: Simulation,
     violations: Vec<Violation>,
@@ -158,7 +159,7 @@
 
 impl Trial {
     /// A fleet at its first start, without a configuration.
-    pub(crate) fn unfounded(settings: SimulationSettings, seed: u64) -> Trial {
+    pub(crate) fn without_configuration(settings: SimulationSettings, seed: u64) -> Trial {
         Trial {
             simulation: Simulation::new(settings, seed),
             violations: Vec::new(),
@@ -168,9 +169,9 @@
     }
 
     pub(crate) fn bootstrapped(settings: SimulationSettings, seed: u64) -> Trial {
-        let mut trial = Trial::unfounded(settings, seed);
+        let mut trial = Trial::without_configuration(settings, seed);
         let is_bootstrapped = trial.simulation.bootstrap();
-        trial.must(is_bootstrapped, "founding", "the fleet was not founded");
+        trial.require(is_bootstrapped, "founding", "the fleet was not founded");
         trial.simulation.call_rate = 100.0;
         trial.simulation.run_for(5.0);
         trial
@@ -180,7 +181,7 @@
         Trial::bootstrapped(SimulationSettings::default(), seed)
     }
 
-    pub(crate) fn must(&mut self, holds: bool, rule: &'static str, seen: &str) {
+    pub(crate) fn require(&mut self, holds: bool, rule: &'static str, seen: &str) {
         if !holds {
             self.violations.push(Violation {
                 rule,
@@ -189,14 +190,14 @@
         }
     }
 
-    /// Service must be back within twelve seconds of this moment, when all machines are back: nodes are
-    /// settled, and after the twelve seconds every function answers a probe at every node.
-    pub(crate) fn must_settle(&mut self) {
+    /// Service must recover within twelve seconds from now, when all machines are back: nodes are settled, and
+    /// by the end of the twelve seconds every function responds to a probe call at every node.
+    pub(crate) fn require_settled(&mut self) {
         let began = self.simulation.now();
         let is_settled = self.simulation.run_until(12.0, Simulation::is_settled);
-        self.must(is_settled, "back within 12 s", "the fleet was not settled");
+        self.require(is_settled, "back within 12 s", "the fleet was not settled");
         self.figures.push(("settled_seconds", (self.simulation.now() - began) as f64 / 1e6));
-        // At best at once, and by the twelfth second for sure.
+        // The probes are sent at once, and once more at the twelfth second if some got no response.
         let mut probes = self.simulation.send_probes();
         self.simulation.run_for(4.5);
         if !self.simulation.unanswered(&probes).is_empty() {
@@ -207,16 +208,16 @@
         }
         let silent = self.simulation.unanswered(&probes);
         let seen = format!("{} of {} probe calls were not answered: {silent:?}", silent.len(), probes.len());
-        self.must(silent.is_empty(), "back within 12 s", &seen);
+        self.require(silent.is_empty(), "back within 12 s", &seen);
     }
 
-    pub(crate) fn must_accept(&mut self, number: usize, change_id: &str, seconds: f64) {
+    pub(crate) fn require_accepted(&mut self, number: usize, change_id: &str, seconds: f64) {
         self.simulation.send_marked_change(number, change_id);
         let is_accepted = self.simulation.run_until(seconds, |simulation| simulation.is_accepted(change_id));
-        self.must(is_accepted, "changes are taken", &format!("{change_id} was not accepted"));
+        self.require(is_accepted, "changes are taken", &format!("{change_id} was not accepted"));
     }
 
-    pub(crate) fn must_propagate(&mut self) {
+    pub(crate) fn require_propagated(&mut self) {
         let is_propagated = self.simulation.run_until(3.0, |simulation| {
             let held: Vec<u64> = simulation
                 .up()
@@ -226,13 +227,13 @@
                 .collect();
             held.iter().all(|generation| Some(generation) == held.iter().max())
         });
-        self.must(is_propagated, "everywhere within 3 s", "generations differ");
+        self.require(is_propagated, "everywhere within 3 s", "generations differ");
     }
 
     pub(crate) fn verdict(mut self) -> Verdict {
         self.simulation.call_rate = 0.0;
         self.simulation.run_for(6.0);
-        self.simulation.note_standing_changes();
+        self.simulation.record_changes_in_force();
         self.violations.extend(check_all(self.simulation.lines(), &self.checks));
         keep_first_of_each_rule(&mut self.violations);
         Verdict {
@@ -245,10 +246,10 @@
     }
 }
 
-/// Breaches of one rule that a verdict tells.
+/// Violations of one rule that a verdict includes.
 const REPORTED_PER_RULE: usize = 3;
 
-/// Keeps the first few breaches of each rule, so that none hides those of another.
+/// Keeps the first few violations of each rule, so that no rule's violations hide those of another.
 fn keep_first_of_each_rule(violations: &mut Vec<Violation>) {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     violations.retain(|violation| {
@@ -270,10 +271,10 @@
         trial.simulation.kill_either_way(number);
         trial.simulation.run_for(6.0);
     }
-    trial.must_settle();
+    trial.require_settled();
     trial.simulation.start(5);
     trial.simulation.start(8);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -282,18 +283,18 @@
     let victim = (seed % 3) as usize;
     trial.simulation.kill_either_way(victim);
     trial.simulation.run_for(1.0);
-    trial.must_accept(4, "one-down", 4.0);
-    trial.must_propagate();
-    trial.must_settle();
+    trial.require_accepted(4, "one-down", 4.0);
+    trial.require_propagated();
+    trial.require_settled();
     trial.simulation.start(victim);
-    trial.must_settle();
-    trial.must_accept(5, "back", 4.0);
+    trial.require_settled();
+    trial.require_accepted(5, "back", 4.0);
     trial.verdict()
 }
 
 fn all_disk_nodes_killed(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     for number in [0, 1, 2] {
         trial.simulation.kill_either_way(number);
     }
@@ -301,14 +302,14 @@
     for number in [0, 1, 2] {
         trial.simulation.start(number);
     }
-    trial.must_settle();
-    trial.must_accept(3, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(3, "after", 6.0);
     trial.verdict()
 }
 
 fn everything_killed(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     for number in 0..10 {
         trial.simulation.kill_either_way(number);
     }
@@ -316,19 +317,19 @@
     for number in 0..10 {
         trial.simulation.start(number);
     }
-    trial.must_settle();
-    trial.must_accept(6, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(6, "after", 6.0);
     trial.verdict()
 }
 
 fn power_lost_after_acknowledging(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    // A handful for each of four herds.
+    // A few refusals for each of four load spikes.
     trial.checks.refusals_fixed = 20;
     for round in 0..4 {
         let change_id = format!("m{round}");
         trial.simulation.send_marked_change(3 + round, &change_id);
-        // The very moment of the acknowledgement, give or take a fifth of a millisecond.
+        // Power is lost at the moment of the acknowledgement, within a fifth of a millisecond.
         for _ in 0..20_000 {
             if trial.simulation.is_accepted(&change_id) {
                 break;
@@ -342,41 +343,41 @@
         for number in [0, 1, 2] {
             trial.simulation.start(number);
         }
-        trial.must_settle();
+        trial.require_settled();
     }
     trial.verdict()
 }
 
 fn disk_lost(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     let victim = (seed % 3) as usize;
     trial.simulation.lose_disk(victim);
     trial.simulation.run_for(1.0);
     trial.simulation.start(victim);
-    trial.must_replace(victim);
+    trial.require_replaced(victim);
     trial.verdict()
 }
 
 impl Trial {
-    /// The set must take the fresh disk in, so that another disk may be lost after it.
-    fn must_replace(&mut self, victim: usize) {
+    /// The voter set must add the fresh disk, so that another disk may be lost after it.
+    fn require_replaced(&mut self, victim: usize) {
         let is_replaced = self.simulation.run_until(40.0, |simulation| simulation.is_voting(victim));
-        self.must(is_replaced, "a lost disk is replaced", "the fresh disk has no vote");
-        self.must_settle();
-        self.must_accept(4, "replaced", 4.0);
-        // The two that were sound before may now be lost in turn without losing anything.
+        self.require(is_replaced, "a lost disk is replaced", "the fresh disk has no vote");
+        self.require_settled();
+        self.require_accepted(4, "replaced", 4.0);
+        // Either of the two other disks may now be lost without losing state.
         let other = (victim + 1) % 3;
-        self.must_do_without(other, 4.0);
+        self.require_tolerated_loss(other, 4.0);
     }
 
-    /// A disk node is lost for some seconds: changes are taken without it, and it comes back.
-    pub(crate) fn must_do_without(&mut self, number: usize, seconds: f64) {
+    /// A disk node is down for some seconds: changes must be accepted without it, and it must come back.
+    pub(crate) fn require_tolerated_loss(&mut self, number: usize, seconds: f64) {
         self.simulation.kill_either_way(number);
         self.simulation.run_for(seconds);
-        self.must_accept(4, "another-down", 6.0);
+        self.require_accepted(4, "another-down", 6.0);
         self.simulation.start(number);
-        self.must_settle();
+        self.require_settled();
     }
 }
 
@@ -387,8 +388,8 @@
         disk.is_full = true;
     }
     trial.simulation.run_for(3.0);
-    trial.must_accept(4, "one-full", 5.0);
-    trial.must_settle();
+    trial.require_accepted(4, "one-full", 5.0);
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -400,27 +401,27 @@
         disk.stalled_until = until;
     }
     trial.simulation.run_for(1.0);
-    trial.must_accept(4, "one-stalled", 4.0);
-    trial.must_propagate();
+    trial.require_accepted(4, "one-stalled", 4.0);
+    trial.require_propagated();
     trial.simulation.run_for(7.0);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
 fn machine_replaced(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     let victim = (seed % 3) as usize;
     trial.simulation.replace_machine(victim);
     trial.simulation.run_for(2.0);
     trial.simulation.start(victim);
-    trial.must_replace(victim);
+    trial.require_replaced(victim);
     trial.verdict()
 }
 
 fn seeds_swapped(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     // All three seed machines are replaced in turn, each by an empty one at a new address.
     for victim in [0, 1, 2] {
         trial.simulation.replace_machine(victim);
@@ -428,21 +429,21 @@
         trial.simulation.run_for(1.0);
         trial.simulation.start(victim);
         let is_replaced = trial.simulation.run_until(45.0, |simulation| simulation.is_voting(victim));
-        trial.must(is_replaced, "a lost disk is replaced", "a swapped seed machine has no vote");
-        trial.must_settle();
+        trial.require(is_replaced, "a lost disk is replaced", "a swapped seed machine has no vote");
+        trial.require_settled();
     }
-    trial.must_accept(5, "after", 4.0);
-    // A node that knows only the new seeds finds the fleet.
+    trial.require_accepted(5, "after", 4.0);
+    // A node that knows only the new seeds must join the fleet.
     trial.simulation.kill_either_way(7);
     trial.simulation.run_for(1.0);
     trial.simulation.start(7);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
 fn blank_majority(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     let generation_before = trial.simulation.status(4).map_or(0, |status| status.generation);
     trial.simulation.lose_disk(0);
     trial.simulation.lose_disk(1);
@@ -451,48 +452,49 @@
     trial.simulation.start(1);
     trial.simulation.send_marked_change(5, "on-blank");
     trial.simulation.run_for(25.0);
-    // Two of three disks are gone: nothing more can be acknowledged, and no second state is formed.
+    // Two of three disks are lost: no further change may be acknowledged, and no second state may form.
     let is_taken = trial.simulation.is_accepted("on-blank");
-    trial.must(!is_taken, "no second state", "a blank majority took a change");
+    trial.require(!is_taken, "no second state", "a blank majority took a change");
     let held: Vec<u64> =
         (0..10).filter_map(|n| trial.simulation.status(n)).map(|status| status.generation).collect();
     let is_kept = held.iter().all(|generation| *generation >= generation_before);
-    trial.must(is_kept, "no second state", "a node lost the configuration");
-    // With two of three disks goes what was acknowledged a moment ago; that is no fall-back of a node.
+    trial.require(is_kept, "no second state", "a node lost the configuration");
+    // Losing two of three disks loses what was acknowledged just before; that is not a rollback by a node.
     trial.checks.fall_back_within = u64::MAX / 2;
     trial.verdict()
 }
 
 fn core_cut_in_two(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    // One disk on the small side, two on the large one.
+    // One disk on the minority side, two on the majority side.
     trial.simulation.cut(&[0, 3, 4, 5], &[1, 2, 6, 7, 8, 9]);
     trial.simulation.run_for(3.0);
-    trial.must_accept(6, "large-side", 6.0);
+    trial.require_accepted(6, "large-side", 6.0);
     trial.simulation.send_marked_change(3, "small-side");
     trial.simulation.run_for(8.0);
     let is_taken = trial.simulation.is_accepted("small-side");
-    trial.must(!is_taken, "no second state", "the small side took a change");
+    trial.require(!is_taken, "no second state", "the small side took a change");
     trial.simulation.heal();
-    trial.must_settle();
-    trial.must_accept(3, "healed", 4.0);
+    trial.require_settled();
+    trial.require_accepted(3, "healed", 4.0);
     trial.verdict()
 }
 
-/// Both sides of a cut work the same cells near their limits, by stewards here and deputies there.
+/// Both sides of a cut use the same instances near their limits, through leaders on one side and fallback
+/// schedulers on the other.
 fn cut_in_a_crowd(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     trial.simulation.call_rate = 450.0;
     trial.simulation.run_for(4.0);
-    let edge = 2 + (seed % 6) as usize;
-    let (left, right): (Vec<usize>, Vec<usize>) = ((0..edge).collect(), (edge..10).collect());
+    let split_at = 2 + (seed % 6) as usize;
+    let (left, right): (Vec<usize>, Vec<usize>) = ((0..split_at).collect(), (split_at..10).collect());
     trial.simulation.cut(&left, &right);
     trial.simulation.run_for(8.0 + (seed % 5) as f64);
     trial.simulation.heal();
-    trial.must_settle();
+    trial.require_settled();
     trial.simulation.call_rate = 100.0;
-    // Two sides that cannot talk share cells near their limits: what each refuses and how much more
-    // than a dozen is turned away is told in docs/rules.md.
+    // Two sides that cannot communicate share instances near their limits; docs/rules.md states what each
+    // refuses and by how much busy refusals exceed a dozen.
     trial.checks.count_refusals = false;
     trial.checks.refused_busy_in_five_seconds = 24;
     trial.verdict()
@@ -501,14 +503,14 @@
 fn disks_cut_off(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     trial.simulation.cut(&[0, 1, 2], &[3, 4, 5, 6, 7, 8, 9]);
-    // Calls go on through deputies on cells that run; nothing new is started.
+    // Calls continue through fallback schedulers at running instances; nothing new is started.
     let ran_before = trial.simulation.outcomes[0];
     trial.simulation.run_for(8.0);
     let ran = trial.simulation.outcomes[0] - ran_before;
     trial.figures.push(("ran_without_control_state", ran as f64));
-    trial.must(ran > 300, "admission never waits on election", "hardly any call ran");
+    trial.require(ran > 300, "admission never waits on election", "hardly any call ran");
     trial.simulation.heal();
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -517,9 +519,9 @@
     let victim = 3 + (seed % 7) as usize;
     trial.simulation.isolate(victim);
     trial.simulation.run_for(8.0);
-    trial.must_accept((victim + 1) % 10, "one-isolated", 4.0);
+    trial.require_accepted((victim + 1) % 10, "one-isolated", 4.0);
     trial.simulation.heal();
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -529,9 +531,9 @@
     trial.simulation.cut_one_way(0, 7);
     trial.simulation.cut_one_way(2, 5);
     trial.simulation.run_for(10.0);
-    trial.must_accept(5, "one-way", 6.0);
+    trial.require_accepted(5, "one-way", 6.0);
     trial.simulation.heal();
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -540,8 +542,8 @@
     let mut trial = Trial::bootstrapped(settings, seed);
     trial.simulation.run_for(10.0);
     for round in 0..3 {
-        trial.must_accept(3 + round, &format!("lossy-{round}"), 6.0);
-        trial.must_propagate();
+        trial.require_accepted(3 + round, &format!("lossy-{round}"), 6.0);
+        trial.require_propagated();
     }
     trial.verdict()
 }
@@ -553,8 +555,8 @@
         trial.simulation.run_for(1.0);
     }
     trial.simulation.run_for(10.0);
-    trial.must_settle();
-    trial.must_accept(4, "thawed", 4.0);
+    trial.require_settled();
+    trial.require_accepted(4, "thawed", 4.0);
     trial.verdict()
 }
 
@@ -581,7 +583,7 @@
     trial.figures.push(("ran", ran as f64));
     trial.figures.push(("refused", not_run as f64));
     trial.simulation.run_for(5.0);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -593,12 +595,12 @@
     trial.verdict()
 }
 
-/// Seven in ten answers of repeatable calls are lost: without a budget each call would run four times.
+/// Seven in ten responses of repeatable calls are lost: without a retry budget each call would run four times.
 fn answers_lost_often(seed: u64) -> Verdict {
     let mut settings = SimulationSettings { lost_responses: 0.7, ..SimulationSettings::default() };
     settings.repeatable = ["busy-0", "busy-1", "busy-2", "busy-3"].map(str::to_owned).into();
     let mut trial = Trial::bootstrapped(settings, seed);
-    // Cells that lose most answers are replaced again and again.
+    // Instances that lose most responses are replaced repeatedly.
     trial.checks.count_refusals = false;
     trial.simulation.call_rate = 200.0;
     trial.simulation.run_for(20.0);
@@ -616,7 +618,7 @@
     trial.simulation.platform.drain(3);
     trial.simulation.platform.crash(4);
     trial.simulation.run_for(10.0);
-    trial.must_settle();
+    trial.require_settled();
     trial.verdict()
 }
 
@@ -627,7 +629,7 @@
     trial.simulation.platform.crash(2);
     trial.simulation.kill_either_way(6);
     trial.simulation.run_for(15.0);
-    trial.must_settle();
+    trial.require_settled();
     let instances = trial.simulation.platform.counts.0;
     trial.figures.push(("starts", instances as f64));
     trial.verdict()
@@ -647,8 +649,8 @@
         (0..10)
             .all(|round| (0..3).all(|operator| simulation.is_accepted(&format!("race-{round}-{operator}"))))
     });
-    trial.must(is_taken, "changes are taken", "a racing change was not answered");
-    trial.must_propagate();
+    trial.require(is_taken, "changes are taken", "a racing change was not answered");
+    trial.require_propagated();
     trial.verdict()
 }
 
@@ -658,17 +660,18 @@
         trial.simulation.send_marked_change(number % 10, &format!("storm-{number}"));
         trial.simulation.run_for(0.02);
     }
-    trial.must_propagate();
+    trial.require_propagated();
     let is_taken = trial.simulation.run_until(8.0, |simulation| {
         (0..200).all(|number| simulation.is_accepted(&format!("storm-{number}")))
     });
-    trial.must(is_taken, "changes are taken", "a change of the storm was not accepted");
-    trial.must_propagate();
+    trial.require(is_taken, "changes are taken", "a change of the storm was not accepted");
+    trial.require_propagated();
     trial.verdict()
 }
 
-/// Lanes and functions come, change and go, at any node, while nodes are restarted: whoever has the generation
-/// before takes the next by what changed, which the world holds against the whole document each time.
+/// Routes and functions are added, changed and removed at any node while nodes are restarted. A node with the
+/// previous generation applies only the changed items, and the simulation compares the result with the whole
+/// document each time.
 fn changes_by_item(seed: u64) -> Verdict {
     const CHANGES: usize = 300;
     const BY_ITEM_AT_LEAST: u64 = CHANGES as u64;
@@ -702,11 +705,11 @@
             trial.simulation.start(victim);
         }
     }
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     let by_item = trial.simulation.changed_configurations;
     let seen = format!("{by_item} generations were taken by item");
-    trial.must(by_item >= BY_ITEM_AT_LEAST, "a change costs what it changes", &seen);
+    trial.require(by_item >= BY_ITEM_AT_LEAST, "a change costs what it changes", &seen);
     trial.verdict()
 }
 
@@ -721,13 +724,13 @@
     }
     trial.simulation.change(3, "large", None, Some(partial));
     let is_accepted = trial.simulation.run_until(5.0, |simulation| simulation.is_accepted("large"));
-    trial.must(is_accepted, "changes are taken", "the large change was not accepted");
-    trial.must_propagate();
-    trial.must_accept(8, "small-after-large", 4.0);
-    trial.must_propagate();
-    trial.must_settle();
-    trial.simulation.note_standing_changes();
-    // The marks of a large document are checked by its generation alone.
+    trial.require(is_accepted, "changes are taken", "the large change was not accepted");
+    trial.require_propagated();
+    trial.require_accepted(8, "small-after-large", 4.0);
+    trial.require_propagated();
+    trial.require_settled();
+    trial.simulation.record_changes_in_force();
+    // The markers of a large document are checked by its generation alone.
     let mut verdict = trial.verdict();
     verdict.violations.retain(|violation| !violation.seen.starts_with("large,"));
     verdict
@@ -744,8 +747,8 @@
         trial.simulation.start(victim);
         trial.simulation.run_for(0.2);
     }
-    trial.must_settle();
-    trial.must_propagate();
+    trial.require_settled();
+    trial.require_propagated();
     trial.verdict()
 }
 
@@ -755,17 +758,17 @@
         trial.simulation.stop_planned(number);
         trial.simulation.run_for(0.5);
         trial.simulation.start(number);
-        trial.must_settle();
+        trial.require_settled();
     }
     trial.figures.push(("spread_at_once", deviation(&trial.simulation.leader_counts())));
     trial.simulation.run_for(15.0);
     let spread = deviation(&trial.simulation.leader_counts());
     trial.figures.push(("spread_after_15_s", spread));
-    trial.must(spread <= 1.0, "stewards are spread", &format!("standard deviation {spread:.2}"));
+    trial.require(spread <= 1.0, "stewards are spread", &format!("standard deviation {spread:.2}"));
     trial.verdict()
 }
 
-/// The paper's figure: the standard deviation of leaders over nodes.
+/// The measure used for the election: standard deviation of the number of leaders per node.
 fn deviation(counts: &[usize]) -> f64 {
     let mean = counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64;
     let squares: f64 = counts.iter().map(|count| (*count as f64 - mean).powi(2)).sum();
@@ -774,7 +777,7 @@
 
 fn second_failure_in_recovery(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
-    trial.must_accept(3, "before", 4.0);
+    trial.require_accepted(3, "before", 4.0);
     trial.simulation.kill_either_way((seed % 3) as usize);
     trial.simulation.run_for(1.5);
     trial.simulation.kill_either_way(5);
@@ -787,12 +790,12 @@
     trial.simulation.run_for(2.0);
     trial.simulation.start(((seed + 1) % 3) as usize);
     trial.simulation.start(5);
-    trial.must_settle();
-    trial.must_accept(8, "after", 6.0);
+    trial.require_settled();
+    trial.require_accepted(8, "after", 6.0);
     trial.verdict()
 }
 
-/// A random mix of everything, then peace.
+/// A random mix of all faults, then recovery.
 fn chaos(seed: u64) -> Verdict {
     let mut trial = Trial::default(seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0xc4a05);
@@ -802,9 +805,9 @@
             0..=2 => trial.simulation.kill_either_way(node),
             3 => trial.simulation.freeze(node, 1.0 + rng.f64() * 5.0),
             4 => {
-                let edge = 1 + rng.usize(..8);
-                let left: Vec<usize> = (0..edge).collect();
-                let right: Vec<usize> = (edge..10).collect();
+                let split_at = 1 + rng.usize(..8);
+                let left: Vec<usize> = (0..split_at).collect();
+                let right: Vec<usize> = (split_at..10).collect();
                 trial.simulation.cut(&left, &right);
             }
             5 => trial.simulation.isolate(node),
@@ -824,9 +827,9 @@
     trial.simulation.heal();
     trial.simulation.run_for(6.0);
     (0..10).for_each(|number| trial.simulation.start(number));
-    trial.must_settle();
-    trial.must_accept(4, "peace", 6.0);
-    // Twenty seconds without a majority and more: refusals are told as a figure.
+    trial.require_settled();
+    trial.require_accepted(4, "peace", 6.0);
+    // There may be twenty seconds and more without a majority: refusals are reported as a figure only.
     trial.checks.count_refusals = false;
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/sim_calls.rs
+++ b/packages/fleet_simulator/src/sim_calls.rs
@@ -1,4 +1,4 @@
-//! Callers, the fronts' walk over the call chart, and what cells do with dispatches.
+//! Callers, the gateways' use of the call state machine, and the handling of dispatches by instances.
 
 use crate::simulation::{Simulation, SimulationEvent};
 use function_scheduler::{PermitParameters, UNUSED};
@@ -9,7 +9,7 @@
 use peer_messages::Permit;
 
 const DISPATCH_LIMIT: u32 = 4;
-const CONNECT_WITHIN: u64 = 1_000_000;
+const CONNECT_TIMEOUT_MICROS: u64 = 1_000_000;
 
 #[derive(Debug)]
 pub(crate) struct SimCall {
@@ -26,8 +26,8 @@
 }
 
 impl Simulation {
-    /// A caller sends a call to a node, to the path of a function's name; `immediate_retries` are sent at
-    /// once after refusals. Example: `simulation.send_call(3, "proof", 0)`.
+    /// Sends a call to a node, at the path of the named function; a refused call is retried at once up to
+    /// `immediate_retries` times. Example: `simulation.send_call(3, "proof", 0)`.
     pub fn send_call(&mut self, node: usize, name: &str, immediate_retries: u32) {
         self.next_call += 1;
         let call = self.next_call;
@@ -59,11 +59,11 @@
             self.end_call(call, Outcome::NoResponse);
             return;
         }
-        self.after(500, SimulationEvent::CallArrives { call });
-        self.after(timeout + 2_000_000, SimulationEvent::CallForgotten { call });
+        self.schedule_after(500, SimulationEvent::CallArrives { call });
+        self.schedule_after(timeout + 2_000_000, SimulationEvent::CallExpired { call });
     }
 
-    /// The node that has a call, if that process still lives.
+    /// The node that handles a call, if the process that received it still runs.
     fn gateway_of(&self, call: u64) -> Option<usize> {
         let sim_call = self.calls.get(&call)?;
         let node = &self.nodes[sim_call.node];
@@ -104,7 +104,7 @@
         self.end_call(call, Outcome::NotRun);
     }
 
-    /// Where the node's lanes of now send a call.
+    /// The function that the node's current routes give for a call.
     fn function_of(&self, node: usize, call: u64) -> Option<String> {
         let path = &self.calls.get(&call)?.path;
         self.nodes[node].routes.find("POST", None, path).map(|row| row.function.clone())
@@ -140,13 +140,13 @@
         }
         let is_isolated = self.nodes[node].is_isolated;
         let travel = self.travel();
-        let meant = self.function_of(node, call);
+        let current_function = self.function_of(node, call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
-        let is_still_meant = meant.as_ref() == Some(&sim_call.function);
-        let step = sim_call.state_machine.permit_arrived(now < sim_call.ends_at, is_still_meant);
+        let is_still_routed = current_function.as_ref() == Some(&sim_call.function);
+        let step = sim_call.state_machine.permit_arrived(now < sim_call.ends_at, is_still_routed);
         if step != NextStep::Dispatch {
             self.deliver_event(node, Event::PermitDone { permit, outcome: UNUSED, latency: Micros(0) });
-            self.go_on(call, step, String::new());
+            self.apply_step(call, step, String::new());
             return;
         }
         sim_call.permit = Some((permit.clone(), now));
@@ -154,16 +154,19 @@
         let time_left = sim_call.ends_at.saturating_sub(now);
         if is_isolated {
             let end = DispatchEnd::NotRun;
-            self.after(CONNECT_WITHIN, SimulationEvent::ResponseArrives { call, dispatch, end });
+            self.schedule_after(
+                CONNECT_TIMEOUT_MICROS,
+                SimulationEvent::ResponseArrives { call, dispatch, end },
+            );
         } else {
-            self.after(travel, SimulationEvent::DispatchArrives { call, dispatch, permit });
+            self.schedule_after(travel, SimulationEvent::DispatchArrives { call, dispatch, permit });
         }
         let end = DispatchEnd::TimedOut;
-        self.after(time_left, SimulationEvent::ResponseArrives { call, dispatch, end });
+        self.schedule_after(time_left, SimulationEvent::ResponseArrives { call, dispatch, end });
     }
 
-    /// The walk over the chart goes on as the shared decisions say.
-    fn go_on(&mut self, call: u64, step: NextStep, avoid: String) {
+    /// Carries out the next step of the call state machine.
+    fn apply_step(&mut self, call: u64, step: NextStep, avoid: String) {
         match step {
             NextStep::Response => self.end_call(call, Outcome::Ran),
             NextStep::RequestAgain => self.request_permit(call, avoid),
@@ -193,33 +196,39 @@
     pub(crate) fn call_refused(&mut self, call: u64, is_missing: bool) {
         let now = self.now;
         let Some(node) = self.gateway_of(call) else { return };
-        let meant = self.function_of(node, call);
+        let current_function = self.function_of(node, call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
         if sim_call.state_machine.state() != CallState::PermitRequested {
             return;
         }
-        let is_elsewhere = is_missing && meant.as_ref() != Some(&sim_call.function);
-        let step = match is_elsewhere {
+        let is_routed_elsewhere = is_missing && current_function.as_ref() != Some(&sim_call.function);
+        let step = match is_routed_elsewhere {
             true => sim_call.state_machine.permit_arrived(now < sim_call.ends_at, false),
             false => NextStep::GiveUp(sim_call.state_machine.give_up()),
         };
-        self.go_on(call, step, String::new());
+        self.apply_step(call, step, String::new());
     }
 
-    /// The dispatch reaches whatever listens at the ticket's address by now.
+    /// Delivers a dispatch to the instance that has the permit's address now, which may be a different one.
     pub(crate) fn dispatch_arrives(&mut self, call: u64, dispatch: u32, permit: &Permit) {
         let now = self.now;
         let travel = self.travel();
         let limit = self.settings.calls_at_once;
         let work = self.settings.work.0;
-        let misbehaves = self.rng.f64() < self.settings.lost_responses;
+        let loses_response = self.rng.f64() < self.settings.lost_responses;
         let found = self.platform.instance_at(permit.address.socket());
         let Some(instance) = found.filter(|instance| instance.ready_at <= now) else {
-            self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun });
+            self.schedule_after(
+                travel,
+                SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun },
+            );
             return;
         };
         if instance.id != permit.instance.0 {
-            self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun });
+            self.schedule_after(
+                travel,
+                SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun },
+            );
             return;
         }
         let is_running = instance.in_flight < limit;
@@ -238,7 +247,7 @@
             limit,
         });
         if !is_running {
-            self.after(
+            self.schedule_after(
                 travel,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::RefusedBusy },
             );
@@ -247,9 +256,9 @@
         if let Some(tenant) = self.tenant_of(call) {
             self.history(Line::UsageBegan { at: now, tenant });
         }
-        let end = if misbehaves { DispatchEnd::Unknown } else { DispatchEnd::Answered };
+        let end = if loses_response { DispatchEnd::Unknown } else { DispatchEnd::Answered };
         let work_span = work / 2 + self.rng.u64(..work + 1);
-        self.after(
+        self.schedule_after(
             work_span,
             SimulationEvent::InstanceFinishes { call, dispatch, instance: instance_id, end },
         );
@@ -258,18 +267,18 @@
     pub(crate) fn instance_finishes(&mut self, call: u64, dispatch: u32, instance: &str, end: DispatchEnd) {
         let travel = self.travel();
         let Some(finished) = self.platform.instances.get_mut(instance) else {
-            // The cell died with the call on it: the connection breaks.
-            self.after(
+            // The instance ended with the call on it: the connection breaks.
+            self.schedule_after(
                 travel,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::Unknown },
             );
             return;
         };
         finished.in_flight -= 1;
-        self.after(travel, SimulationEvent::ResponseArrives { call, dispatch, end });
+        self.schedule_after(travel, SimulationEvent::ResponseArrives { call, dispatch, end });
     }
 
-    /// The ticket of a call's dispatch, if that is still the one under way.
+    /// Takes the permit of a dispatch, if that dispatch is still the current one of its call.
     fn take_permit(&mut self, call: u64, dispatch: u32) -> Option<(Permit, u64)> {
         let sim_call = self.calls.get_mut(&call)?;
         let is_under_way = sim_call.state_machine.state() == CallState::Dispatched
@@ -286,14 +295,14 @@
         let Some((permit, sent_at)) = self.take_permit(call, dispatch) else { return };
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
         let step = sim_call.state_machine.dispatch_ended(end, sim_call.repeatable, DISPATCH_LIMIT);
-        self.go_on(call, step, permit.instance.0.clone());
+        self.apply_step(call, step, permit.instance.0.clone());
         self.deliver_event(
             node,
             Event::PermitDone { permit, outcome: end.outcome(), latency: Micros(now - sent_at) },
         );
     }
 
-    pub(crate) fn call_forgotten(&mut self, call: u64) {
+    pub(crate) fn call_expired(&mut self, call: u64) {
         if self.calls.contains_key(&call) {
             if let Some(node) = self.gateway_of(call) {
                 self.deliver_event(node, Event::CallEnds { call });
@@ -302,7 +311,7 @@
         }
     }
 
-    /// Calls whose process died end without an answer.
+    /// Ends the calls of a process that stopped: they get no response.
     pub(crate) fn drop_calls_of(&mut self, node: usize, is_planned: bool) {
         let lost: Vec<u64> = self
             .calls
--- a/packages/fleet_simulator/src/sim_disk/tests.rs
+++ b/packages/fleet_simulator/src/sim_disk/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_end_of_a_process_leaves_files_as_they_are() {
+fn process_end_keeps_unsynced_records_until_power_loss() {
     let mut disk = written_disk();
     disk.end_process();
     let (registers, is_unsynced) = disk.open();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_loss_of_power_leaves_a_beginning_of_what_was_not_synced() {
+fn power_loss_keeps_a_prefix_of_unsynced_writes() {
     let found = |seed| {
         let mut disk = written_disk();
         disk.lose_power(&mut Rng::with_seed(seed));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_full_disk_took_nothing() {
+fn writes_to_a_full_disk_are_not_kept() {
     let mut disk = written_disk();
     disk.is_full = true;
     assert!(!disk.sync(5));
--- a/packages/fleet_simulator/src/sim_links.rs
+++ b/packages/fleet_simulator/src/sim_links.rs
@@ -1,18 +1,18 @@
-//! Links of a given rate: what a node sends, and what it is sent, waits for its link in turn.
+//! Links with a limited rate: messages that a node sends or receives queue for its link.
 //!
-//! A message leaves through the sender's link and comes in through the receiver's at the same time, as
-//! over one connection; each link takes one message after the other.
+//! A message occupies the sender's and the receiver's link at the same time, as over one connection; each link
+//! carries one message after the other.
 
-/// Bytes a second of the nodes' links. Example: `LinkRates { with_disk: 12.5e6, others: 250e3 }`.
+/// Rates of the nodes' links in bytes per second. Example: `LinkRates { with_disk: 12.5e6, others: 250e3 }`.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkRates {
-    /// Of nodes with a disk.
+    /// Rate of nodes with a disk.
     pub with_disk: f64,
-    /// Of all other nodes.
+    /// Rate of all other nodes.
     pub others: f64,
 }
 
-/// The links of all nodes, by their numbers.
+/// The links of all nodes, by node number.
 #[derive(Debug, Default)]
 pub(crate) struct SimLinks {
     links: Vec<SimLink>,
@@ -30,14 +30,14 @@
         SimLinks { links: rates.map(|rate| SimLink { rate, up_free_at: 0, down_free_at: 0 }).collect() }
     }
 
-    /// When so many bytes that leave now have come, all of them.
+    /// When all bytes of a message that is sent now have arrived.
     pub(crate) fn arrival(&mut self, (from, to): (usize, usize), bytes: usize, now: u64, travel: u64) -> u64 {
         let sent_at = self.sent(from, bytes, now);
         let begun_at = sent_at - self.span(from, bytes);
         self.received(to, bytes, begun_at + travel).max(sent_at + travel)
     }
 
-    /// When so many bytes have left a node for somebody outside the fleet.
+    /// When a node has sent this many bytes to a receiver outside the fleet.
     pub(crate) fn sent(&mut self, from: usize, bytes: usize, now: u64) -> u64 {
         let span = self.span(from, bytes);
         let Some(link) = self.links.get_mut(from) else { return now };
@@ -45,7 +45,7 @@
         link.up_free_at
     }
 
-    /// When so many bytes that come from a time on have been received by a node.
+    /// When a node has received this many bytes that arrive from the given time on.
     pub(crate) fn received(&mut self, to: usize, bytes: usize, from_time: u64) -> u64 {
         let span = self.span(to, bytes);
         let Some(link) = self.links.get_mut(to) else { return from_time };
--- a/packages/fleet_simulator/src/sim_operators.rs
+++ b/packages/fleet_simulator/src/sim_operators.rs
@@ -1,5 +1,5 @@
-//! Operators who name versions: orders that are sent again unchanged until they are answered clearly,
-//! and confirmed reads, each sending noted in the history with its begin and end.
+//! Operators who name versions: an order is sent again unchanged until it has a definite response, and reads
+//! are confirmed. The history records each attempt with its begin and end.
 
 use crate::simulation::{Simulation, SimulationEvent};
 use configuration_schema::{
@@ -11,48 +11,48 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The lane that each order replaces: its path names the order that was applied last.
+/// The route that each order replaces; its path names the order that was applied last.
 const LAST_ORDER_ROUTE: &str = "last-order";
 const LAST_ORDER_PREFIX: &str = "/last-order/";
-/// The path of the reason that tells of a version that does not rise.
-const VERSION: &str = "/version";
-/// Between an unclear answer, or a connection that was refused, and the next sending.
-const REPEAT_PAUSE: u64 = 100_000;
+/// The path in the refusal reason for a version that is not higher than the current one.
+const VERSION_PATH: &str = "/version";
+/// Pause before the next attempt after an indefinite response.
+const REPEAT_PAUSE_MICROS: u64 = 100_000;
 
 /// Which node an order is sent to next. Example: `Repeat::OtherNode`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Another one of the nodes that are up, drawn by lot.
+    /// Another node that is up, chosen at random.
     OtherNode,
-    /// The same again and again.
+    /// The same node each time.
     SameNode,
 }
 
-/// An order as its operator means it. Example: `OrderPlan::new("o1", 3, Some(4), 5)`.
+/// An order as its operator plans it. Example: `OrderPlan::new("o1", 3, Some(4), 5)`.
 #[derive(Clone, Debug)]
 pub struct OrderPlan {
-    /// The order's name, the same each time it is sent.
+    /// The order's name, the same for each attempt.
     pub order: String,
-    /// The node that it is sent to first.
+    /// The node of the first attempt.
     pub node: usize,
     /// The version that it builds on, if it names one.
     pub expected_version: Option<u64>,
-    /// The version that it makes.
+    /// The version that it creates.
     pub version: u64,
-    /// Where it goes when it has to be sent again.
+    /// Which node further attempts go to.
     pub repeat: Repeat,
-    /// It is sent again after this silence.
+    /// It is sent again after this long without a response.
     pub silence: Micros,
-    /// It is given up after this.
+    /// It is abandoned after this long.
     pub wanted_for: Micros,
-    /// Lanes that it sets besides its own marks.
+    /// Routes that it sets besides its own markers.
     pub routes: Value,
-    /// Whether the order itself is sound; one that is not has to be refused.
+    /// Whether the order is valid; an invalid one has to be refused.
     pub is_proper: bool,
 }
 
 impl OrderPlan {
-    /// A proper order that goes to another node after a second of silence, for twenty seconds.
+    /// A valid order that is sent to another node after one second without a response, for twenty seconds.
     /// Example: `OrderPlan::new("o1", 3, Some(4), 5)`.
     pub fn new(order: impl Into<String>, node: usize, expected_version: Option<u64>, version: u64) -> Self {
         OrderPlan {
@@ -69,67 +69,68 @@
     }
 }
 
-/// An order on its way.
+/// An order in progress.
 struct SimOrder {
     plan: OrderPlan,
     change: Change,
     gives_up_at: u64,
     attempt_count: u64,
     last_node: usize,
-    /// The first clear answer that the operator got.
+    /// The first definite response that the operator received.
     settled: Option<OrderResponse>,
 }
 
-/// One sending that its node has not answered yet.
+/// An attempt that its node has not responded to yet.
 struct OpenAttempt {
     order: String,
     attempt: u64,
     node: usize,
 }
 
-/// A read that its node has not answered yet.
+/// A read that its node has not responded to yet.
 struct OpenRead {
     read: u64,
     node: usize,
 }
 
-/// All operators' orders and reads.
+/// Orders and reads of all operators.
 #[derive(Default)]
 pub(crate) struct SimOperators {
     orders: BTreeMap<String, SimOrder>,
-    /// By the request's number at the node.
+    /// By request id at the node.
     attempts: BTreeMap<u64, OpenAttempt>,
     reads: BTreeMap<u64, OpenRead>,
-    /// Answers to reads, by the read's number.
+    /// Responses to reads, by read number.
     read_responses: BTreeMap<u64, ReadResponse>,
     next_request: u64,
-    /// The share of answers to orders that are lost on their way to the operator.
+    /// Share of responses to orders that are lost on the way to the operator.
     lost_responses: f64,
 }
 
-/// What operators do in time.
+/// Scheduled events of operators.
 pub(crate) enum OperatorEvent {
-    /// An order is sent, if it is not settled.
+    /// An order is sent, unless it is settled.
     Sends { order: String },
-    /// A sending reaches its node.
+    /// An attempt reaches its node.
     Arrives { request: u64 },
-    /// Nothing was heard of a sending until now.
+    /// An attempt has had no response until now.
     Silence { order: String, attempt: u64 },
-    /// An answer reaches the operator.
+    /// A response reaches the operator.
     ResponseArrives { order: String, attempt: u64, response: OrderResponse },
     /// A read reaches its node.
     ReadArrives { request: u64 },
-    /// A read's answer reaches the operator.
+    /// A read's response reaches the operator.
     ReadResponseArrives { read: u64, response: ReadResponse },
 }
 
 impl Simulation {
-    /// The share of answers to orders that get lost from now on. Example: `simulation.lose_responses(0.3)`.
+    /// Sets the share of responses to orders that are lost from now on.
+    /// Example: `simulation.lose_responses(0.3)`.
     pub fn lose_responses(&mut self, share: f64) {
         self.operators.lost_responses = share;
     }
 
-    /// An operator sends an order, again and again until it is answered clearly.
+    /// Sends an order, repeatedly until it has a definite response.
     /// Example: `simulation.send_order(OrderPlan::new("o1", 3, Some(0), 1))`.
     pub fn send_order(&mut self, plan: OrderPlan) {
         let order = plan.order.clone();
@@ -142,10 +143,10 @@
             plan,
         };
         self.operators.orders.insert(order.clone(), sim_order);
-        self.order_sends(&order);
+        self.send_next_attempt(&order);
     }
 
-    /// The order as nodes get it: it leaves its mark, and its name as that of the last order.
+    /// The change that nodes receive: it adds the order's marker and names the order as the last one.
     fn change_of(&self, plan: &OrderPlan) -> Change {
         let function = match plan.is_proper {
             true => self.functions()[0].clone(),
@@ -166,30 +167,31 @@
         }
     }
 
-    /// The first clear answer that an order's operator got. Example: `simulation.order_response("o1")`.
+    /// The first definite response that an order's operator received.
+    /// Example: `simulation.order_response("o1")`.
     pub fn order_response(&self, order: &str) -> Option<&OrderResponse> {
         self.operators.orders.get(order)?.settled.as_ref()
     }
 
-    /// Whether an order's operator got it accepted. Example: `simulation.is_order_accepted("o1")`.
+    /// Whether an order's operator received an acceptance. Example: `simulation.is_order_accepted("o1")`.
     pub fn is_order_accepted(&self, order: &str) -> bool {
         matches!(self.order_response(order), Some(OrderResponse::Accepted { .. }))
     }
 
-    /// Whether nobody waits for an order any more: it is answered clearly, or given up.
+    /// Whether an order is over: it has a definite response, or its operator has abandoned it.
     /// Example: `simulation.is_order_over("o1")`.
     pub fn is_order_over(&self, order: &str) -> bool {
         let sim_order = self.operators.orders.get(order);
         sim_order.is_none_or(|sim_order| sim_order.settled.is_some() || self.now >= sim_order.gives_up_at)
     }
 
-    /// Sends an order that is known once more, whatever became of it, to a node.
+    /// Sends a known order once more to a node, whatever its outcome was.
     /// Example: `simulation.repeat_order("o1", 5)`.
     pub fn repeat_order(&mut self, order: &str, node: usize) {
         self.send_attempt(order, node);
     }
 
-    /// An operator asks a node for the confirmed configuration; the read's number.
+    /// Sends a read of the confirmed configuration to a node; returns the read's number.
     /// Example: `let read = simulation.send_read(2);`.
     pub fn send_read(&mut self, node: usize) -> u64 {
         self.operators.next_request += 1;
@@ -198,18 +200,18 @@
         let request = self.next_operator_request();
         self.operators.reads.insert(request, OpenRead { read, node });
         let travel = self.travel();
-        self.after(travel, SimulationEvent::Operator(OperatorEvent::ReadArrives { request }));
+        self.schedule_after(travel, SimulationEvent::Operator(OperatorEvent::ReadArrives { request }));
         read
     }
 
-    /// The answer to a read. Example: `simulation.read_response(read) == Some(&ReadResponse::NoMajority)`.
+    /// The response to a read. Example: `simulation.read_response(read) == Some(&ReadResponse::NoMajority)`.
     pub fn read_response(&self, read: u64) -> Option<&ReadResponse> {
         self.operators.read_responses.get(&read)
     }
 
     pub(crate) fn operator_event(&mut self, simulation_event: OperatorEvent) {
         match simulation_event {
-            OperatorEvent::Sends { order } => self.order_sends(&order),
+            OperatorEvent::Sends { order } => self.send_next_attempt(&order),
             OperatorEvent::Arrives { request } => self.attempt_arrives(request),
             OperatorEvent::Silence { order, attempt } => self.order_unanswered(&order, attempt),
             OperatorEvent::ResponseArrives { order, attempt, response } => {
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Sends an order that is still wanted, to the node that its turn is.
-    fn order_sends(&mut self, order: &str) {
+    /// Sends the next attempt of an order that is not over, to the node its plan selects.
+    fn send_next_attempt(&mut self, order: &str) {
         if self.is_order_over(order) {
             return;
         }
@@ -263,8 +265,8 @@
         let order = order.to_owned();
         self.operators.attempts.insert(request, OpenAttempt { order: order.clone(), attempt, node });
         let travel = self.travel();
-        self.after(travel, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
-        self.after(silence, SimulationEvent::Operator(OperatorEvent::Silence { order, attempt }));
+        self.schedule_after(travel, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
+        self.schedule_after(silence, SimulationEvent::Operator(OperatorEvent::Silence { order, attempt }));
     }
 
     fn attempt_arrives(&mut self, request: u64) {
@@ -283,7 +285,7 @@
         self.nodes[node].is_up() && !self.nodes[node].is_isolated
     }
 
-    /// A node gave the outcome of a request; one that no order belongs to is left alone.
+    /// A node reported the outcome of a request; ignored if the request belongs to no order.
     pub(crate) fn order_settled(&mut self, request: u64, outcome: &ChangeOutcome) {
         if !self.operators.attempts.contains_key(&request) {
             return;
@@ -293,14 +295,14 @@
         self.attempt_ends(request, response);
     }
 
-    /// An answer sets out; a lost one is none for the operator, who waits for the silence to be over.
+    /// Sends a response to the operator; for a lost one the operator waits until its timeout.
     fn attempt_ends(&mut self, request: u64, response: OrderResponse) {
         let Some(OpenAttempt { order, attempt, .. }) = self.operators.attempts.remove(&request) else {
             return;
         };
         let travel = self.travel();
         let simulation_event = OperatorEvent::ResponseArrives { order, attempt, response };
-        self.after(travel, SimulationEvent::Operator(simulation_event));
+        self.schedule_after(travel, SimulationEvent::Operator(simulation_event));
     }
 
     fn order_answered(&mut self, order: &str, attempt: u64, response: OrderResponse) {
@@ -320,17 +322,20 @@
             }
             OrderResponse::Unclear if sim_order.attempt_count == attempt + 1 => {
                 let order = order.to_owned();
-                self.after(REPEAT_PAUSE, SimulationEvent::Operator(OperatorEvent::Sends { order }));
+                self.schedule_after(
+                    REPEAT_PAUSE_MICROS,
+                    SimulationEvent::Operator(OperatorEvent::Sends { order }),
+                );
             }
             OrderResponse::Unclear | OrderResponse::Lost => {}
         }
     }
 
-    /// Nothing was heard of the newest sending: the order goes out once more.
+    /// Sends an order again if the newest attempt has had no response.
     fn order_unanswered(&mut self, order: &str, attempt: u64) {
         let Some(sim_order) = self.operators.orders.get(order) else { return };
         if sim_order.attempt_count == attempt + 1 {
-            self.order_sends(order);
+            self.send_next_attempt(order);
         }
     }
 
@@ -343,7 +348,7 @@
         }
     }
 
-    /// A node answered a read; one that no operator sent is left alone.
+    /// A node responded to a read; ignored if the request belongs to no operator's read.
     pub(crate) fn read_settled(&mut self, request: u64, stored: Option<&[u8]>) {
         let shown = stored.and_then(StoredConfiguration::decode);
         let response = match shown {
@@ -359,11 +364,14 @@
     fn read_ends(&mut self, request: u64, response: ReadResponse) {
         let Some(OpenRead { read, .. }) = self.operators.reads.remove(&request) else { return };
         let travel = self.travel();
-        self.after(travel, SimulationEvent::Operator(OperatorEvent::ReadResponseArrives { read, response }));
+        self.schedule_after(
+            travel,
+            SimulationEvent::Operator(OperatorEvent::ReadResponseArrives { read, response }),
+        );
     }
 
-    /// A node's process ended: whoever waits for its answer gets none.
-    pub(crate) fn operators_lose(&mut self, node: usize) {
+    /// A node's process ended: its open requests are lost.
+    pub(crate) fn drop_operator_requests(&mut self, node: usize) {
         let attempts = self.operators.attempts.iter().filter(|(_, open)| open.node == node);
         let attempts: Vec<u64> = attempts.map(|(request, _)| *request).collect();
         for request in attempts {
@@ -376,8 +384,13 @@
         }
     }
 
-    /// Notes which order a node's configuration was made by, if operators named versions at all.
-    pub(crate) fn note_last_order(&mut self, number: usize, generation: u64, configuration: &Configuration) {
+    /// Records which order a node's configuration was made by, if operators name versions.
+    pub(crate) fn record_last_order(
+        &mut self,
+        number: usize,
+        generation: u64,
+        configuration: &Configuration,
+    ) {
         let route = configuration.routes.get(LAST_ORDER_ROUTE);
         let Some(last_order) = last_order_of(route.map(|route| route.path_prefix.as_str())) else { return };
         let node = format!("node-{number}");
@@ -393,7 +406,7 @@
     match outcome {
         ChangeOutcome::Accepted { generation, .. } => OrderResponse::Accepted { generation: *generation },
         ChangeOutcome::Unknown { .. } => OrderResponse::Unclear,
-        ChangeOutcome::Refused { reasons, .. } if reasons.iter().all(is_of_version) => {
+        ChangeOutcome::Refused { reasons, .. } if reasons.iter().all(is_version_reason) => {
             OrderResponse::RefusedVersion
         }
         ChangeOutcome::Refused { reasons, .. } => {
@@ -403,6 +416,6 @@
     }
 }
 
-fn is_of_version(reason: &Reason) -> bool {
-    reason.path == EXPECTED_VERSION || reason.path == VERSION
+fn is_version_reason(reason: &Reason) -> bool {
+    reason.path == EXPECTED_VERSION || reason.path == VERSION_PATH
 }
--- a/packages/fleet_simulator/src/sim_platform.rs
+++ b/packages/fleet_simulator/src/sim_platform.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Zones of the simulated fleet: nodes and workers are dealt out to them in turn.
+/// Zones of the simulated fleet; nodes and workers are assigned to them in turn.
 pub(crate) const ZONES: usize = 3;
 
 /// The zone of a node or worker by its number. Example: `zone_name(4) == "zone-1"`.
@@ -10,7 +10,7 @@
     format!("zone-{}", number % ZONES)
 }
 
-/// A cell of the simulated platform.
+/// An instance on the simulated platform.
 #[derive(Clone, Debug)]
 pub(crate) struct SimInstance {
     pub id: String,
@@ -24,7 +24,7 @@
     pub in_flight: u32,
 }
 
-/// What a simulated platform act came to.
+/// Result of a start at the simulated platform.
 pub(crate) enum SimStart {
     Started(String, SocketAddr),
     NoRoom,
@@ -33,7 +33,7 @@
     Throttled,
 }
 
-/// What a stop at the simulated platform came to.
+/// Result of a stop at the simulated platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SimStop {
     Taken,
@@ -42,31 +42,31 @@
     Throttled,
 }
 
-/// The simulated platform: workers, cells, a late list, a rate limit, addresses used again.
+/// The simulated platform: workers, instances, a delayed list, a rate limit on operations, reuse of addresses.
 /// Example: `SimPlatform::new(12, 6_500, 80.0, 1_000_000)`.
 #[derive(Debug)]
 pub struct SimPlatform {
     workers: Vec<ListedWorker>,
     pub(crate) instances: BTreeMap<String, SimInstance>,
     lists: VecDeque<(u64, Vec<ListedWorker>, Vec<ListedInstance>)>,
-    /// How late the list is, in microseconds.
+    /// Delay of the list, in microseconds.
     pub list_late: u64,
     operations_per_second: f64,
     tokens: f64,
     filled_at: u64,
-    /// The highest fence seen of each function.
+    /// Highest fence seen, by function.
     fences: BTreeMap<String, u64>,
     free_ports: VecDeque<u16>,
     next_port: u16,
     next_instance: u64,
-    /// Cells that are gone since this was last emptied.
+    /// Instances that have ended since this was last drained.
     pub(crate) ended: Vec<String>,
-    /// Starts, stops and throttled acts.
+    /// Counts of starts, stops and throttled operations.
     pub counts: (u64, u64, u64),
 }
 
 impl SimPlatform {
-    /// A platform with idle workers. Example: `SimPlatform::new(2, 1_000, 80.0, 0)`.
+    /// A platform without instances. Example: `SimPlatform::new(2, 1_000, 80.0, 0)`.
     pub fn new(
         worker_count: usize,
         worker_memory_mb: u64,
@@ -99,7 +99,7 @@
         }
     }
 
-    fn spend(&mut self, now: u64) -> bool {
+    fn take_token(&mut self, now: u64) -> bool {
         let passed = (now - self.filled_at) as f64 / 1e6;
         self.filled_at = now;
         self.tokens = (self.tokens + passed * self.operations_per_second).min(self.operations_per_second);
@@ -111,14 +111,14 @@
         true
     }
 
-    /// Notes a fence; false for one that is lower than one seen before.
-    fn passes(&mut self, function: &str, fence: u64) -> bool {
+    /// Records a fence; false if it is lower than one seen before.
+    fn accept_fence(&mut self, function: &str, fence: u64) -> bool {
         let highest = self.fences.entry(function.to_owned()).or_default();
         *highest = (*highest).max(fence);
         fence == *highest
     }
 
-    /// The function of a cell that is there, gone ones aside.
+    /// The function of an instance, if the instance still exists.
     pub(crate) fn function_of(&self, instance: &str) -> Option<String> {
         self.instances.get(instance).map(|found| found.function.clone())
     }
@@ -134,13 +134,13 @@
         fence: u64,
         now: u64,
     ) -> SimStart {
-        if !self.passes(function, fence) {
+        if !self.accept_fence(function, fence) {
             return SimStart::Fenced;
         }
         if let Some(known) = self.instances.values().find(|instance| instance.start_id == start_id) {
             return SimStart::Started(known.id.clone(), known.address);
         }
-        if !self.spend(now) {
+        if !self.take_token(now) {
             return SimStart::Throttled;
         }
         let usable = self.workers.iter().find(|listed| listed.id == worker && !listed.draining);
@@ -177,13 +177,13 @@
         SimStart::Started(id, address)
     }
 
-    /// Begins a stop; one of a cell that is gone is taken.
+    /// Begins the stop of an instance; a stop of one that has ended is accepted.
     pub(crate) fn stop(&mut self, instance: &str, fence: u64, now: u64) -> SimStop {
         let Some(function) = self.function_of(instance) else { return SimStop::Taken };
-        if !self.passes(&function, fence) {
+        if !self.accept_fence(&function, fence) {
             return SimStop::Fenced;
         }
-        if !self.spend(now) {
+        if !self.take_token(now) {
             return SimStop::Throttled;
         }
         self.counts.1 += 1;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Drains a worker: its cells leave. Example: `platform.drain(0)`.
+    /// Drains a worker: its instances are marked as draining. Example: `platform.drain(0)`.
     pub fn drain(&mut self, worker: usize) {
         let Some(drained) = self.workers.get_mut(worker) else { return };
         drained.draining = true;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Crashes a worker with its cells. Example: `platform.crash(1)`.
+    /// Crashes a worker with its instances. Example: `platform.crash(1)`.
     pub fn crash(&mut self, worker: usize) {
         if worker >= self.workers.len() {
             return;
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Memory of the cells that are not leaving, of functions whose names begin so.
+    /// Memory in MB of the instances that are not draining, for functions with this name prefix.
     /// Example: `platform.memory_of("busy")`.
     pub fn memory_of(&self, prefix: &str) -> u64 {
         let own = self
--- a/packages/fleet_simulator/src/sim_usage.rs
+++ b/packages/fleet_simulator/src/sim_usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage at the simulated platform, and the nodes' wall clocks.
+//! Usage reports at the simulated platform, and the nodes' wall clocks.
 
 use crate::simulation::{Simulation, SimulationEvent};
 use history_checker::Line;
@@ -7,25 +7,25 @@
 use peer_messages::UsageWindow;
 use serde_json::{Value, json};
 
-/// True time at the beginning of a simulation, in microseconds since the start of 1970: amid a window.
-const UNIX_AT_START: u64 = 1_700_000_001_700_000;
-/// Nodes are told their wall clock this often.
-const WALL_CLOCK_EVERY: u64 = 200_000;
-/// A report's answer is given up after this.
-const RESPONSE_WITHIN: u64 = 1_500_000;
+/// True time at the beginning of a simulation, in microseconds since 1970; inside a usage window.
+const START_UNIX_MICROS: u64 = 1_700_000_001_700_000;
+/// Interval at which nodes read their wall clock.
+const WALL_CLOCK_INTERVAL_MICROS: u64 = 200_000;
+/// A report without a response by then has an unknown result.
+const RESPONSE_TIMEOUT_MICROS: u64 = 1_500_000;
 
-/// Reports of usage in a simulated fleet. Example: `SimUsage::default().tenants == 3`.
+/// Usage reporting in a simulated fleet. Example: `SimUsage::default().tenants == 3`.
 #[derive(Clone, Debug)]
 pub struct SimUsage {
-    /// Tenants, named `tenant-N`; calls are theirs in turn.
+    /// Number of tenants, named `tenant-N`; calls are assigned to them in turn.
     pub tenants: u64,
-    /// The length of a window.
+    /// Length of a usage window.
     pub window: Micros,
-    /// Until so long after its window a report counts.
+    /// How long after the end of its window a report is still accepted.
     pub delay: Micros,
-    /// The lease of acts.
+    /// Length of the action lease.
     pub lease: Micros,
-    /// The share of reports that are taken and whose answer is lost.
+    /// Share of reports that are accepted and lose their response.
     pub lost_responses: f64,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The document's group of tenants.
+    /// The tenants in the configuration document.
     pub(crate) fn tenants_document(&self) -> Value {
         let names = (0..self.tenants)
             .map(|number| (format!("tenant-{number}"), json!({"keys": [format!("key-{number}")]})));
@@ -63,37 +63,37 @@
     format!("node-{number}")
 }
 
-/// The platform's desk for reports.
+/// State of the platform's endpoint for usage reports.
 #[derive(Debug, Default)]
 pub(crate) struct UsageState {
     highest_fence: u64,
     down_until: u64,
-    /// What a report takes on its way there, beside the usual.
+    /// Added latency of a report on its way to the platform, in microseconds.
     slow_by: u64,
 }
 
 impl Simulation {
-    /// The platform takes no reports for so many seconds. Example: `simulation.platform_down(4.0)`.
+    /// Makes the platform accept no reports for some seconds. Example: `simulation.platform_down(4.0)`.
     pub fn platform_down(&mut self, seconds: f64) {
         self.usage_state.down_until = self.now + (seconds * 1e6) as u64;
     }
 
-    /// Reports take so much longer on their way to the platform. Example: `simulation.platform_slow(1.2)`.
+    /// Adds latency to reports on their way to the platform. Example: `simulation.platform_slow(1.2)`.
     pub fn platform_slow(&mut self, seconds: f64) {
         self.usage_state.slow_by = (seconds * 1e6) as u64;
     }
 
-    /// A node's wall clock jumps by so many seconds. Example: `simulation.step_clock(3, -7.5)`.
+    /// Steps a node's wall clock by some seconds. Example: `simulation.step_clock(3, -7.5)`.
     pub fn step_clock(&mut self, number: usize, seconds: f64) {
         self.nodes[number].wall_step += (seconds * 1e6) as i64;
     }
 
-    /// The node that collects counts in the eyes of most, if it is up. Example: `simulation.usage_collector()`.
+    /// The first node that is up and acts as the usage collector. Example: `simulation.usage_collector()`.
     pub fn usage_collector(&self) -> Option<usize> {
         self.up().into_iter().find(|number| self.status(*number).is_some_and(|status| status.collects_usage))
     }
 
-    /// The tenant of a call, where there are tenants.
+    /// The tenant of a call, if there are tenants.
     pub(crate) fn tenant_of(&self, call: u64) -> Option<String> {
         self.settings.usage.as_ref().map(|usage| format!("tenant-{}", call % usage.tenants))
     }
@@ -102,7 +102,7 @@
         let Some(usage) = self.settings.usage.clone() else { return };
         self.history(Line::UsageTerms {
             at: self.now,
-            unix: UNIX_AT_START,
+            unix: START_UNIX_MICROS,
             window: usage.window.0,
             delay: usage.delay.0,
             lease: usage.lease.0,
@@ -111,11 +111,12 @@
 
     pub(crate) fn send_wall_clock(&mut self, number: usize, tick: u64) {
         if self.settings.usage.is_none()
-            || self.now / WALL_CLOCK_EVERY == (self.now - tick.min(self.now)) / WALL_CLOCK_EVERY
+            || self.now / WALL_CLOCK_INTERVAL_MICROS
+                == (self.now - tick.min(self.now)) / WALL_CLOCK_INTERVAL_MICROS
         {
             return;
         }
-        let unix = Micros((UNIX_AT_START + self.now).saturating_add_signed(self.nodes[number].wall_step));
+        let unix = Micros((START_UNIX_MICROS + self.now).saturating_add_signed(self.nodes[number].wall_step));
         self.deliver_event(number, Event::WallClock { unix });
     }
 
@@ -126,19 +127,19 @@
                 report.window,
                 fence,
                 UsageResult::Unknown,
-                RESPONSE_WITHIN,
+                RESPONSE_TIMEOUT_MICROS,
             );
             return;
         }
-        // What is on its way arrives also if its sender died meanwhile.
+        // A report in flight arrives even if its sender has ended meanwhile.
         let span = self.travel() + self.usage_state.slow_by;
-        self.after(span, SimulationEvent::UsageArrives { node: number, incarnation, report, fence });
+        self.schedule_after(span, SimulationEvent::UsageArrives { node: number, incarnation, report, fence });
     }
 
     pub(crate) fn usage_arrives(&mut self, number: usize, incarnation: u64, report: UsageWindow, fence: u64) {
         let sender = (number, incarnation);
         if self.usage_state.down_until > self.now {
-            self.usage_answered(sender, report.window, fence, UsageResult::Unknown, RESPONSE_WITHIN);
+            self.usage_answered(sender, report.window, fence, UsageResult::Unknown, RESPONSE_TIMEOUT_MICROS);
             return;
         }
         let accepted = fence >= self.usage_state.highest_fence;
@@ -157,7 +158,7 @@
         let is_lost = lost_responses > 0.0 && self.rng.f64() < lost_responses;
         let travel = self.travel();
         let (result, span) = match (is_lost, accepted) {
-            (true, _) => (UsageResult::Unknown, RESPONSE_WITHIN),
+            (true, _) => (UsageResult::Unknown, RESPONSE_TIMEOUT_MICROS),
             (false, true) => (UsageResult::Accepted, travel),
             (false, false) => (UsageResult::Fenced, travel),
         };
@@ -173,6 +174,6 @@
         span: u64,
     ) {
         let event = Box::new(Event::UsageReported { window, fence, result });
-        self.after(span, SimulationEvent::NodeEvent { node, incarnation, event });
+        self.schedule_after(span, SimulationEvent::NodeEvent { node, incarnation, event });
     }
 }
--- a/packages/fleet_simulator/src/simulation.rs
+++ b/packages/fleet_simulator/src/simulation.rs
@@ -45,7 +45,7 @@
         incarnation: u64,
         event: Box<Event>,
     },
-    /// A machine that was busy takes the next of what waits.
+    /// A busy processor becomes free and handles its next waiting event.
     ProcessorFree {
         node: usize,
         incarnation: u64,
@@ -78,7 +78,7 @@
         dispatch: u32,
         end: DispatchEnd,
     },
-    CallForgotten {
+    CallExpired {
         call: u64,
     },
     Operator(OperatorEvent),
@@ -97,16 +97,16 @@
     },
 }
 
-/// What an operator asks of a node, and how often the call was sent on to another one.
+/// An operator's request to a node, with the number of redirects it has followed.
 pub(crate) struct OperatorCall {
     request: u64,
     hops: u32,
-    /// A change with its id; a read where there is none.
+    /// A change as (id, document); `None` for a read.
     change: Option<(String, Value)>,
 }
 
-/// Callers follow a redirect twice.
-const REDIRECTS: u32 = 2;
+/// Operators follow at most two redirects of a request.
+const REDIRECT_LIMIT: u32 = 2;
 
 pub(crate) struct SimNode {
     pub address: Address,
@@ -124,15 +124,16 @@
     voters_seen: VoterSet,
     is_draining: bool,
     is_drained: bool,
-    /// Its clock's microseconds for each that passes.
+    /// Microseconds of the node's monotonic clock per simulated microsecond.
     clock_rate: f64,
-    /// How far its wall clock is off, in microseconds.
+    /// Offset of the node's wall clock, in microseconds.
     pub wall_step: i64,
     pub processor: Processor,
 }
 
 impl SimNode {
-    /// What a node makes of the items that changed is what the stored document, decoded whole, says.
+    /// Checks that the incrementally updated configuration and route table equal those decoded from the whole
+    /// stored document.
     fn check_changed_configuration(&self, generation: u64, configuration: &Configuration) {
         assert_eq!(
             self.routes,
@@ -157,20 +158,20 @@
     }
 }
 
-/// An act in the middle of which a node freezes. Example: `FreezeIn::Start`.
+/// The kind of action during which a node freezes. Example: `FreezeIn::Start`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreezeIn {
-    /// A start is on its way to the platform.
+    /// A start request is on its way to the platform.
     Start,
-    /// A stop is.
+    /// A stop request is on its way to the platform.
     Stop,
-    /// A ticket was just sent.
+    /// A permit has just been sent.
     Grant,
-    /// A key's owner sent its stores, and has no answer yet.
+    /// A key's owner has sent its stores and has no response yet.
     Store,
-    /// A disk was given records, and is not synced yet.
+    /// Records have been written to a disk and are not synced yet.
     Sync,
-    /// A report of usage is on its way to the platform.
+    /// A usage report is on its way to the platform.
     Report,
 }
 
@@ -193,7 +194,7 @@
     pub(crate) settings: SimulationSettings,
     pub(crate) now: u64,
     pub(crate) rng: Rng,
-    /// What becomes of disks; apart, so that it leaves everything else as it is.
+    /// Random choices of disk faults; separate, so that they do not shift the other random choices of a seed.
     disk_rng: Rng,
     pub(crate) nodes: Vec<SimNode>,
     /// The platform.
@@ -201,40 +202,40 @@
     pub(crate) calls: BTreeMap<u64, SimCall>,
     pub(crate) next_call: u64,
     pub(crate) operators: SimOperators,
-    /// Calls that ran, were refused, are unknown, got no answer.
+    /// Counts of calls by outcome: ran, not run, unknown, no response.
     pub outcomes: [u64; 4],
-    /// Messages and bytes on the network by kind, while they are counted; `List` counts the platform's.
+    /// Messages and bytes sent, by kind, while counting is on; `List` counts requests for the platform's list.
     pub traffic: Option<BTreeMap<&'static str, (u64, u64)>>,
     simulation_events: BTreeMap<(u64, u64), SimulationEvent>,
     next_event_number: u64,
     lines: Vec<Line>,
-    /// Kinds of messages that never reach a node, by its number.
+    /// Message kinds that are always lost on the way to a node, as (node number, kind).
     pub(crate) lost_kinds: BTreeSet<(usize, &'static str)>,
-    /// One-way links that lose everything.
+    /// One-way links, as (from, to), that lose every message.
     cut_links: BTreeSet<(usize, usize)>,
     shown_draining: BTreeSet<String>,
     recorded_instances: BTreeSet<String>,
     changes: BTreeMap<String, (u64, u64)>,
     next_request: u64,
-    /// Calls a second, spread over ready nodes and functions.
+    /// Calls per second, spread over ready nodes and functions.
     pub call_rate: f64,
-    call_debt: f64,
-    call_filled_at: u64,
-    /// The next node that does this freezes, for so many seconds.
+    calls_due: f64,
+    calls_counted_at: u64,
+    /// The next node that performs this action freezes for this many seconds.
     pub freeze_in: Option<(FreezeIn, f64)>,
-    /// Store groups that disks were given.
+    /// Groups of records written to disks.
     pub disk_groups: u64,
     /// Messages sent between nodes.
     pub messages: u64,
     seeds: Vec<Address>,
-    /// The newest generation whose lanes are in the history, with them.
+    /// The newest generation whose routes are in the history, with those routes.
     recorded_routes: (u64, BTreeMap<String, String>),
-    /// Why calls were refused, with counts.
+    /// Counts of refused calls by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Generations that nodes took by what changed, not as a whole.
+    /// Number of times a node applied a generation incrementally rather than as a whole document.
     pub changed_configurations: u64,
     links: SimLinks,
-    /// The longest frame that passed a link of a node without a disk, while link rates are set.
+    /// Size of the largest frame sent over the link of a node without a disk, while link rates are set.
     pub largest_small_link_message: usize,
     reads_ended: BTreeSet<u64>,
     pub(crate) usage_state: UsageState,
@@ -245,7 +246,7 @@
 const FLEET: &str = "simulated";
 
 impl Simulation {
-    /// A fleet at its first start; every node is up. Example: `Simulation::new(settings, 7)`.
+    /// A fleet at its first start, with every node up. Example: `Simulation::new(settings, 7)`.
     pub fn new(settings: SimulationSettings, seed: u64) -> Simulation {
         let addresses: Vec<Address> = (0..settings.node_count).map(address_of).collect();
         let mut simulation = Simulation {
@@ -269,8 +270,8 @@
             changes: BTreeMap::new(),
             next_request: 0,
             call_rate: 0.0,
-            call_debt: 0.0,
-            call_filled_at: 0,
+            calls_due: 0.0,
+            calls_counted_at: 0,
             freeze_in: None,
             disk_groups: 0,
             messages: 0,
@@ -318,7 +319,7 @@
         for number in 0..simulation.nodes.len() {
             simulation.start(number);
         }
-        simulation.after(50_000, SimulationEvent::Digest);
+        simulation.schedule_after(50_000, SimulationEvent::Digest);
         simulation.begin_usage();
         simulation
     }
@@ -382,17 +383,17 @@
         self.lines.push(line);
     }
 
-    pub(crate) fn after(&mut self, span: u64, simulation_event: SimulationEvent) {
+    pub(crate) fn schedule_after(&mut self, span: u64, simulation_event: SimulationEvent) {
         self.next_event_number += 1;
         self.simulation_events.insert((self.now + span, self.next_event_number), simulation_event);
     }
 
-    /// A message's or a dispatch's way: a quarter to three quarters of a millisecond.
+    /// Random one-way latency of a message or a dispatch: 250 to 750 microseconds.
     pub(crate) fn travel(&mut self) -> u64 {
         self.rng.u64(250..750)
     }
 
-    /// Lets simulated seconds pass. Example: `simulation.run_for(5.0)`.
+    /// Advances the simulation by some seconds. Example: `simulation.run_for(5.0)`.
     pub fn run_for(&mut self, seconds: f64) {
         let end = self.now + (seconds * 1e6) as u64;
         while let Some(entry) = self.simulation_events.first_entry() {
@@ -407,8 +408,8 @@
         self.now = end;
     }
 
-    /// Lets time pass until something holds; false if it does not within the seconds.
-    /// Example: `simulation.run_until(30.0, |simulation| simulation.is_settled())`.
+    /// Advances the simulation until the condition holds, checking every 100 ms; false if it does not hold
+    /// within the given seconds. Example: `simulation.run_until(30.0, |simulation| simulation.is_settled())`.
     pub fn run_until(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + (seconds * 1e6) as u64;
         while self.now < end {
@@ -420,7 +421,8 @@
         holds(self)
     }
 
-    /// As `run_until`, to the millisecond. Example: `simulation.run_until_closely(4.0, Simulation::is_set_changing)`.
+    /// As `run_until`, checking every millisecond.
+    /// Example: `simulation.run_until_closely(4.0, Simulation::is_set_changing)`.
     pub fn run_until_closely(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + (seconds * 1e6) as u64;
         while self.now < end && !holds(self) {
@@ -443,14 +445,14 @@
             SimulationEvent::InstanceEnds { instance } => self.platform.end(&instance),
             SimulationEvent::Digest => {
                 self.record_ended_instances();
-                self.note_control();
+                self.record_control_access();
                 for instance in self.platform.record_digest(self.now) {
                     if self.shown_draining.insert(instance.clone()) {
                         self.history(Line::InstanceShownDraining { at: self.now, instance });
                     }
                 }
                 self.send_due_calls();
-                self.after(50_000, SimulationEvent::Digest);
+                self.schedule_after(50_000, SimulationEvent::Digest);
             }
             SimulationEvent::CallArrives { call } => self.call_arrives(call),
             SimulationEvent::DispatchArrives { call, dispatch, permit } => {
@@ -463,7 +465,7 @@
             SimulationEvent::ResponseArrives { call, dispatch, end } => {
                 self.response_arrives(call, dispatch, end)
             }
-            SimulationEvent::CallForgotten { call } => self.call_forgotten(call),
+            SimulationEvent::CallExpired { call } => self.call_expired(call),
             SimulationEvent::OperatorCalls { node, call } => self.operator_calls(node, call),
             SimulationEvent::UsageArrives { node, incarnation, report, fence } => {
                 self.usage_arrives(node, incarnation, report, fence);
@@ -475,11 +477,11 @@
     }
 
     fn send_due_calls(&mut self) {
-        let passed = (self.now - self.call_filled_at) as f64 / 1e6;
-        self.call_filled_at = self.now;
-        self.call_debt += passed * self.call_rate;
+        let passed = (self.now - self.calls_counted_at) as f64 / 1e6;
+        self.calls_counted_at = self.now;
+        self.calls_due += passed * self.call_rate;
         let functions = self.functions();
-        let open: Vec<usize> = (0..self.nodes.len())
+        let ready_nodes: Vec<usize> = (0..self.nodes.len())
             .filter(|number| {
                 let node = &self.nodes[*number];
                 node.is_up()
@@ -489,23 +491,21 @@
                     && node.frozen_until <= self.now
             })
             .collect();
-        while self.call_debt >= 1.0 {
-            self.call_debt -= 1.0;
-            // Nine in ten calls go to busy functions.
+        while self.calls_due >= 1.0 {
+            self.calls_due -= 1.0;
+            // Nine in ten calls go to the busy functions.
             let is_busy = self.rng.u8(..10) < 9 && self.settings.busy > 0;
-            let place = match is_busy || self.settings.rare == 0 {
+            let index = match is_busy || self.settings.rare == 0 {
                 true => self.rng.usize(..self.settings.busy.max(1)),
                 false => self.settings.busy + self.rng.usize(..self.settings.rare),
             };
-            let Some(node) = self.rng.choice(open.iter().copied()) else { continue };
-            if let Some(function) = functions.get(place) {
+            let Some(node) = self.rng.choice(ready_nodes.iter().copied()) else { continue };
+            if let Some(function) = functions.get(index) {
                 self.send_call(node, function, 0);
             }
         }
     }
 
-    // Nodes.
-
     fn node_ticks(&mut self, number: usize, incarnation: u64) {
         if self.nodes[number].incarnation != incarnation || !self.nodes[number].is_up() {
             return;
@@ -515,16 +515,16 @@
         }
         self.send_wall_clock(number, 20_000);
         self.deliver_event(number, Event::Tick);
-        self.after(20_000, SimulationEvent::Tick { node: number, incarnation });
+        self.schedule_after(20_000, SimulationEvent::Tick { node: number, incarnation });
     }
 
-    /// What happens to a frozen node happens when it wakes.
+    /// Postpones an event of a frozen node until the node resumes; false if the node is not frozen.
     pub(crate) fn defer_if_frozen(&mut self, number: usize, simulation_event: SimulationEvent) -> bool {
         let frozen_until = self.nodes[number].frozen_until;
         if frozen_until <= self.now {
             return false;
         }
-        self.after(frozen_until - self.now, simulation_event);
+        self.schedule_after(frozen_until - self.now, simulation_event);
         true
     }
 
@@ -533,17 +533,17 @@
         if frozen_until > self.now {
             let incarnation = self.nodes[number].incarnation;
             let later = SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) };
-            self.after(frozen_until - self.now, later);
+            self.schedule_after(frozen_until - self.now, later);
             return;
         }
-        let Some(event) = self.must_wait(number, event) else { return };
+        let Some(event) = self.queue_if_busy(number, event) else { return };
         let now = self.now;
         let event_cost = self.event_cost(&event);
         let sim_node = &mut self.nodes[number];
         let local_now = sim_node.local_time(now);
         let Some(node) = &mut sim_node.node else { return };
         let actions = node.handle(event, local_now);
-        self.spend(number, event_cost, &actions);
+        self.set_busy(number, event_cost, &actions);
         for action in actions {
             self.perform(number, action);
         }
@@ -555,7 +555,7 @@
         };
         if self.nodes[number].frozen_until > self.now {
             let span = self.nodes[number].frozen_until - self.now;
-            self.after(span, SimulationEvent::Arrives { to, envelope });
+            self.schedule_after(span, SimulationEvent::Arrives { to, envelope });
             return;
         }
         self.deliver_event(number, Event::Received(*envelope));
@@ -569,7 +569,7 @@
         let Some(disk) = &mut self.nodes[number].disk else { return };
         if disk.stalled_until > now {
             let span = disk.stalled_until - now;
-            self.after(span, SimulationEvent::Synced { node: number, incarnation, token });
+            self.schedule_after(span, SimulationEvent::Synced { node: number, incarnation, token });
             return;
         }
         let is_synced = disk.sync(token);
@@ -582,7 +582,7 @@
     Address::from(SocketAddr::from(([10, 0, high, low], 7_000)))
 }
 
-/// Start ids are `function-epoch-number`.
+/// The epoch in a start id, which has the form `function-epoch-number`.
 fn epoch_of(start_id: &str) -> Option<u64> {
     start_id.rsplit('-').nth(1)?.parse().ok()
 }
--- a/packages/fleet_simulator/src/simulation/actions.rs
+++ b/packages/fleet_simulator/src/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What nodes want done: messages, disk, platform, answers to calls.
+//! Performs the actions that nodes return: messages, disk writes, platform operations, responses to calls.
 
 use super::*;
 
@@ -19,7 +19,7 @@
                     disk.write(token, records, is_rewrite);
                 }
                 let span = self.rng.u64(500..3_000);
-                self.after(span, SimulationEvent::Synced { node: number, incarnation, token });
+                self.schedule_after(span, SimulationEvent::Synced { node: number, incarnation, token });
             }
             Action::List => {
                 if let Some(traffic) = &mut self.traffic {
@@ -33,7 +33,7 @@
                     }
                 };
                 let travel = self.travel() * 2;
-                self.after(
+                self.schedule_after(
                     travel,
                     SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
                 );
@@ -66,11 +66,11 @@
                 self.record_routes(generation, &configuration);
                 let (node, incarnation) = (format!("node-{number}"), incarnation.to_string());
                 self.history(Line::GenerationHeld { at: self.now, node, incarnation, generation });
-                self.note_last_order(number, generation, &configuration);
+                self.record_last_order(number, generation, &configuration);
             }
             Action::ChangeAnswered { request, change_id, outcome } => {
                 self.order_settled(request, &outcome);
-                self.note_outcome(change_id, &outcome);
+                self.record_outcome(change_id, &outcome);
             }
             Action::DecisionsAnswered { .. } => {}
             Action::ConfigurationAnswered { request, response } => {
@@ -81,14 +81,14 @@
                 }
                 self.read_answered(number, request, response);
             }
-            // Simulated cells make no calls of their own.
+            // Simulated instances make no calls themselves.
             Action::InstanceHosts { .. } => {}
             Action::Ready => self.nodes[number].is_ready = true,
             Action::Drained => self.nodes[number].is_drained = true,
         }
     }
 
-    pub(super) fn note_outcome(&mut self, change: String, outcome: &ChangeOutcome) {
+    pub(super) fn record_outcome(&mut self, change: String, outcome: &ChangeOutcome) {
         match outcome {
             ChangeOutcome::Accepted { generation, .. } => {
                 self.changes.insert(change.clone(), (self.now, *generation));
@@ -105,8 +105,9 @@
         }
     }
 
-    /// Notes for each node that is up whether it can reach a majority of the voting disks.
-    pub(super) fn note_control(&mut self) {
+    /// Records changes in the voter set each node knows and in whether it reaches a majority of the voting
+    /// disks.
+    pub(super) fn record_control_access(&mut self) {
         for number in self.up() {
             let Some(seen) = self.voters(number).cloned() else { continue };
             if seen.generation > 0 && self.nodes[number].voters_seen != seen {
@@ -144,7 +145,7 @@
         node.is_up() && node.frozen_until <= self.now && !is_cut
     }
 
-    /// What a generation changes in the lanes, told once, when the first node takes it.
+    /// Records the routes that a generation changes, once, when the first node applies it.
     pub(super) fn record_routes(&mut self, generation: u64, configuration: &Configuration) {
         if generation <= self.recorded_routes.0 {
             return;
@@ -178,7 +179,7 @@
         if epoch == 0 {
             return;
         }
-        // Told by process: a restarted node is another steward.
+        // Identified by process: a restarted node counts as another leader.
         let node = format!("node-{number}/{}", self.nodes[number].incarnation);
         self.history(Line::LeaderActed { at: self.now, node, function: function.to_owned(), epoch });
     }
@@ -207,7 +208,7 @@
             Some(receiver) => self.link_span((number, receiver), &envelope, travel),
             None => travel,
         };
-        self.after(span, SimulationEvent::Arrives { to: address, envelope: Box::new(envelope) });
+        self.schedule_after(span, SimulationEvent::Arrives { to: address, envelope: Box::new(envelope) });
     }
 
     pub(super) fn link_rate(&self, number: usize) -> Option<f64> {
@@ -215,7 +216,7 @@
         Some(if self.nodes[number].disk.is_some() { rates.with_disk } else { rates.others })
     }
 
-    /// How long a message is under way over both links.
+    /// Transfer time of a message over the sender's and the receiver's link.
     pub(super) fn link_span(&mut self, (from, to): (usize, usize), envelope: &Envelope, travel: u64) -> u64 {
         let bytes = envelope.frame().map_or(0, |frame| frame.len());
         if self.nodes[from].disk.is_none() || self.nodes[to].disk.is_none() {
@@ -244,7 +245,7 @@
                 match self.platform.start(start_id, function, worker, memory_mb, boot, fence, self.now) {
                     SimStart::Started(instance, address) => {
                         self.record_platform_operation(number, function, fence, true);
-                        self.note_started(&instance, function, worker, memory_mb, boot);
+                        self.record_started_instance(&instance, function, worker, memory_mb, boot);
                         StartResult::Started { instance, address }
                     }
                     SimStart::NoRoom => StartResult::NoRoom,
@@ -261,7 +262,10 @@
         };
         let event = Event::StartDone { start_id: start_id.to_owned(), result };
         let travel = self.travel() * 2;
-        self.after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) });
+        self.schedule_after(
+            travel,
+            SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
+        );
     }
 
     pub(super) fn record_platform_operation(
@@ -275,8 +279,8 @@
         self.history(Line::PlatformOperation { at: self.now, holder, function, fence, is_accepted });
     }
 
-    /// Notes a new cell; a repeated start id tells of one that is noted already.
-    pub(super) fn note_started(
+    /// Records a new instance; a repeated start id returns one that is already recorded.
+    pub(super) fn record_started_instance(
         &mut self,
         instance: &str,
         function: &str,
@@ -306,7 +310,10 @@
                     if let Some(function) = function {
                         self.record_platform_operation(number, &function, fence, true);
                     }
-                    self.after(5_000_000, SimulationEvent::InstanceEnds { instance: instance.clone() });
+                    self.schedule_after(
+                        5_000_000,
+                        SimulationEvent::InstanceEnds { instance: instance.clone() },
+                    );
                     self.history(Line::InstanceStopped { at: self.now, instance: instance.clone() });
                     StopResult::Stopped
                 }
@@ -322,6 +329,6 @@
         };
         let travel = self.travel() * 2;
         let event = Box::new(Event::StopDone { instance, result });
-        self.after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event });
+        self.schedule_after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event });
     }
 }
--- a/packages/fleet_simulator/src/simulation/faults.rs
+++ b/packages/fleet_simulator/src/simulation/faults.rs
@@ -1,9 +1,9 @@
-//! What happens to machines: starts, kills, freezes, cuts, lost disks.
+//! Faults of machines: starts, kills, freezes, network cuts, lost disks.
 
 use super::*;
 
 impl Simulation {
-    /// Starts a node's process anew. Example: `simulation.start(3)` after `simulation.kill(3)`.
+    /// Starts a new process of a node that is down. Example: `simulation.start(3)` after `simulation.kill(3)`.
     pub fn start(&mut self, number: usize) {
         if self.nodes[number].is_up() {
             return;
@@ -61,15 +61,15 @@
             self.deliver_event(number, Event::DiskUnsynced);
         }
         let first_tick = self.rng.u64(..20_000);
-        self.after(first_tick, SimulationEvent::Tick { node: number, incarnation });
+        self.schedule_after(first_tick, SimulationEvent::Tick { node: number, incarnation });
     }
 
-    /// Ends a node's process with no notice; its files stand as they are. Example: `simulation.kill(0)`.
+    /// Kills a node's process without notice; its files stay as they are. Example: `simulation.kill(0)`.
     pub fn kill(&mut self, number: usize) {
         self.end_process(number, false);
     }
 
-    /// Ends a node with its machine's power: of what its disk had not synced a beginning is left.
+    /// Ends a node's process by a power loss: only a prefix of the disk's unsynced writes is kept.
     /// Example: `simulation.lose_power(0)`.
     pub fn lose_power(&mut self, number: usize) {
         self.end_process(number, false);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Ends a node with its machine's power or without, by the seed. Example: `simulation.kill_either_way(0)`.
+    /// Ends a node by a power loss or a kill, chosen at random. Example: `simulation.kill_either_way(0)`.
     pub fn kill_either_way(&mut self, number: usize) {
         match self.disk_rng.bool() {
             true => self.lose_power(number),
@@ -91,7 +91,7 @@
             return;
         }
         self.drop_calls_of(number, is_planned);
-        self.operators_lose(number);
+        self.drop_operator_requests(number);
         let node = &mut self.nodes[number];
         node.node = None;
         node.incarnation += 1;
@@ -100,14 +100,15 @@
         }
     }
 
-    /// Freezes a node; messages wait for it. Example: `simulation.freeze(4, 8.0)`.
+    /// Freezes a node; its messages and events are delivered when it resumes.
+    /// Example: `simulation.freeze(4, 8.0)`.
     pub fn freeze(&mut self, number: usize, seconds: f64) {
         let until = self.now + (seconds * 1e6) as u64;
         self.nodes[number].frozen_until = until;
         self.history(Line::NodeFrozen { at: self.now, node: format!("node-{number}"), until });
     }
 
-    /// Begins a planned stop; the process ends when drained, six seconds at the most.
+    /// Stops a node as planned: its process ends once drained, after at most six seconds.
     /// Example: `simulation.stop_planned(2)`.
     pub fn stop_planned(&mut self, number: usize) {
         self.nodes[number].is_draining = true;
@@ -124,7 +125,8 @@
         self.end_process(number, true);
     }
 
-    /// Cuts everything between two groups of nodes. Example: `simulation.cut(&[0, 1], &[2, 3])`.
+    /// Cuts all links between two groups of nodes, in both directions.
+    /// Example: `simulation.cut(&[0, 1], &[2, 3])`.
     pub fn cut(&mut self, left: &[usize], right: &[usize]) {
         for left_node in left {
             for right_node in right {
@@ -134,19 +136,19 @@
         }
     }
 
-    /// Cuts one direction of one link. Example: `simulation.cut_one_way(3, 4)`.
+    /// Cuts one link in one direction. Example: `simulation.cut_one_way(3, 4)`.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cut_links.insert((from, to));
     }
 
-    /// Isolates a node from colleagues, platform, cells and callers. Example: `simulation.isolate(5)`.
+    /// Isolates a node from peers, platform, instances and callers. Example: `simulation.isolate(5)`.
     pub fn isolate(&mut self, number: usize) {
         let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
         self.cut(&[number], &others);
         self.nodes[number].is_isolated = true;
     }
 
-    /// Heals every cut and isolation. Example: `simulation.heal()`.
+    /// Removes every cut and isolation. Example: `simulation.heal()`.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         for node in &mut self.nodes {
@@ -159,21 +161,21 @@
         self.nodes[number].disk.as_mut()
     }
 
-    /// Kills the node and replaces its disk by an empty one. Example: `simulation.lose_disk(1)`.
+    /// Kills the node and replaces its disk with an empty one. Example: `simulation.lose_disk(1)`.
     pub fn lose_disk(&mut self, number: usize) {
         self.kill(number);
         let fresh_id = self.rng.u64(1..);
         self.nodes[number].disk = Some(SimDisk::blank(fresh_id));
     }
 
-    /// The machine is replaced by an empty one at a new address. Example: `simulation.replace_machine(1)`.
+    /// Replaces the machine with an empty one at a new address. Example: `simulation.replace_machine(1)`.
     pub fn replace_machine(&mut self, number: usize) {
         self.lose_disk(number);
         let fresh_number = 100 + number + self.rng.usize(..100) * 100;
         self.nodes[number].address = address_of(fresh_number);
     }
 
-    /// The seeds that are told to all nodes started from now on, and to those that run by a reload.
+    /// Sets the seeds of nodes that start from now on; running nodes receive them by a reload.
     /// Example: `simulation.set_seeds(&[4, 5, 6])`.
     pub fn set_seeds(&mut self, numbers: &[usize]) {
         self.seeds = numbers.iter().map(|number| self.nodes[*number].address).collect();
--- a/packages/fleet_simulator/src/simulation/operators.rs
+++ b/packages/fleet_simulator/src/simulation/operators.rs
@@ -1,9 +1,9 @@
-//! Operators' changes and reads, and the lanes that mark them.
+//! Operators' changes and reads, and the marker routes by which the checkers recognise applied changes.
 
 use super::*;
 
 impl Simulation {
-    /// Sends a change to a node; its outcome goes into the history under the change's id.
+    /// Sends a change to a node; the history records its outcome under the change id.
     /// Example: `simulation.change(3, "a", Some(document), None)`.
     pub fn change(&mut self, number: usize, change_id: &str, whole: Option<Value>, partial: Option<Value>) {
         let request = self.next_operator_request();
@@ -16,7 +16,7 @@
         self.next_request
     }
 
-    /// Sends the whole document to found the fleet's configuration, and waits until it stands.
+    /// Sends the fleet's first configuration and waits until it is in force.
     /// Example: `assert!(simulation.bootstrap())`.
     pub fn bootstrap(&mut self) -> bool {
         let is_ready = self.run_until(20.0, |simulation| {
@@ -37,7 +37,7 @@
         *bytes += envelope.frame().map_or(0, |frame| frame.len() as u64);
     }
 
-    /// An operator reads the configuration at a node, or where that one sends it on to.
+    /// An operator reads the configuration at a node or at the node it redirects to.
     /// Example: `let read = simulation.operator_reads(40); simulation.run_until(1.0, |simulation| simulation.is_read(read))`.
     pub fn operator_reads(&mut self, number: usize) -> u64 {
         self.next_request += 1;
@@ -46,12 +46,12 @@
         request
     }
 
-    /// Whether an operator's read was answered in full. Example: `simulation.is_read(read)`.
+    /// Whether the whole response to an operator's read has arrived. Example: `simulation.is_read(read)`.
     pub fn is_read(&self, read: u64) -> bool {
         self.reads_ended.contains(&read)
     }
 
-    /// An operator sends a whole document to a node, or where that one sends it on to.
+    /// An operator sends a whole document to a node or to the node it redirects to.
     /// Example: `simulation.operator_sends(40, "all", document)`.
     pub fn operator_sends(&mut self, number: usize, change_id: &str, whole: Value) {
         self.next_request += 1;
@@ -59,16 +59,17 @@
         self.operator_calls(number, OperatorCall { request: self.next_request, hops: 0, change });
     }
 
-    /// A caller that is sent on stops sending; a body that is taken comes over the node's link.
+    /// Follows a redirect before any body is sent; the body of an accepted request takes time on the node's
+    /// link.
     pub(super) fn operator_calls(&mut self, number: usize, call: OperatorCall) {
         let bytes = call.change.as_ref().map(|(_, whole)| whole.to_string().len());
         let redirect_target = self.nodes[number].node.as_ref().and_then(|node| node.redirect_target(bytes));
-        let place = redirect_target.filter(|_| call.hops < REDIRECTS);
+        let place = redirect_target.filter(|_| call.hops < REDIRECT_LIMIT);
         let next = place.and_then(|place| self.nodes.iter().position(|node| node.address == place));
         if let Some(next) = next {
             let travel = self.travel() * 2;
             let call = OperatorCall { hops: call.hops + 1, ..call };
-            self.after(travel, SimulationEvent::OperatorCalls { node: next, call });
+            self.schedule_after(travel, SimulationEvent::OperatorCalls { node: next, call });
             return;
         }
         let (incarnation, request) = (self.nodes[number].incarnation, call.request);
@@ -81,33 +82,37 @@
         };
         let received_at = self.links.received(number, bytes.unwrap_or(0), self.now);
         let span = received_at - self.now;
-        self.after(span, SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) });
+        self.schedule_after(
+            span,
+            SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
+        );
     }
 
-    /// The answer leaves over the node's link, unpacked.
+    /// Sends the response over the node's link; its size is counted uncompressed.
     pub(super) fn read_answered(&mut self, number: usize, request: u64, response: ConfigurationResponse) {
         match response {
             ConfigurationResponse::Stored(stored) => {
                 let sent_at = self.links.sent(number, stored.len(), self.now);
-                self.after(sent_at - self.now, SimulationEvent::OperatorReadEnds { request });
+                self.schedule_after(sent_at - self.now, SimulationEvent::OperatorReadEnds { request });
             }
             ConfigurationResponse::Elsewhere(place) => {
                 let next = self.nodes.iter().position(|node| node.address == place);
                 let Some(node) = next else { return };
                 let travel = self.travel() * 2;
-                let call = OperatorCall { request, hops: REDIRECTS, change: None };
-                self.after(travel, SimulationEvent::OperatorCalls { node, call });
+                let call = OperatorCall { request, hops: REDIRECT_LIMIT, change: None };
+                self.schedule_after(travel, SimulationEvent::OperatorCalls { node, call });
             }
             ConfigurationResponse::Unconfirmed => {}
         }
     }
 
-    /// Whether all nodes that are up take calls. Example: `simulation.run_until(20.0, Simulation::is_all_ready)`.
+    /// Whether all nodes that are up are ready for calls.
+    /// Example: `simulation.run_until(20.0, Simulation::is_all_ready)`.
     pub fn is_all_ready(&self) -> bool {
         self.up().iter().all(|number| self.nodes[*number].is_ready)
     }
 
-    /// Whether all nodes that are up hold one generation.
+    /// Whether all nodes that are up hold the same generation.
     /// Example: `simulation.run_until(4.0, Simulation::is_one_generation)`.
     pub fn is_one_generation(&self) -> bool {
         let held: BTreeSet<u64> =
@@ -115,27 +120,29 @@
         held.len() <= 1
     }
 
-    /// A small change that leaves its mark in the document. Example: `simulation.marker(2, "m1")`.
+    /// Sends a small change that adds a marker route to the document.
+    /// Example: `simulation.send_marked_change(2, "m1")`.
     pub fn send_marked_change(&mut self, number: usize, change_id: &str) {
         let mut partial = json!({"lanes": {}});
         self.put_marker(&mut partial, change_id);
         self.change(number, change_id, None, Some(partial));
     }
 
-    /// Puts a change's mark into a document. Example: `simulation.put_marker(&mut document, "m1")`.
+    /// Adds a change's marker route to a document. Example: `simulation.put_marker(&mut document, "m1")`.
     pub fn put_marker(&self, document: &mut Value, change_id: &str) {
         let function = self.functions()[0].clone();
         document["lanes"][format!("mark-{change_id}")] =
             json!({"function": function, "path_prefix": format!("/mark/{change_id}")});
     }
 
-    /// The function that a name's lane leads to in the newest generation that any node holds.
+    /// The function that the route of a name leads to in the newest generation held by any node.
     /// Example: `simulation.route_of("busy-0") == Some("busy-0".to_owned())`.
     pub fn route_of(&self, name: &str) -> Option<String> {
         self.recorded_routes.1.get(&format!("/{name}")).cloned()
     }
 
-    /// The acknowledged changes that left a mark. Example: `simulation.accepted_markers().contains("m1")`.
+    /// The acknowledged changes that added a marker route.
+    /// Example: `simulation.accepted_markers().contains(&"m1".to_owned())`.
     pub fn accepted_markers(&self) -> Vec<String> {
         self.changes.keys().filter(|change| *change != "first").cloned().collect()
     }
@@ -145,9 +152,9 @@
         self.changes.contains_key(change_id)
     }
 
-    /// Notes in the history which marks stand at each node that is up, for the checkers.
+    /// Records in the history which markers are in force at each node that is up, for the checkers.
     /// Example: call it before `check_all`.
-    pub fn note_standing_changes(&mut self) {
+    pub fn record_changes_in_force(&mut self) {
         for number in self.up() {
             let sim_node = &self.nodes[number];
             let Some(node) = &sim_node.node else { continue };
@@ -166,6 +173,4 @@
             self.history(Line::ChangesInForce { at, node, generation, changes });
         }
     }
-
-    // The machinery.
 }
--- a/packages/fleet_simulator/src/simulation/queries.rs
+++ b/packages/fleet_simulator/src/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! What a scenario may ask of the fleet: who is up, who votes, who owns what, how calls ended.
+//! Queries for scenarios: which nodes are up, which disks vote, which node owns a key, how calls ended.
 
 use super::*;
 
@@ -8,19 +8,19 @@
         (0..self.nodes.len()).filter(|number| self.nodes[*number].is_up()).collect()
     }
 
-    /// The voter set that a node goes by.
+    /// The voter set that a node has in force.
     pub(super) fn voters(&self, number: usize) -> Option<&VoterSet> {
         Some(self.nodes[number].node.as_ref()?.voters())
     }
 
-    /// A node's page of state. Example: `simulation.status(0).unwrap().generation`.
+    /// A node's status. Example: `simulation.status(0).unwrap().generation`.
     pub fn status(&self, number: usize) -> Option<NodeStatus> {
         let sim_node = &self.nodes[number];
         let node = sim_node.node.as_ref()?;
         Some(node.status(sim_node.local_time(self.now)))
     }
 
-    /// Whether a node's disk has a vote in the eyes of every node that is up.
+    /// Whether every node that is up counts the node's disk as a voter with a usable disk.
     /// Example: `simulation.run_until(40.0, |simulation| simulation.is_voting(1))`.
     pub fn is_voting(&self, number: usize) -> bool {
         let Some(disk) = self.nodes[number].disk.as_ref().map(|disk| disk.id) else { return false };
@@ -31,8 +31,9 @@
         })
     }
 
-    /// Whether every node that is up is ready, sees all others that are up, holds one generation,
-    /// and every function has a steward. Example: `simulation.run_until(12.0, Simulation::is_settled)`.
+    /// Whether every node that is up is ready, has all others that are up as members and holds the newest
+    /// generation, and every function has a leader.
+    /// Example: `simulation.run_until(12.0, Simulation::is_settled)`.
     pub fn is_settled(&self) -> bool {
         let up = self.up();
         let statuses: Vec<NodeStatus> = up.iter().filter_map(|number| self.status(*number)).collect();
@@ -45,7 +46,7 @@
         })
     }
 
-    /// When the first call to a name's path that was sent from a time on was answered.
+    /// When the first call sent to a name's path from a given time on received its response.
     /// Example: `simulation.answered_at("rare-3", began)`.
     pub fn answered_at(&self, name: &str, from: u64) -> Option<u64> {
         let path = format!("/{name}");
@@ -59,8 +60,8 @@
         })
     }
 
-    /// Whether all nodes that are up go by one voter set without a change under way, all of whose
-    /// disks are up. Example: `simulation.run_until(40.0, Simulation::has_whole_set)`.
+    /// Whether all nodes that are up have the same voter set, with no change in progress and all its disks up.
+    /// Example: `simulation.run_until(40.0, Simulation::has_whole_set)`.
     pub fn has_whole_set(&self) -> bool {
         let sets: Vec<&VoterSet> = self.up().into_iter().filter_map(|number| self.voters(number)).collect();
         let Some(first) = sets.first() else { return false };
@@ -75,14 +76,14 @@
             && sets.iter().all(|set| set.generation == first.generation)
     }
 
-    /// Whether a change of the voter set is under way at any node.
+    /// Whether any node has a change of the voter set in progress.
     /// Example: `simulation.run_until(4.0, Simulation::is_set_changing)`.
     pub fn is_set_changing(&self) -> bool {
         let mut sets = self.up().into_iter().filter_map(|number| self.voters(number));
         sets.any(|set| !set.joining.0.is_empty())
     }
 
-    /// The node whose disk is being taken in by a change of the voter set.
+    /// The node whose disk a change of the voter set is adding.
     /// Example: `simulation.lose_disk(simulation.joining_number().unwrap())`.
     pub fn joining_number(&self) -> Option<usize> {
         let sets = self.up().into_iter().filter_map(|number| self.voters(number));
@@ -92,7 +93,7 @@
         (0..self.nodes.len()).find(is_its)
     }
 
-    /// Numbers of the nodes whose disks vote, in the eyes of the first node that is up.
+    /// Numbers of the nodes whose disks vote, according to the first node that is up.
     /// Example: `simulation.lose_disk(simulation.voter_numbers()[0])`.
     pub fn voter_numbers(&self) -> Vec<usize> {
         let first = self.up().first().and_then(|number| self.voters(*number));
@@ -102,13 +103,13 @@
             .collect()
     }
 
-    /// The node that owns the key of the voter set, as far as another one can tell.
+    /// The node that owns the voter set's key, according to the first node that is up.
     /// Example: `simulation.kill(simulation.voters_owner().unwrap())`.
     pub fn voters_owner(&self) -> Option<usize> {
         self.owner_of(control_registers::DISKS_KEY)
     }
 
-    /// The node that owns the key of the configuration, as far as another one can tell.
+    /// The node that owns the configuration's key, according to the first node that is up.
     /// Example: `simulation.freeze(simulation.configuration_owner().unwrap(), 5.0)`.
     pub fn configuration_owner(&self) -> Option<usize> {
         self.owner_of(control_registers::CONFIGURATION_KEY)
@@ -120,8 +121,8 @@
         self.up().into_iter().find(|other| self.nodes[*other].id == owner)
     }
 
-    /// Sends a call to every function at every node that takes calls, ten functions at a time; the
-    /// probes' calls. Example: `let probes = simulation.send_probes(); simulation.run_for(4.5);`.
+    /// Sends a probe call to every function at every ready node, one function every 20 ms; returns the calls.
+    /// Example: `let probes = simulation.send_probes(); simulation.run_for(4.5);`.
     pub fn send_probes(&mut self) -> Vec<u64> {
         let open: Vec<usize> = self.up().into_iter().filter(|number| self.nodes[*number].is_ready).collect();
         let routes: Vec<String> =
@@ -137,7 +138,7 @@
         probes
     }
 
-    /// Which of these calls were not answered, with their paths.
+    /// The path and node of each of these calls that has not run.
     /// Example: `simulation.unanswered(&probes).is_empty()`.
     pub fn unanswered(&self, calls: &[u64]) -> Vec<String> {
         let ran: BTreeSet<&str> = self
@@ -161,10 +162,8 @@
             .collect()
     }
 
-    /// Steward counts of the nodes that are up. Example: `simulation.leader_counts()`.
+    /// Numbers of functions led, by node, for the nodes that are up. Example: `simulation.leader_counts()`.
     pub fn leader_counts(&self) -> Vec<usize> {
         self.up().iter().filter_map(|number| self.status(*number)).map(|status| status.held.len()).collect()
     }
-
-    // Operators.
 }
--- a/packages/fleet_simulator/src/simulation/settings.rs
+++ b/packages/fleet_simulator/src/simulation/settings.rs
@@ -1,59 +1,59 @@
-//! How the simulated fleet is made.
+//! Settings of a simulated fleet.
 
 use super::*;
 
-/// How the simulated fleet is made. Example: `SimulationSettings::default().node_count == 10`.
+/// Settings of a simulated fleet. Example: `SimulationSettings::default().node_count == 10`.
 #[derive(Clone, Debug)]
 pub struct SimulationSettings {
-    /// Nodes; the first three have disks.
+    /// Number of nodes; by default the first three have disks.
     pub node_count: usize,
-    /// Functions, named `busy-N` and `rare-N`.
+    /// Number of busy functions, named `busy-N`.
     pub busy: usize,
-    /// Rare functions.
+    /// Number of rare functions, named `rare-N`.
     pub rare: usize,
-    /// Functions whose lanes are repeatable.
+    /// Functions whose calls are repeatable.
     pub repeatable: BTreeSet<String>,
-    /// A call's time.
+    /// Time limit of a call.
     pub timeout: Micros,
-    /// A call's mean work on a cell.
+    /// Mean duration of a call at an instance.
     pub work: Micros,
-    /// Calls a cell may run at once.
+    /// Calls an instance may run at once.
     pub calls_at_once: u32,
-    /// The share of calls that run and lose their answer.
+    /// Share of calls that run and lose their response.
     pub lost_responses: f64,
-    /// The share of messages that the network loses.
+    /// Share of messages that the network loses.
     pub lost_messages: f64,
-    /// The election's times.
+    /// Timings of the leader election.
     pub election: ElectionSettings,
-    /// A voter gone this long is replaced.
+    /// A voter absent for this long is replaced.
     pub replace_disk_after: Micros,
-    /// How late the platform's list is.
+    /// Delay of the platform's list.
     pub list_late: Micros,
-    /// What cells boot longer than the brief's, by the configuration too.
+    /// Added to the boot times of 1.4 s (busy) and 0.9 s (rare), in the configuration too.
     pub extra_boot: Micros,
-    /// How long surplus cells may idle.
+    /// How long surplus instances may be idle.
     pub idle_seconds: u64,
-    /// Functions keep cells by what these cost, and lanes name this target.
+    /// With a value, functions keep instances by cost, and routes have this target latency.
     pub kept_by_cost: Option<Micros>,
-    /// Workers of the platform, and the memory of each.
+    /// Number of workers of the platform, and the memory of each in MB.
     pub workers: (usize, u64),
-    /// How much faster or slower the nodes' clocks run, at the most.
+    /// Largest relative error of the nodes' clock rates.
     pub clock_drift: f64,
-    /// Nodes with disks; `bootstrap_disks` of them found the state, the others are spare.
+    /// Number of nodes with disks; `bootstrap_disks` of them bootstrap the state, the others are spares.
     pub disks: usize,
-    /// The first node with a disk: the seeds before it carry none.
+    /// Number of the first node with a disk; the nodes before it, which are seeds too, have none.
     pub first_disk: usize,
-    /// Disks that found the state.
+    /// Disks that bootstrap the state.
     pub bootstrap_disks: usize,
-    /// The rare functions' memory ceiling, if they have one.
+    /// Memory ceiling of the rare functions' quota in MB, if any.
     pub rare_ceiling_mb: Option<f64>,
-    /// Rates of the nodes' links; without them any message takes the same time.
+    /// Rates of the nodes' links; without them transfer time does not depend on size.
     pub link_rates: Option<LinkRates>,
     /// Policies that are switched off.
     pub switched_off: BTreeSet<Policy>,
-    /// Processor time of the machines; without it work takes no time.
+    /// Processor time of the machines; without it, processing takes no time.
     pub processors: Option<Processors>,
-    /// Tenants whose usage is reported; without them calls have none.
+    /// Tenants whose usage is reported; without them calls belong to no tenant.
     pub usage: Option<SimUsage>,
 }
 
--- a/packages/fleet_simulator/src/stop_scenarios.rs
+++ b/packages/fleet_simulator/src/stop_scenarios.rs
@@ -1,4 +1,5 @@
-//! Planned stops that overlap: what a node leads goes on elsewhere without a call that waits for an election.
+//! Overlapping planned stops: the functions that a stopping node leads must move without calls waiting for an
+//! election.
 
 use crate::SimulationSettings;
 use crate::scenarios::{Trial, Verdict};
@@ -6,14 +7,14 @@
 
 const NODES: usize = 10;
 const DISKS: usize = 3;
-/// Calls a second, three in four for four functions.
+/// Calls per second; nine in ten go to four functions.
 const CALL_RATE: f64 = 300.0;
-/// Cells answer within some 60 ms; an answer after this has waited for something else.
+/// Instances respond within about 60 ms; a later response has waited for something else.
 const LATE_MICROS: u64 = 300_000;
-/// Of the calls made amid stops, at the most these are late.
+/// Largest share of late calls amid the stops.
 const LATE_SHARE: f64 = 0.01;
 
-/// Two nodes are stopped together, and the next two while those are hardly back, six times.
+/// Two nodes are stopped together, and the next two as soon as those are back, six times.
 pub(crate) fn stops_together(seed: u64) -> Verdict {
     let mut trial = Trial::bootstrapped(SimulationSettings::default(), seed);
     trial.simulation.call_rate = CALL_RATE;
@@ -29,14 +30,14 @@
         trial.simulation.start(second);
         trial.simulation.run_for(0.7);
     }
-    trial.must_have_been_quick(began_at, LATE_SHARE);
-    trial.must_settle();
+    trial.require_late_share_below(began_at, LATE_SHARE);
+    trial.require_settled();
     trial.verdict()
 }
 
 impl Trial {
-    /// Of the calls that ended since then, at most this share was answered late.
-    fn must_have_been_quick(&mut self, since: u64, most: f64) {
+    /// At most this share of the calls that ended since then may be late.
+    fn require_late_share_below(&mut self, since: u64, limit: f64) {
         let ended = self.simulation.lines().iter().filter_map(|line| match line {
             Line::CallEnded { at, latency, .. } if *at >= since => Some(*latency),
             _ => None,
@@ -46,6 +47,6 @@
         let share = late as f64 / latencies.len().max(1) as f64;
         self.figures.push(("late_share", share));
         let seen = format!("{late} of {} calls were late", latencies.len());
-        self.must(share <= most, "stops cost no time", &seen);
+        self.require(share <= limit, "stops cost no time", &seen);
     }
 }
