--- a/packages/fleet_simulator/src/usage_scenarios.rs
+++ b/packages/fleet_simulator/src/usage_scenarios.rs
@@ -1,12 +1,12 @@
-//! Reports of usage: who collects dies, sleeps or is cut off, clocks jump, the platform is down. The rules of
-//! `history_checker` hold always; each scenario says how many windows may go without a sound report.
+//! Usage reports while the collector dies, freezes or is cut off, clocks jump, or the platform is down. The
+//! rules of `history_checker` always hold; each scenario sets how many windows may lack a correct report.
 
 use crate::scenarios::{Trial, Verdict};
 use crate::{SimUsage, SimulationSettings};
 use fastrand::Rng;
 use history_checker::{Line, UsageWindows, usage_windows};
 
-/// A tenant's count may be off by this share.
+/// Allowed relative error of a tenant's count.
 const USAGE_ERROR: f64 = 0.05;
 const CALL_RATE: f64 = 200.0;
 
@@ -16,9 +16,10 @@
     trial
 }
 
-/// Ends the trial: of the windows at most so many may be without a report in time, and so many off.
-fn judged(mut trial: Trial, may_fail: usize, may_be_off: usize) -> Verdict {
-    // What fell due so far was asked for; calls end here, so that late windows are no longer full ones.
+/// Ends the trial and checks its windows: at most `may_fail` may lack a report in time, and at most
+/// `may_be_off` may have a wrong count.
+fn finish(mut trial: Trial, may_fail: usize, may_be_off: usize) -> Verdict {
+    // Only windows that are due by now are checked; calls end here, so that later windows are not complete.
     trial.simulation.run_for(1.0);
     let at = trial.simulation.now();
     trial.simulation.history(Line::UsageOver { at });
@@ -32,19 +33,19 @@
     ];
     trial.figures.extend(figures.map(|(name, count)| (name, count as f64)));
     let seen = format!("{windows:?}");
-    trial.must(due.len() > 2, "reports fell due", &seen);
-    trial.must(missing.len() + late.len() <= may_fail, "windows are reported in time", &seen);
-    trial.must(off.len() <= may_be_off, "counts are true", &seen);
+    trial.require(due.len() > 2, "reports fell due", &seen);
+    trial.require(missing.len() + late.len() <= may_fail, "windows are reported in time", &seen);
+    trial.require(off.len() <= may_be_off, "counts are true", &seen);
     trial.verdict()
 }
 
 pub(crate) fn usage_quiet(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     trial.simulation.run_for(40.0);
-    judged(trial, 0, 0)
+    finish(trial, 0, 0)
 }
 
-/// Whoever collects is killed, again and again, and comes back.
+/// The collector is killed repeatedly and comes back.
 pub(crate) fn usage_collector_killed(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     let mut rng = Rng::with_seed(seed ^ 0x05a6);
@@ -60,11 +61,11 @@
         trial.simulation.run_for(2.0 + rng.f64() * 7.0);
     }
     trial.simulation.run_for(12.0);
-    trial.must_settle();
-    judged(trial, 0, 0)
+    trial.require_settled();
+    finish(trial, 0, 0)
 }
 
-/// All nodes with disks are gone for four seconds.
+/// All nodes with disks are down for four seconds.
 pub(crate) fn usage_disk_nodes_killed(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     trial.checks.count_refusals = false;
@@ -77,8 +78,8 @@
         trial.simulation.start(number);
     }
     trial.simulation.run_for(25.0);
-    trial.must_settle();
-    judged(trial, 0, 1)
+    trial.require_settled();
+    finish(trial, 0, 1)
 }
 
 /// Each disk in turn is replaced by an empty one.
@@ -92,15 +93,15 @@
         let is_whole = trial
             .simulation
             .run_until(60.0, |simulation| simulation.has_whole_set() && simulation.is_voting(number));
-        trial.must(is_whole, "a wiped disk votes again", "it did not");
+        trial.require(is_whole, "a wiped disk votes again", "it did not");
         trial.simulation.run_for(3.0);
     }
     trial.simulation.run_for(12.0);
-    trial.must_settle();
-    judged(trial, 0, 0)
+    trial.require_settled();
+    finish(trial, 0, 0)
 }
 
-/// The collector and some others are cut off from the rest, which may decide without them.
+/// The collector and another node are cut off from the rest, which may elect another collector.
 pub(crate) fn usage_cut(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     let mut rng = Rng::with_seed(seed ^ 0xc075);
@@ -110,8 +111,8 @@
             trial.simulation.run_for(1.0);
             continue;
         };
-        let beside = 3 + rng.usize(..7);
-        let left = [collector, beside];
+        let companion = 3 + rng.usize(..7);
+        let left = [collector, companion];
         let right: Vec<usize> = (0..10).filter(|number| !left.contains(number)).collect();
         trial.simulation.cut(&left, &right);
         trial.simulation.run_for(2.0 + rng.f64() * 6.0);
@@ -119,11 +120,11 @@
         trial.simulation.run_for(4.0 + rng.f64() * 8.0);
     }
     trial.simulation.run_for(12.0);
-    trial.must_settle();
-    judged(trial, 0, 3)
+    trial.require_settled();
+    finish(trial, 0, 3)
 }
 
-/// Wall clocks of a minority jump by seconds, the collector's among them.
+/// Wall clocks of a minority of nodes jump by seconds, the collector's among them.
 pub(crate) fn usage_clocks_stepped(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     let mut rng = Rng::with_seed(seed ^ 0xc10c);
@@ -138,10 +139,10 @@
         trial.simulation.run_for(3.0 + rng.f64() * 4.0);
     }
     trial.simulation.run_for(10.0);
-    judged(trial, 0, 0)
+    finish(trial, 0, 0)
 }
 
-/// The platform takes no reports for four seconds, and is slow after that.
+/// The platform accepts no reports for four seconds and is slow after that.
 pub(crate) fn usage_platform_down(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     let mut rng = Rng::with_seed(seed ^ 0xd0e4);
@@ -154,10 +155,10 @@
         trial.simulation.platform_slow(0.0);
     }
     trial.simulation.run_for(10.0);
-    judged(trial, 0, 0)
+    finish(trial, 0, 0)
 }
 
-/// The collector freezes for longer than the lease, also while its report is on its way, and wakes.
+/// The collector freezes for longer than the lease, also while its report is on its way, and resumes.
 pub(crate) fn usage_collector_frozen(seed: u64) -> Verdict {
     let mut trial = bootstrapped(SimulationSettings::default(), SimUsage::default(), seed);
     let mut rng = Rng::with_seed(seed ^ 0xf203);
@@ -176,11 +177,11 @@
     }
     trial.simulation.platform_slow(0.0);
     trial.simulation.run_for(15.0);
-    trial.must_settle();
-    judged(trial, 0, 0)
+    trial.require_settled();
+    finish(trial, 0, 0)
 }
 
-/// Every third answer to a report is lost, and so are messages between nodes.
+/// A third of the responses to reports is lost, and some messages between nodes are too.
 pub(crate) fn usage_answers_lost(seed: u64) -> Verdict {
     let usage = SimUsage { lost_responses: 0.33, ..SimUsage::default() };
     let mut trial = bootstrapped(
@@ -190,5 +191,5 @@
     );
     trial.checks.count_refusals = false;
     trial.simulation.run_for(40.0);
-    judged(trial, 0, 0)
+    finish(trial, 0, 0)
 }
--- a/packages/fleet_simulator/tests/scenarios.rs
+++ b/packages/fleet_simulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The brief's failures, seeded; each history is judged after the fact.
+//! The specified failures as seeded scenarios; the checkers examine each history afterwards.
 
 use fleet_simulator::{Simulation, SimulationSettings, scenarios};
 use std::collections::BTreeSet;
@@ -59,10 +59,10 @@
     lossy_network: 1..=20;
     frozen_past_the_lease: 1..=20;
     rare_functions_wake: 1..=20;
-    // 91026: cells started one after the other while the list of waiting calls filled up.
+    // 91026: instances started one after the other while the queue of calls filled up.
     busy_function_jumps: (1..=20).chain([91_026]);
     answers_lost: 1..=20;
-    // 80001: a new steward granted its whole part beside that of the one before.
+    // 80001: a new leader granted its full share while the previous leader's share was still in use.
     answers_lost_often: (1..=20).chain([80_001]);
     workers_crash_and_drain: 1..=20;
     list_late_by_seconds: 1..=20;
@@ -70,19 +70,19 @@
     storm_of_changes: 1..=20;
     changes_by_item: 1..=6;
     large_configuration: 1..=20;
-    // 399: an owner that had just started refused a change by a base from before its first read.
+    // 399: an owner that had just started refused a change based on a version that preceded its first read.
     restarts_amid_changes: (1..=20).chain([399]);
     rolling_stops: 1..=20;
     stops_together: 1..=20;
     second_failure_in_recovery: 1..=20;
-    // 91026: a node that restarted beyond a cut took a colleague's older generation for the newest.
+    // 91026: a node that restarted on one side of a cut took a peer's older generation for the newest.
     chaos: (1..=20).chain([91_026]);
     cut_in_a_crowd: 1..=20;
-    // 33, 43: calls that waited for a boot went where their lane no longer led.
+    // 33, 43: calls that waited for a boot were dispatched to a function that their route no longer named.
     lanes_moved: (1..=20).chain([33, 43]);
-    // 28: a node that was isolated used its lanes before it heard of newer ones.
+    // 28: a node that had been isolated used its routes before it received newer ones.
     lanes_moved_while_nodes_sleep: (1..=20).chain([28]);
-    // 1: two nodes stopped cells of one function that was taken out, both under fence 0.
+    // 1: two nodes stopped instances of one removed function, both under fence 0.
     functions_taken_out: 1..=20;
     disk_full_and_room_again: 1..=20;
     two_disks_full: 1..=20;
@@ -90,8 +90,8 @@
     allowances_contended: 1..=20;
     allowances_moved: 1..=20;
     lone_start_beside_hunger: 1..=20;
-    // 115: one contended key held the whole change up for 45 s.
-    // 18: two owners of the voter set's key each stored another set of one generation.
+    // 115: one contended key delayed the whole change for 45 s. 18: two owners of the voter set's key each
+    // stored a different set under one generation.
     vote_change_with_owner_lost: (1..=20).chain([22, 55, 115]);
     frozen_in_the_act: 1..=20;
     clocks_drift: 1..=20;
@@ -115,7 +115,7 @@
     hundreds_of_changes: 1..=20;
     grown_links: 1..=2;
     busy_function_on_small_machines: 1..=20;
-    // 1: a term went to another node and back within a lease, and both acted: holders A, B, A.
+    // 1: a term moved to another node and back within a lease, and both acted: holders A, B, A.
     busy_term_there_and_back: 1..=10;
     grown_herd_killed: 1..=1;
     uncalled_functions_yield: 1..=10;
@@ -132,9 +132,9 @@
     bodies_of_changes_lost: 1..=4;
 }
 
-/// Source files under all packages' `src` folders, and the platform's, that contain one of these words, by their
-/// paths from the workspace's root.
-fn files_that_say(words: &[&str]) -> BTreeSet<String> {
+/// Source files below `packages/*/src` and `platform/src` that contain one of these words, by their paths from
+/// the workspace root.
+fn files_containing(words: &[&str]) -> BTreeSet<String> {
     fn search(folder: &Path, words: &[&str], found: &mut BTreeSet<PathBuf>) {
         for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
             let path = entry.path();
@@ -162,30 +162,30 @@
     expected.map(str::to_owned).into()
 }
 
-/// Clocks that jump can only matter where somebody reads them: the one file that does, besides the traces, whose
-/// wall-clock times are for their readers. What it reads goes one way only, from the shell's reading by the
-/// event to the part that reports usage.
+/// Guards against wall-clock jumps affecting anything but usage reports: only one file reads the wall clock,
+/// besides the call traces, whose times are for display. The reading goes one way, from the runtime through an
+/// event to usage reporting.
 #[test]
-fn only_reports_of_usage_go_by_a_wall_clock() {
+fn only_usage_reporting_depends_on_the_wall_clock() {
     let readers =
-        files_that_say(&[concat!("System", "Time"), concat!("Utc", "::now"), concat!("UNIX", "_EPOCH")]);
+        files_containing(&[concat!("System", "Time"), concat!("Utc", "::now"), concat!("UNIX", "_EPOCH")]);
     assert_eq!(
         readers,
         paths(["packages/call_traces/src/lib.rs", "packages/monotonic_clock/src/wall_clock.rs"])
     );
-    let requesters = files_that_say(&[concat!("unix", "_now")]);
+    let requesters = files_containing(&[concat!("unix", "_now")]);
     let runtime = "packages/vanelane/src/protocol_runtime.rs";
     assert_eq!(requesters, paths(["packages/monotonic_clock/src/wall_clock.rs", runtime]));
-    let reporters = files_that_say(&[concat!("Wall", "Clock")]);
+    let reporters = files_containing(&[concat!("Wall", "Clock")]);
     let (node, events) = ("packages/node_protocol/src/node.rs", "packages/node_protocol/src/lib.rs");
     assert_eq!(reporters, paths([node, events, "packages/fleet_simulator/src/sim_usage.rs", runtime]));
-    let takers = files_that_say(&[concat!("wall_clock", "_read")]);
+    let receivers = files_containing(&[concat!("wall_clock", "_read")]);
     let part = "packages/node_protocol/src/usage_reporting.rs";
-    assert_eq!(takers, paths([node, part]), "the node hands it on");
-    let clocks = files_that_say(&[concat!("Fleet", "Clock")]);
+    assert_eq!(receivers, paths([node, part]), "the node hands it on");
+    let clocks = files_containing(&[concat!("Fleet", "Clock")]);
     let pure = ["packages/usage_reports/src/fleet_clock.rs", "packages/usage_reports/src/lib.rs"];
     assert_eq!(clocks, paths([part, pure[0], pure[1], "packages/usage_reports/src/tests.rs"]));
-    // Nothing but the numbers of windows comes out of that part: no other part of the node looks into it.
-    let lookers = files_that_say(&[concat!(".usage", ".clock"), concat!("usage", ".clock")]);
-    assert_eq!(lookers, paths([part]));
+    // Only window numbers leave that module: no other part of the node accesses its clock.
+    let clock_users = files_containing(&[concat!(".usage", ".clock"), concat!("usage", ".clock")]);
+    assert_eq!(clock_users, paths([part]));
 }
--- a/packages/fleet_simulator/tests/usage_targets.rs
+++ b/packages/fleet_simulator/tests/usage_targets.rs
@@ -1,5 +1,5 @@
-//! The target of reports of usage: each window whole and in time, whoever fails meanwhile. The scenarios themselves
-//! bound how far a failure may miss it; here nothing may.
+//! The target of usage reporting: each window complete and in time, whichever node fails. The scenarios
+//! themselves allow some windows to miss it per failure; this test allows none.
 
 use fleet_simulator::scenarios;
 
