--- a/packages/fleet_simulator/benches/configuration_change.rs
+++ b/packages/fleet_simulator/benches/configuration_change.rs
@@ -50,7 +50,7 @@
 /// A stored configuration. It is not checked against the schema, whose bounds are below the largest size here.
 fn stored(generation: u64, document: &Value) -> StoredConfiguration {
     let text = json!({"generation": generation, "document": document, "recent": []}).to_string();
-    StoredConfiguration::decode(text.as_bytes()).expect("a stored configuration")
+    StoredConfiguration::decode(text.as_bytes()).expect("a decodable stored configuration")
 }
 
 fn generations(routes: usize) -> Generations {
@@ -58,7 +58,10 @@
     let old_stored = stored(1, &document);
     document["lanes"][format!("lane-{}", routes / 2)]["patience_millis"] = json!(3_000);
     let new_stored = stored(2, &document);
-    let (old, new) = (old_stored.trusted().expect("sound"), new_stored.trusted().expect("sound"));
+    let (old, new) = (
+        old_stored.trusted().expect("a valid configuration"),
+        new_stored.trusted().expect("a valid configuration"),
+    );
     let delta = ConfigurationDelta::between((1, &old), (2, &new));
     Generations { old_stored, new_stored, old, delta }
 }
@@ -67,16 +70,17 @@
 fn generations_of_tenants(count: usize) -> (Configuration, ConfigurationDelta) {
     let mut document = document(1);
     let key = |tenant: usize, number: usize| format!("key-{number}-of-tenant-{tenant}");
-    let keys =
-        |tenant: usize, most: usize| (0..most).map(|number| key(tenant, number)).collect::<Vec<String>>();
+    let keys = |tenant: usize, key_count: usize| {
+        (0..key_count).map(|number| key(tenant, number)).collect::<Vec<String>>()
+    };
     let tenants: Map<String, Value> = (0..count)
         .map(|tenant| (format!("tenant-{tenant}"), json!({"keys": keys(tenant, KEYS_OF_A_TENANT)})))
         .collect();
     document["tenants"] = Value::Object(tenants);
-    let old = stored(1, &document).trusted().expect("sound");
+    let old = stored(1, &document).trusted().expect("a valid configuration");
     let changed = count / 2;
     document["tenants"][format!("tenant-{changed}")]["keys"] = json!(keys(changed, KEYS_OF_A_TENANT + 1));
-    let new = stored(2, &document).trusted().expect("sound");
+    let new = stored(2, &document).trusted().expect("a valid configuration");
     let delta = ConfigurationDelta::between((1, &old), (2, &new));
     (old, delta)
 }
@@ -91,7 +95,7 @@
     owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), encoded_delta);
     let known = peer_messages::List(vec![peer_messages::GossipVersion { topic: TOPIC.into(), sequence: 1 }]);
     let (_, sends) = owner.received(READER, Message::GossipRequest { known });
-    let message = sends.into_iter().map(|(_, message)| message).next().expect("an answer");
+    let message = sends.into_iter().map(|(_, message)| message).next().expect("a response with the change");
     let mut reader = Gossip::new(8);
     reader.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
     (message, reader)
@@ -124,7 +128,7 @@
     let mut configuration = old.clone();
     group.bench_function(name, |bencher| {
         bencher.iter(|| {
-            let delta = ConfigurationDelta::decode(black_box(&encoded_delta)).expect("a delta");
+            let delta = ConfigurationDelta::decode(black_box(&encoded_delta)).expect("a decodable delta");
             delta.apply(&mut configuration);
             let mut next = table.clone();
             next.apply_changes(2, &configuration, std::slice::from_ref(&delta));
@@ -159,8 +163,9 @@
         let stored_bytes = generations(routes).new_stored.encode();
         group.bench_function(BenchmarkId::new("configuration and table", routes), |bencher| {
             bencher.iter(|| {
-                let stored = StoredConfiguration::decode(black_box(&stored_bytes)).expect("stored");
-                let configuration = stored.trusted().expect("checked");
+                let stored = StoredConfiguration::decode(black_box(&stored_bytes))
+                    .expect("a decodable stored configuration");
+                let configuration = stored.trusted().expect("a valid configuration");
                 RouteTable::new(stored.generation, &configuration)
             });
         });
--- a/packages/fleet_simulator/src/bin/grown_loss.rs
+++ b/packages/fleet_simulator/src/bin/grown_loss.rs
@@ -27,8 +27,8 @@
     simulation.call_rate = CALLS_PER_SECOND;
     simulation.run_for(5.0);
     report_second(&mut simulation, "before");
-    let is_disks = std::env::args().any(|argument| argument == "disks");
-    let killed = |number: &usize| if is_disks { *number < DISKS } else { number % 8 < 5 };
+    let only_disk_nodes = std::env::args().any(|argument| argument == "disks");
+    let killed = |number: &usize| if only_disk_nodes { *number < DISKS } else { number % 8 < 5 };
     for number in (0..NODES).filter(killed) {
         simulation.kill(number);
     }
@@ -51,7 +51,7 @@
     let mean = |value: &dyn Fn(&node_protocol::NodeStatus) -> usize| {
         statuses.iter().map(value).sum::<usize>() as f64 / statuses.len() as f64
     };
-    let ended: Vec<u64> = (0..4).map(|place| simulation.outcomes[place] - outcomes_before[place]).collect();
+    let ended: Vec<u64> = (0..4).map(|index| simulation.outcomes[index] - outcomes_before[index]).collect();
     println!(
         "{name}: unheld {:.0}, ready {:.0} of a hundred, members {:.1}; calls ran, refused, unknown, silent {ended:?}",
         mean(&|status| status.unheld),
--- a/packages/fleet_simulator/src/bin/simulate.rs
+++ b/packages/fleet_simulator/src/bin/simulate.rs
@@ -34,7 +34,7 @@
     };
     let from = command_line.from.unwrap_or(1);
     let seeds = command_line.seeds.unwrap_or(10);
-    let mut is_sound = true;
+    let mut all_rules_held = true;
     if let Some(path) = &command_line.history {
         let Some(verdict) = names.first().and_then(|name| scenarios::run(name, from)) else {
             return ExitCode::from(2);
@@ -69,7 +69,7 @@
                     Ok(own) => verdicts.extend(own),
                     Err(_) => {
                         println!("{name}: a run panicked");
-                        is_sound = false;
+                        all_rules_held = false;
                     }
                 }
             }
@@ -78,9 +78,9 @@
         let mut outcomes = [0u64; 4];
         let mut figures: Vec<(&str, Vec<f64>)> = Vec::new();
         let mut refusals: BTreeMap<String, u64> = BTreeMap::new();
-        let mut broken_count = 0;
+        let mut violated_runs = 0;
         // Number of runs in which each rule was violated.
-        let mut broken_rules: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut runs_by_violated_rule: BTreeMap<&str, u64> = BTreeMap::new();
         for (seed, verdict) in verdicts {
             let Some(verdict) = verdict else { continue };
             for (total, count) in outcomes.iter_mut().zip(verdict.outcomes) {
@@ -96,19 +96,19 @@
                 }
             }
             if !verdict.violations.is_empty() {
-                broken_count += 1;
-                is_sound = false;
+                violated_runs += 1;
+                all_rules_held = false;
                 let mut reported: BTreeSet<&str> = BTreeSet::new();
                 for violation in verdict.violations.iter().filter(|violation| reported.insert(violation.rule))
                 {
-                    *broken_rules.entry(violation.rule).or_default() += 1;
+                    *runs_by_violated_rule.entry(violation.rule).or_default() += 1;
                     println!("  {name} seed {seed}: {}: {}", violation.rule, violation.seen);
                 }
             }
         }
         let [ran, not_run, unknown, no_response] = outcomes;
         let mut line = format!(
-            "{name}: {broken_count} of {seeds} broken; ran {ran}, refused {not_run}, unknown {unknown}, no answer {no_response}"
+            "{name}: {violated_runs} of {seeds} broken; ran {ran}, refused {not_run}, unknown {unknown}, no answer {no_response}"
         );
         for (figure, mut values) in figures {
             values.sort_by(f64::total_cmp);
@@ -117,12 +117,12 @@
             line.push_str(&format!("; {figure} median {median:.1} most {most:.1}"));
         }
         println!("{line}");
-        for (rule, count) in broken_rules {
+        for (rule, count) in runs_by_violated_rule {
             println!("    {count} of {seeds} broke: {rule}");
         }
         for (reason, count) in refusals {
             println!("    {count} refused: {reason}");
         }
     }
-    if is_sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_rules_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/packages/fleet_simulator/src/control_scenarios.rs
+++ b/packages/fleet_simulator/src/control_scenarios.rs
@@ -30,9 +30,9 @@
     /// All links between it and every other node.
     FromEveryone,
     /// As `Full`; the seeds name only this node, and some other nodes are restarted meanwhile.
-    SeedsNameIt,
+    SeedsNameVictimOnly,
     /// As `Full`; this node is restarted meanwhile, and then the other disk nodes one by one.
-    BothRestarted,
+    DiskNodesRestarted,
 }
 
 impl CutKind {
@@ -42,8 +42,8 @@
             CutKind::OneWayOut,
             CutKind::OneWayIn,
             CutKind::FromEveryone,
-            CutKind::SeedsNameIt,
-            CutKind::BothRestarted,
+            CutKind::SeedsNameVictimOnly,
+            CutKind::DiskNodesRestarted,
         ];
         kinds[(seed % kinds.len() as u64) as usize]
     }
@@ -57,7 +57,7 @@
                 let everyone: Vec<usize> = (0..10).filter(|number| *number != victim).collect();
                 simulation.cut(&[victim], &everyone);
             }
-            CutKind::Full | CutKind::SeedsNameIt | CutKind::BothRestarted => {
+            CutKind::Full | CutKind::SeedsNameVictimOnly | CutKind::DiskNodesRestarted => {
                 simulation.cut(&[victim], &others)
             }
         }
@@ -86,7 +86,7 @@
     operator_clients.work(&mut trial.simulation, 3.0);
     kind.begin(&mut trial.simulation, victim);
     match kind {
-        CutKind::SeedsNameIt => {
+        CutKind::SeedsNameVictimOnly => {
             trial.simulation.set_seeds(&[victim]);
             operator_clients.work(&mut trial.simulation, 6.0);
             for number in [4, 7] {
@@ -94,7 +94,7 @@
             }
             operator_clients.work(&mut trial.simulation, CUT_SECONDS - 7.0);
         }
-        CutKind::BothRestarted => {
+        CutKind::DiskNodesRestarted => {
             operator_clients.work(&mut trial.simulation, 5.0);
             restart(&mut trial, &mut operator_clients, victim);
             operator_clients.work(&mut trial.simulation, 4.0);
@@ -161,10 +161,10 @@
         trial.simulation.cut(&left, &right);
         trial.simulation.run_for(rng.f64() * 1.5);
         let mut names = Vec::new();
-        for racer in 0..4 {
-            let side = if racer % 2 == 0 { &left } else { &right };
+        for contender in 0..4 {
+            let side = if contender % 2 == 0 { &left } else { &right };
             let node = rng.choice(side.iter().copied()).unwrap_or(victim);
-            let name = format!("cut-{version}-{racer}");
+            let name = format!("cut-{version}-{contender}");
             let mut plan = OrderPlan::new(name.clone(), node, Some(version), version + 1);
             plan.wanted_for = Micros::from_secs(40);
             plan.repeat = if rng.bool() { Repeat::SameNode } else { Repeat::OtherNode };
@@ -225,19 +225,19 @@
     let mut version = 0;
     for round in 0..4 {
         let victim = rng.usize(..3);
-        let away = 1.0 + rng.f64() * 7.0;
+        let outage_seconds = 1.0 + rng.f64() * 7.0;
         let kind = rng.u8(..3);
         match kind {
             0 => trial.simulation.kill_either_way(victim),
             1 => trial.simulation.cut(&[victim], &other_disk_nodes(victim)),
-            _ => trial.simulation.freeze(victim, away),
+            _ => trial.simulation.freeze(victim, outage_seconds),
         }
-        trial.simulation.run_for(away / 2.0);
+        trial.simulation.run_for(outage_seconds / 2.0);
         // Another order is accepted meanwhile, so that the node returns with an older configuration.
-        let meanwhile = OrderPlan::new(format!("away-{round}"), 5, Some(version), version + 1);
-        trial.require_order_accepted(meanwhile, 10.0);
+        let order_meanwhile = OrderPlan::new(format!("away-{round}"), 5, Some(version), version + 1);
+        trial.require_order_accepted(order_meanwhile, 10.0);
         version += 1;
-        trial.simulation.run_for(away / 2.0 - 0.1);
+        trial.simulation.run_for(outage_seconds / 2.0 - 0.1);
         let names = trial.send_to_returning_node(round, victim, version, &mut rng);
         trial.simulation.run_for(0.1);
         match kind {
--- a/packages/fleet_simulator/src/grown_scenarios.rs
+++ b/packages/fleet_simulator/src/grown_scenarios.rs
@@ -15,7 +15,7 @@
 /// An operator tries another node after one second without a response.
 const READ_WITHIN_SECONDS: f64 = 1.0;
 /// Reads must succeed within this many nodes after the owner of the configuration's key is lost.
-const READ_TRIES: usize = 4;
+const READ_ATTEMPTS: usize = 4;
 /// A change of a few items; one with the whole document takes longer because its body has to be transferred.
 const CHANGE_WITHIN_SECONDS: f64 = 1.0;
 const WHOLE_DOCUMENT_WITHIN_SECONDS: f64 = 2.0;
@@ -154,7 +154,7 @@
 /// An operator without a response in time tries another node.
 fn require_read_with_retries(trial: &mut Trial, rng: &mut Rng) {
     let began = trial.simulation.now();
-    let is_read = (0..READ_TRIES).any(|_| {
+    let is_read = (0..READ_ATTEMPTS).any(|_| {
         let read = trial.simulation.operator_reads(small_node(rng));
         trial.simulation.run_until(READ_WITHIN_SECONDS, |simulation| simulation.is_read(read))
     });
--- a/packages/fleet_simulator/src/processor_scenarios.rs
+++ b/packages/fleet_simulator/src/processor_scenarios.rs
@@ -81,7 +81,7 @@
 
 const LARGE_FLEET_NODES: usize = 77;
 const LARGE_FLEET_DISKS: usize = 8;
-/// As in the recorded day: 62 percent of the processes are killed and start again after 1.3 s.
+/// As in the users' recorded day: 62 percent of the processes are killed and start again after 1.3 s.
 const KILLED_SHARE: f64 = 0.62;
 const KILLED_FOR_SECONDS: f64 = 1.3;
 /// Half of the fifteen seconds allowed for recovery.
--- a/packages/fleet_simulator/src/quota_scenarios.rs
+++ b/packages/fleet_simulator/src/quota_scenarios.rs
@@ -59,7 +59,7 @@
 }
 
 /// Starts without load, so that the fleet is bootstrapped before demand exceeds capacity.
-fn undisturbed(settings: SimulationSettings, seed: u64) -> Trial {
+fn bootstrapped_without_load(settings: SimulationSettings, seed: u64) -> Trial {
     let mut trial = Trial::bootstrapped(settings, seed);
     trial.simulation.call_rate = 0.0;
     // Calls above the quota are refused, as quotas intend.
@@ -77,10 +77,10 @@
     let called_functions: Vec<&String> =
         functions.iter().filter(|name| prefixes.iter().any(|prefix| name.starts_with(prefix))).collect();
     for step in 0..(seconds * 10.0) as usize {
-        for (place, function) in called_functions.iter().enumerate() {
+        for (index, function) in called_functions.iter().enumerate() {
             let call_count = if function.starts_with("busy") { 4 } else { 2 };
             for call in 0..call_count {
-                trial.simulation.send_call((step + place + call) % 10, function, 0);
+                trial.simulation.send_call((step + index + call) % 10, function, 0);
             }
         }
         trial.simulation.run_for(0.1);
@@ -107,7 +107,7 @@
 
 /// The busy group uses what the rare one does not need, and gives it back on demand.
 pub(crate) fn allowances_contended(seed: u64) -> Verdict {
-    let mut trial = undisturbed(scarce_memory(), seed);
+    let mut trial = bootstrapped_without_load(scarce_memory(), seed);
     // A rare instance that is still idle from the bootstrap would take the room of a whole busy one.
     let is_gone = trial.simulation.run_until(20.0, |simulation| simulation.platform.memory_of("rare") == 0);
     trial.require(is_gone, "no cell is leaked", "a rare cell idles for over 20 s");
@@ -126,8 +126,10 @@
 
 /// A ceiling holds, also when it is lowered while instances run, and while leaders are killed.
 pub(crate) fn allowances_moved(seed: u64) -> Verdict {
-    let mut trial =
-        undisturbed(SimulationSettings { rare_ceiling_mb: Some(6_000.0), ..scarce_memory() }, seed);
+    let mut trial = bootstrapped_without_load(
+        SimulationSettings { rare_ceiling_mb: Some(6_000.0), ..scarce_memory() },
+        seed,
+    );
     send_calls_to_all(&mut trial, &["rare"], 8.0);
     let victim = (seed % 10) as usize;
     trial.simulation.kill_either_way(victim);
@@ -148,17 +150,17 @@
 
 /// A rare function is called once while another group wants far more starts and memory than there is.
 pub(crate) fn lone_start_beside_hunger(seed: u64) -> Verdict {
-    let mut trial = undisturbed(scarce_memory(), seed);
+    let mut trial = bootstrapped_without_load(scarce_memory(), seed);
     send_calls_to_all(&mut trial, &["busy"], 6.0 + (seed % 4) as f64);
-    let lone = format!("rare-{}", seed % 20);
+    let rare_function = format!("rare-{}", seed % 20);
     let began = trial.simulation.now();
-    trial.simulation.send_call((seed % 10) as usize, &lone, 0);
+    trial.simulation.send_call((seed % 10) as usize, &rare_function, 0);
     send_calls_to_all(&mut trial, &["busy"], 5.0);
-    let answered = trial.simulation.answered_at(&lone, began);
+    let answered = trial.simulation.answered_at(&rare_function, began);
     let took = answered.map(|at| (at - began) as f64 / 1e6);
     trial.figures.push(("lone_start_seconds", took.unwrap_or(9.0)));
     // The boot, up to 1.2 s of work, and half a second for everything else.
     let is_in_time = took.is_some_and(|seconds| seconds <= 0.9 + 1.2 + 0.5);
-    trial.require(is_in_time, "a lone start waits for nobody", &format!("{lone} took {took:?} s"));
+    trial.require(is_in_time, "a lone start waits for nobody", &format!("{rare_function} took {took:?} s"));
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/route_scenarios.rs
+++ b/packages/fleet_simulator/src/route_scenarios.rs
@@ -69,11 +69,11 @@
     trial.simulation.run_for(10.0);
     let left: u64 = names.iter().map(|name| trial.simulation.platform.memory_of(name)).sum();
     trial.require(left == 0, "cells of functions taken out are stopped", &format!("{left} MB still run"));
-    put_all_back(&mut trial);
+    restore_all(&mut trial);
     trial.verdict()
 }
 
-fn put_all_back(trial: &mut Trial) {
+fn restore_all(trial: &mut Trial) {
     // Every change that was sent has its response by then.
     trial.simulation.run_for(6.5);
     let mut whole = trial.simulation.document();
@@ -106,7 +106,7 @@
         trial.simulation.run_for(rng.f64() * 4.0);
         trial.require_propagated();
     }
-    put_all_back(&mut trial);
+    restore_all(&mut trial);
     trial.verdict()
 }
 
@@ -131,6 +131,6 @@
         trial.simulation.start(victim);
         trial.simulation.run_for(1.0 + rng.f64() * 3.0);
     }
-    put_all_back(&mut trial);
+    restore_all(&mut trial);
     trial.verdict()
 }
--- a/packages/fleet_simulator/src/scenarios.rs
+++ b/packages/fleet_simulator/src/scenarios.rs
@@ -206,9 +206,13 @@
             probes = self.simulation.send_probes();
             self.simulation.run_for(4.5);
         }
-        let silent = self.simulation.unanswered(&probes);
-        let seen = format!("{} of {} probe calls were not answered: {silent:?}", silent.len(), probes.len());
-        self.require(silent.is_empty(), "back within 12 s", &seen);
+        let unanswered_probes = self.simulation.unanswered(&probes);
+        let seen = format!(
+            "{} of {} probe calls were not answered: {unanswered_probes:?}",
+            unanswered_probes.len(),
+            probes.len()
+        );
+        self.require(unanswered_probes.is_empty(), "back within 12 s", &seen);
     }
 
     pub(crate) fn require_accepted(&mut self, number: usize, change_id: &str, seconds: f64) {
@@ -564,8 +568,8 @@
     let settings = SimulationSettings { rare: 100, ..SimulationSettings::default() };
     let mut trial = Trial::bootstrapped(settings, seed);
     let functions = trial.simulation.functions();
-    for (place, function) in functions.iter().filter(|name| name.starts_with("rare")).enumerate() {
-        trial.simulation.send_call(place % 10, function, 0);
+    for (index, function) in functions.iter().filter(|name| name.starts_with("rare")).enumerate() {
+        trial.simulation.send_call(index % 10, function, 0);
     }
     trial.simulation.run_for(8.0);
     trial.verdict()
--- a/packages/fleet_simulator/src/sim_calls.rs
+++ b/packages/fleet_simulator/src/sim_calls.rs
@@ -139,7 +139,7 @@
             return;
         }
         let is_isolated = self.nodes[node].is_isolated;
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let current_function = self.function_of(node, call);
         let Some(sim_call) = self.calls.get_mut(&call) else { return };
         let is_still_routed = current_function.as_ref() == Some(&sim_call.function);
@@ -159,7 +159,7 @@
                 SimulationEvent::ResponseArrives { call, dispatch, end },
             );
         } else {
-            self.schedule_after(travel, SimulationEvent::DispatchArrives { call, dispatch, permit });
+            self.schedule_after(network_latency, SimulationEvent::DispatchArrives { call, dispatch, permit });
         }
         let end = DispatchEnd::TimedOut;
         self.schedule_after(time_left, SimulationEvent::ResponseArrives { call, dispatch, end });
@@ -212,21 +212,21 @@
     /// Delivers a dispatch to the instance that has the permit's address now, which may be a different one.
     pub(crate) fn dispatch_arrives(&mut self, call: u64, dispatch: u32, permit: &Permit) {
         let now = self.now;
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let limit = self.settings.calls_at_once;
         let work = self.settings.work.0;
         let loses_response = self.rng.f64() < self.settings.lost_responses;
         let found = self.platform.instance_at(permit.address.socket());
         let Some(instance) = found.filter(|instance| instance.ready_at <= now) else {
             self.schedule_after(
-                travel,
+                network_latency,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun },
             );
             return;
         };
         if instance.id != permit.instance.0 {
             self.schedule_after(
-                travel,
+                network_latency,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::NotRun },
             );
             return;
@@ -248,7 +248,7 @@
         });
         if !is_running {
             self.schedule_after(
-                travel,
+                network_latency,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::RefusedBusy },
             );
             return;
@@ -265,17 +265,17 @@
     }
 
     pub(crate) fn instance_finishes(&mut self, call: u64, dispatch: u32, instance: &str, end: DispatchEnd) {
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let Some(finished) = self.platform.instances.get_mut(instance) else {
             // The instance ended with the call on it: the connection breaks.
             self.schedule_after(
-                travel,
+                network_latency,
                 SimulationEvent::ResponseArrives { call, dispatch, end: DispatchEnd::Unknown },
             );
             return;
         };
         finished.in_flight -= 1;
-        self.schedule_after(travel, SimulationEvent::ResponseArrives { call, dispatch, end });
+        self.schedule_after(network_latency, SimulationEvent::ResponseArrives { call, dispatch, end });
     }
 
     /// Takes the permit of a dispatch, if that dispatch is still the current one of its call.
--- a/packages/fleet_simulator/src/sim_disk/tests.rs
+++ b/packages/fleet_simulator/src/sim_disk/tests.rs
@@ -5,14 +5,14 @@
 
 const KEY: &str = "configuration";
 
-/// A disk that was synced at version 1 and then given versions 2 to 4, the third of them as a rewrite.
+/// A disk that was synced at version 1; versions 2 to 4 were then written and not synced, version 3 as a rewrite.
 fn written_disk() -> SimDisk {
     let mut disk = SimDisk::blank(7);
     let (mut registers, is_unsynced) = disk.open();
     assert!(!is_unsynced);
     let set = ChosenSet::bootstrap(&[7]);
     let mut token = 1;
-    disk.write(token, registers.bootstrap(&set).expect("blank"), false);
+    disk.write(token, registers.bootstrap(&set).expect("a blank disk can be bootstrapped"), false);
     for version in 1..=4_u64 {
         let entry = StoreEntry {
             digest: 0,
@@ -36,7 +36,7 @@
 }
 
 fn version(registers: &DiskRegisters) -> u64 {
-    registers.stored(KEY).expect("synced").1
+    registers.stored(KEY).expect("a value is stored under the key").1
 }
 
 #[test]
@@ -45,7 +45,7 @@
     disk.end_process();
     let (registers, is_unsynced) = disk.open();
     assert_eq!((version(&registers), is_unsynced), (4, true));
-    // Nothing of it is synced yet: the next process ends too, and then the power goes.
+    // The records are still unsynced: a power loss after the next process ends may keep any prefix of them.
     let found: BTreeSet<u64> = (0..64)
         .map(|seed| {
             let mut disk = disk.clone();
@@ -55,7 +55,7 @@
         })
         .collect();
     assert_eq!(found, BTreeSet::from([1, 2, 3, 4]));
-    // Once the next process has rewritten it, all of it lasts.
+    // A synced rewrite by the next process makes all of them durable.
     disk.write(1, registers.live_records(), true);
     assert!(disk.sync(1));
     disk.lose_power(&mut Rng::with_seed(1));
--- a/packages/fleet_simulator/src/sim_links.rs
+++ b/packages/fleet_simulator/src/sim_links.rs
@@ -31,10 +31,16 @@
     }
 
     /// When all bytes of a message that is sent now have arrived.
-    pub(crate) fn arrival(&mut self, (from, to): (usize, usize), bytes: usize, now: u64, travel: u64) -> u64 {
+    pub(crate) fn arrival(
+        &mut self,
+        (from, to): (usize, usize),
+        bytes: usize,
+        now: u64,
+        network_latency: u64,
+    ) -> u64 {
         let sent_at = self.sent(from, bytes, now);
         let begun_at = sent_at - self.span(from, bytes);
-        self.received(to, bytes, begun_at + travel).max(sent_at + travel)
+        self.received(to, bytes, begun_at + network_latency).max(sent_at + network_latency)
     }
 
     /// When a node has sent this many bytes to a receiver outside the fleet.
--- a/packages/fleet_simulator/src/sim_operators.rs
+++ b/packages/fleet_simulator/src/sim_operators.rs
@@ -114,7 +114,7 @@
     /// An attempt reaches its node.
     Arrives { request: u64 },
     /// An attempt has had no response until now.
-    Silence { order: String, attempt: u64 },
+    ResponseTimeout { order: String, attempt: u64 },
     /// A response reaches the operator.
     ResponseArrives { order: String, attempt: u64, response: OrderResponse },
     /// A read reaches its node.
@@ -199,8 +199,11 @@
         self.history(Line::ReadSent { at: self.now, read, node: format!("node-{node}") });
         let request = self.next_operator_request();
         self.operators.reads.insert(request, OpenRead { read, node });
-        let travel = self.travel();
-        self.schedule_after(travel, SimulationEvent::Operator(OperatorEvent::ReadArrives { request }));
+        let network_latency = self.network_latency();
+        self.schedule_after(
+            network_latency,
+            SimulationEvent::Operator(OperatorEvent::ReadArrives { request }),
+        );
         read
     }
 
@@ -213,7 +216,7 @@
         match simulation_event {
             OperatorEvent::Sends { order } => self.send_next_attempt(&order),
             OperatorEvent::Arrives { request } => self.attempt_arrives(request),
-            OperatorEvent::Silence { order, attempt } => self.order_unanswered(&order, attempt),
+            OperatorEvent::ResponseTimeout { order, attempt } => self.order_unanswered(&order, attempt),
             OperatorEvent::ResponseArrives { order, attempt, response } => {
                 self.order_answered(&order, attempt, response);
             }
@@ -264,9 +267,12 @@
         let request = self.next_operator_request();
         let order = order.to_owned();
         self.operators.attempts.insert(request, OpenAttempt { order: order.clone(), attempt, node });
-        let travel = self.travel();
-        self.schedule_after(travel, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
-        self.schedule_after(silence, SimulationEvent::Operator(OperatorEvent::Silence { order, attempt }));
+        let network_latency = self.network_latency();
+        self.schedule_after(network_latency, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
+        self.schedule_after(
+            silence,
+            SimulationEvent::Operator(OperatorEvent::ResponseTimeout { order, attempt }),
+        );
     }
 
     fn attempt_arrives(&mut self, request: u64) {
@@ -300,9 +306,9 @@
         let Some(OpenAttempt { order, attempt, .. }) = self.operators.attempts.remove(&request) else {
             return;
         };
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let simulation_event = OperatorEvent::ResponseArrives { order, attempt, response };
-        self.schedule_after(travel, SimulationEvent::Operator(simulation_event));
+        self.schedule_after(network_latency, SimulationEvent::Operator(simulation_event));
     }
 
     fn order_answered(&mut self, order: &str, attempt: u64, response: OrderResponse) {
@@ -363,9 +369,9 @@
 
     fn read_ends(&mut self, request: u64, response: ReadResponse) {
         let Some(OpenRead { read, .. }) = self.operators.reads.remove(&request) else { return };
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         self.schedule_after(
-            travel,
+            network_latency,
             SimulationEvent::Operator(OperatorEvent::ReadResponseArrives { read, response }),
         );
     }
--- a/packages/fleet_simulator/src/sim_platform.rs
+++ b/packages/fleet_simulator/src/sim_platform.rs
@@ -1,3 +1,5 @@
+//! The simulated platform.
+
 use function_scheduler::{ListedInstance, ListedWorker};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -36,7 +38,7 @@
 /// Result of a stop at the simulated platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SimStop {
-    Taken,
+    Accepted,
     /// A higher fence was seen.
     Fenced,
     Throttled,
@@ -53,7 +55,7 @@
     pub list_late: u64,
     operations_per_second: f64,
     tokens: f64,
-    filled_at: u64,
+    refilled_at: u64,
     /// Highest fence seen, by function.
     fences: BTreeMap<String, u64>,
     free_ports: VecDeque<u16>,
@@ -89,7 +91,7 @@
             list_late,
             operations_per_second,
             tokens: operations_per_second,
-            filled_at: 0,
+            refilled_at: 0,
             fences: BTreeMap::new(),
             free_ports: VecDeque::new(),
             next_port: 20_000,
@@ -100,8 +102,8 @@
     }
 
     fn take_token(&mut self, now: u64) -> bool {
-        let passed = (now - self.filled_at) as f64 / 1e6;
-        self.filled_at = now;
+        let passed = (now - self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
         self.tokens = (self.tokens + passed * self.operations_per_second).min(self.operations_per_second);
         if self.tokens < 1.0 {
             self.counts.2 += 1;
@@ -179,7 +181,7 @@
 
     /// Begins the stop of an instance; a stop of one that has ended is accepted.
     pub(crate) fn stop(&mut self, instance: &str, fence: u64, now: u64) -> SimStop {
-        let Some(function) = self.function_of(instance) else { return SimStop::Taken };
+        let Some(function) = self.function_of(instance) else { return SimStop::Accepted };
         if !self.accept_fence(&function, fence) {
             return SimStop::Fenced;
         }
@@ -190,7 +192,7 @@
         if let Some(stopped) = self.instances.get_mut(instance) {
             stopped.draining = true;
         }
-        SimStop::Taken
+        SimStop::Accepted
     }
 
     pub(crate) fn end(&mut self, instance: &str) {
--- a/packages/fleet_simulator/src/sim_usage.rs
+++ b/packages/fleet_simulator/src/sim_usage.rs
@@ -69,7 +69,7 @@
     highest_fence: u64,
     down_until: u64,
     /// Added latency of a report on its way to the platform, in microseconds.
-    slow_by: u64,
+    extra_latency: u64,
 }
 
 impl Simulation {
@@ -80,7 +80,7 @@
 
     /// Adds latency to reports on their way to the platform. Example: `simulation.platform_slow(1.2)`.
     pub fn platform_slow(&mut self, seconds: f64) {
-        self.usage_state.slow_by = (seconds * 1e6) as u64;
+        self.usage_state.extra_latency = (seconds * 1e6) as u64;
     }
 
     /// Steps a node's wall clock by some seconds. Example: `simulation.step_clock(3, -7.5)`.
@@ -98,7 +98,7 @@
         self.settings.usage.as_ref().map(|usage| format!("tenant-{}", call % usage.tenants))
     }
 
-    pub(crate) fn begin_usage(&mut self) {
+    pub(crate) fn record_usage_terms(&mut self) {
         let Some(usage) = self.settings.usage.clone() else { return };
         self.history(Line::UsageTerms {
             at: self.now,
@@ -132,7 +132,7 @@
             return;
         }
         // A report in flight arrives even if its sender has ended meanwhile.
-        let span = self.travel() + self.usage_state.slow_by;
+        let span = self.network_latency() + self.usage_state.extra_latency;
         self.schedule_after(span, SimulationEvent::UsageArrives { node: number, incarnation, report, fence });
     }
 
@@ -156,11 +156,11 @@
         });
         let lost_responses = self.settings.usage.as_ref().map_or(0.0, |usage| usage.lost_responses);
         let is_lost = lost_responses > 0.0 && self.rng.f64() < lost_responses;
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let (result, span) = match (is_lost, accepted) {
             (true, _) => (UsageResult::Unknown, RESPONSE_TIMEOUT_MICROS),
-            (false, true) => (UsageResult::Accepted, travel),
-            (false, false) => (UsageResult::Fenced, travel),
+            (false, true) => (UsageResult::Accepted, network_latency),
+            (false, false) => (UsageResult::Fenced, network_latency),
         };
         self.usage_answered(sender, report.window, fence, result, span);
     }
--- a/packages/fleet_simulator/src/simulation.rs
+++ b/packages/fleet_simulator/src/simulation.rs
@@ -1,3 +1,5 @@
+//! The simulated fleet: its nodes, its event queue and the delivery of events to nodes.
+
 mod actions;
 mod faults;
 mod operators;
@@ -100,7 +102,7 @@
 /// An operator's request to a node, with the number of redirects it has followed.
 pub(crate) struct OperatorCall {
     request: u64,
-    hops: u32,
+    redirects: u32,
     /// A change as (id, document); `None` for a read.
     change: Option<(String, Value)>,
 }
@@ -320,7 +322,7 @@
             simulation.start(number);
         }
         simulation.schedule_after(50_000, SimulationEvent::Digest);
-        simulation.begin_usage();
+        simulation.record_usage_terms();
         simulation
     }
 
@@ -389,7 +391,7 @@
     }
 
     /// Random one-way latency of a message or a dispatch: 250 to 750 microseconds.
-    pub(crate) fn travel(&mut self) -> u64 {
+    pub(crate) fn network_latency(&mut self) -> u64 {
         self.rng.u64(250..750)
     }
 
--- a/packages/fleet_simulator/src/simulation/actions.rs
+++ b/packages/fleet_simulator/src/simulation/actions.rs
@@ -32,9 +32,9 @@
                         Event::Listed { workers, instances }
                     }
                 };
-                let travel = self.travel() * 2;
+                let network_latency = self.network_latency() * 2;
                 self.schedule_after(
-                    travel,
+                    network_latency,
                     SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
                 );
             }
@@ -203,10 +203,10 @@
             to: to_node,
             message,
         };
-        let travel = self.travel();
+        let network_latency = self.network_latency();
         let span = match to.filter(|_| self.settings.link_rates.is_some()) {
-            Some(receiver) => self.link_span((number, receiver), &envelope, travel),
-            None => travel,
+            Some(receiver) => self.link_span((number, receiver), &envelope, network_latency),
+            None => network_latency,
         };
         self.schedule_after(span, SimulationEvent::Arrives { to: address, envelope: Box::new(envelope) });
     }
@@ -217,12 +217,17 @@
     }
 
     /// Transfer time of a message over the sender's and the receiver's link.
-    pub(super) fn link_span(&mut self, (from, to): (usize, usize), envelope: &Envelope, travel: u64) -> u64 {
+    pub(super) fn link_span(
+        &mut self,
+        (from, to): (usize, usize),
+        envelope: &Envelope,
+        network_latency: u64,
+    ) -> u64 {
         let bytes = envelope.frame().map_or(0, |frame| frame.len());
         if self.nodes[from].disk.is_none() || self.nodes[to].disk.is_none() {
             self.largest_small_link_message = self.largest_small_link_message.max(bytes);
         }
-        self.links.arrival((from, to), bytes, self.now, travel) - self.now
+        self.links.arrival((from, to), bytes, self.now, network_latency) - self.now
     }
 
     pub(super) fn start_instance(
@@ -261,9 +266,9 @@
             }
         };
         let event = Event::StartDone { start_id: start_id.to_owned(), result };
-        let travel = self.travel() * 2;
+        let network_latency = self.network_latency() * 2;
         self.schedule_after(
-            travel,
+            network_latency,
             SimulationEvent::NodeEvent { node: number, incarnation, event: Box::new(event) },
         );
     }
@@ -306,7 +311,7 @@
         let result = match self.nodes[number].is_isolated {
             true => StopResult::Unknown,
             false => match self.platform.stop(&instance, fence, self.now) {
-                SimStop::Taken => {
+                SimStop::Accepted => {
                     if let Some(function) = function {
                         self.record_platform_operation(number, &function, fence, true);
                     }
@@ -327,8 +332,8 @@
                 }
             },
         };
-        let travel = self.travel() * 2;
+        let network_latency = self.network_latency() * 2;
         let event = Box::new(Event::StopDone { instance, result });
-        self.schedule_after(travel, SimulationEvent::NodeEvent { node: number, incarnation, event });
+        self.schedule_after(network_latency, SimulationEvent::NodeEvent { node: number, incarnation, event });
     }
 }
--- a/packages/fleet_simulator/src/simulation/operators.rs
+++ b/packages/fleet_simulator/src/simulation/operators.rs
@@ -42,7 +42,7 @@
     pub fn operator_reads(&mut self, number: usize) -> u64 {
         self.next_request += 1;
         let request = self.next_request;
-        self.operator_calls(number, OperatorCall { request, hops: 0, change: None });
+        self.operator_calls(number, OperatorCall { request, redirects: 0, change: None });
         request
     }
 
@@ -56,7 +56,7 @@
     pub fn operator_sends(&mut self, number: usize, change_id: &str, whole: Value) {
         self.next_request += 1;
         let change = Some((change_id.to_owned(), whole));
-        self.operator_calls(number, OperatorCall { request: self.next_request, hops: 0, change });
+        self.operator_calls(number, OperatorCall { request: self.next_request, redirects: 0, change });
     }
 
     /// Follows a redirect before any body is sent; the body of an accepted request takes time on the node's
@@ -64,12 +64,12 @@
     pub(super) fn operator_calls(&mut self, number: usize, call: OperatorCall) {
         let bytes = call.change.as_ref().map(|(_, whole)| whole.to_string().len());
         let redirect_target = self.nodes[number].node.as_ref().and_then(|node| node.redirect_target(bytes));
-        let place = redirect_target.filter(|_| call.hops < REDIRECT_LIMIT);
-        let next = place.and_then(|place| self.nodes.iter().position(|node| node.address == place));
+        let target = redirect_target.filter(|_| call.redirects < REDIRECT_LIMIT);
+        let next = target.and_then(|target| self.nodes.iter().position(|node| node.address == target));
         if let Some(next) = next {
-            let travel = self.travel() * 2;
-            let call = OperatorCall { hops: call.hops + 1, ..call };
-            self.schedule_after(travel, SimulationEvent::OperatorCalls { node: next, call });
+            let network_latency = self.network_latency() * 2;
+            let call = OperatorCall { redirects: call.redirects + 1, ..call };
+            self.schedule_after(network_latency, SimulationEvent::OperatorCalls { node: next, call });
             return;
         }
         let (incarnation, request) = (self.nodes[number].incarnation, call.request);
@@ -95,12 +95,12 @@
                 let sent_at = self.links.sent(number, stored.len(), self.now);
                 self.schedule_after(sent_at - self.now, SimulationEvent::OperatorReadEnds { request });
             }
-            ConfigurationResponse::Elsewhere(place) => {
-                let next = self.nodes.iter().position(|node| node.address == place);
+            ConfigurationResponse::Elsewhere(target) => {
+                let next = self.nodes.iter().position(|node| node.address == target);
                 let Some(node) = next else { return };
-                let travel = self.travel() * 2;
-                let call = OperatorCall { request, hops: REDIRECT_LIMIT, change: None };
-                self.schedule_after(travel, SimulationEvent::OperatorCalls { node, call });
+                let network_latency = self.network_latency() * 2;
+                let call = OperatorCall { request, redirects: REDIRECT_LIMIT, change: None };
+                self.schedule_after(network_latency, SimulationEvent::OperatorCalls { node, call });
             }
             ConfigurationResponse::Unconfirmed => {}
         }
--- a/packages/fleet_simulator/src/simulation/queries.rs
+++ b/packages/fleet_simulator/src/simulation/queries.rs
@@ -89,8 +89,9 @@
         let sets = self.up().into_iter().filter_map(|number| self.voters(number));
         let joint = sets.filter(|set| !set.joining.0.is_empty()).max_by_key(|set| set.generation)?;
         let disk = joint.joining.0.iter().find(|disk| !joint.disks.0.contains(disk))?;
-        let is_its = |number: &usize| self.nodes[*number].disk.as_ref().is_some_and(|own| own.id == *disk);
-        (0..self.nodes.len()).find(is_its)
+        let holds_disk =
+            |number: &usize| self.nodes[*number].disk.as_ref().is_some_and(|own| own.id == *disk);
+        (0..self.nodes.len()).find(holds_disk)
     }
 
     /// Numbers of the nodes whose disks vote, according to the first node that is up.
--- a/packages/fleet_simulator/tests/scenarios.rs
+++ b/packages/fleet_simulator/tests/scenarios.rs
@@ -13,7 +13,11 @@
         simulation.run_for(3.0);
         simulation.kill(5);
         simulation.run_for(5.0);
-        simulation.lines().iter().map(|line| serde_json::to_string(line).expect("JSON")).collect::<Vec<_>>()
+        simulation
+            .lines()
+            .iter()
+            .map(|line| serde_json::to_string(line).expect("a history line serializes to JSON"))
+            .collect::<Vec<_>>()
     };
     assert!(history(1) == history(1));
     assert!(history(1) != history(2));
@@ -25,7 +29,7 @@
         $(#[test]
         fn $name() {
             for seed in $seeds {
-                let verdict = scenarios::run(stringify!($name), seed).expect("a known scenario");
+                let verdict = scenarios::run(stringify!($name), seed).expect("a registered scenario");
                 assert_eq!(verdict.violations, [], "seed {seed}");
                 assert!(verdict.outcomes[0] > 100, "seed {seed}: {:?}", verdict.outcomes);
             }
@@ -136,7 +140,7 @@
 /// the workspace root.
 fn files_containing(words: &[&str]) -> BTreeSet<String> {
     fn search(folder: &Path, words: &[&str], found: &mut BTreeSet<PathBuf>) {
-        for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+        for entry in std::fs::read_dir(folder).expect("a readable source folder").flatten() {
             let path = entry.path();
             if path.is_dir() {
                 search(&path, words, found);
@@ -148,13 +152,18 @@
             }
         }
     }
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the root");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .canonicalize()
+        .expect("the workspace root exists");
     let mut found = BTreeSet::new();
-    for package in std::fs::read_dir(root.join("packages")).expect("packages").flatten() {
+    for package in std::fs::read_dir(root.join("packages")).expect("a readable packages folder").flatten() {
         search(&package.path().join("src"), words, &mut found);
     }
     search(&root.join("platform/src"), words, &mut found);
-    let shown = |path: &PathBuf| path.strip_prefix(&root).expect("below the root").display().to_string();
+    let shown = |path: &PathBuf| {
+        path.strip_prefix(&root).expect("a path below the workspace root").display().to_string()
+    };
     found.iter().map(shown).collect()
 }
 
@@ -180,12 +189,15 @@
     let (node, events) = ("packages/node_protocol/src/node.rs", "packages/node_protocol/src/lib.rs");
     assert_eq!(reporters, paths([node, events, "packages/fleet_simulator/src/sim_usage.rs", runtime]));
     let receivers = files_containing(&[concat!("wall_clock", "_read")]);
-    let part = "packages/node_protocol/src/usage_reporting.rs";
-    assert_eq!(receivers, paths([node, part]), "the node hands it on");
+    let usage_module = "packages/node_protocol/src/usage_reporting.rs";
+    assert_eq!(receivers, paths([node, usage_module]), "the node passes the reading to usage reporting only");
     let clocks = files_containing(&[concat!("Fleet", "Clock")]);
-    let pure = ["packages/usage_reports/src/fleet_clock.rs", "packages/usage_reports/src/lib.rs"];
-    assert_eq!(clocks, paths([part, pure[0], pure[1], "packages/usage_reports/src/tests.rs"]));
+    let clock_files = ["packages/usage_reports/src/fleet_clock.rs", "packages/usage_reports/src/lib.rs"];
+    assert_eq!(
+        clocks,
+        paths([usage_module, clock_files[0], clock_files[1], "packages/usage_reports/src/tests.rs"])
+    );
     // Only window numbers leave that module: no other part of the node accesses its clock.
     let clock_users = files_containing(&[concat!(".usage", ".clock"), concat!("usage", ".clock")]);
-    assert_eq!(clock_users, paths([part]));
+    assert_eq!(clock_users, paths([usage_module]));
 }
--- a/packages/fleet_simulator/tests/usage_targets.rs
+++ b/packages/fleet_simulator/tests/usage_targets.rs
@@ -13,7 +13,7 @@
     let mut missed = Vec::new();
     for name in FAILURES {
         for seed in 1..=10 {
-            let verdict = scenarios::run(name, seed).expect("a known scenario");
+            let verdict = scenarios::run(name, seed).expect("a registered scenario");
             assert_eq!(verdict.violations, [], "{name}, seed {seed}");
             let figures = verdict.figures.iter();
             let misses = figures.filter(|(figure, count)| MISSES.contains(figure) && *count > 0.0);
