--- a/packages/fleet_simulator/tests/scenarios.rs
+++ b/packages/fleet_simulator/tests/scenarios.rs
@@ -94,8 +94,8 @@
     allowances_contended: 1..=20;
     allowances_moved: 1..=20;
     lone_start_beside_hunger: 1..=20;
-    // 115: one contended key delayed the whole change for 45 s. 18: two owners of the voter set's key each
-    // stored a different set under one generation.
+    // 115: one contended key delayed the whole change for 45 s.
+    // 18: two owners of the voter set's key each stored a different set under one generation.
     vote_change_with_owner_lost: (1..=20).chain([22, 55, 115]);
     frozen_in_the_act: 1..=20;
     clocks_drift: 1..=20;
