--- a/packages/fleet_simulator/src/sim_disk/tests.rs
+++ b/packages/fleet_simulator/src/sim_disk/tests.rs
@@ -5,14 +5,14 @@
 
 const KEY: &str = "configuration";
 
-/// A disk that was synced at version 1 and then given versions 2 to 4, the third of them as a rewrite.
+/// A disk that was synced at version 1; versions 2 to 4 were then written and not synced, version 3 as a rewrite.
 fn written_disk() -> SimDisk {
     let mut disk = SimDisk::blank(7);
     let (mut registers, is_unsynced) = disk.open();
     assert!(!is_unsynced);
     let set = ChosenSet::bootstrap(&[7]);
     let mut token = 1;
-    disk.write(token, registers.bootstrap(&set).expect("blank"), false);
+    disk.write(token, registers.bootstrap(&set).expect("a blank disk can be bootstrapped"), false);
     for version in 1..=4_u64 {
         let entry = StoreEntry {
             digest: 0,
@@ -36,16 +36,16 @@
 }
 
 fn version(registers: &DiskRegisters) -> u64 {
-    registers.stored(KEY).expect("synced").1
+    registers.stored(KEY).expect("a value is stored under the key").1
 }
 
 #[test]
-fn the_end_of_a_process_leaves_files_as_they_are() {
+fn process_end_keeps_unsynced_records_until_power_loss() {
     let mut disk = written_disk();
     disk.end_process();
     let (registers, is_unsynced) = disk.open();
     assert_eq!((version(&registers), is_unsynced), (4, true));
-    // Nothing of it is synced yet: the next process ends too, and then the power goes.
+    // The records are still unsynced: a power loss after the next process ends may keep any prefix of them.
     let found: BTreeSet<u64> = (0..64)
         .map(|seed| {
             let mut disk = disk.clone();
@@ -55,7 +55,7 @@
         })
         .collect();
     assert_eq!(found, BTreeSet::from([1, 2, 3, 4]));
-    // Once the next process has rewritten it, all of it lasts.
+    // A synced rewrite by the next process makes all of them durable.
     disk.write(1, registers.live_records(), true);
     assert!(disk.sync(1));
     disk.lose_power(&mut Rng::with_seed(1));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_loss_of_power_leaves_a_beginning_of_what_was_not_synced() {
+fn power_loss_keeps_a_prefix_of_unsynced_writes() {
     let found = |seed| {
         let mut disk = written_disk();
         disk.lose_power(&mut Rng::with_seed(seed));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_full_disk_took_nothing() {
+fn writes_to_a_full_disk_are_not_kept() {
     let mut disk = written_disk();
     disk.is_full = true;
     assert!(!disk.sync(5));
--- a/packages/fleet_simulator/tests/usage_targets.rs
+++ b/packages/fleet_simulator/tests/usage_targets.rs
@@ -1,5 +1,5 @@
-//! The target of reports of usage: each window whole and in time, whoever fails meanwhile. The scenarios themselves
-//! bound how far a failure may miss it; here nothing may.
+//! The target of usage reporting: each window complete and in time, whichever node fails. The scenarios
+//! themselves allow some windows to miss it per failure; this test allows none.
 
 use fleet_simulator::scenarios;
 
@@ -13,7 +13,7 @@
     let mut missed = Vec::new();
     for name in FAILURES {
         for seed in 1..=10 {
-            let verdict = scenarios::run(name, seed).expect("a known scenario");
+            let verdict = scenarios::run(name, seed).expect("a registered scenario");
             assert_eq!(verdict.violations, [], "{name}, seed {seed}");
             let figures = verdict.figures.iter();
             let misses = figures.filter(|(figure, count)| MISSES.contains(figure) && *count > 0.0);
