--- a/packages/history_checker/src/checkers.rs
+++ b/packages/history_checker/src/checkers.rs
@@ -1,3 +1,5 @@
+//! The checkers over calls, routes, configuration changes, leader epochs, quotas and platform operations.
+
 use crate::fences::check_fences;
 use crate::linearizability::check_register;
 use crate::order_rules::check_orders;
@@ -5,7 +7,7 @@
 use crate::{Line, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that was broken, and where. Example: `Violation { rule: "no double run", .. }`.
+/// A violated rule and the observation that violates it. Example: `Violation { rule: "no double run", .. }`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// The rule's short name.
@@ -14,32 +16,32 @@
     pub seen: String,
 }
 
-/// The numbers of the brief. Example: `CheckSettings::default().refusals_fixed == 5`.
+/// The limits that the rules use. Example: `CheckSettings::default().refusals_fixed == 5`.
 #[derive(Clone, Debug)]
 pub struct CheckSettings {
-    /// Refused dispatches (turned away) allowed for a function in five seconds.
+    /// Dispatches of a function that instances may refuse as busy within five seconds.
     pub refused_busy_in_five_seconds: usize,
-    /// Microseconds after which a leaving cell gets no new call.
+    /// Microseconds after which a draining instance gets no new call.
     pub draining_grace: u64,
-    /// Microseconds after its acknowledgement by which a change holds everywhere.
+    /// Microseconds from a change's acknowledgement until all nodes must apply it.
     pub apply_within: u64,
-    /// Microseconds within which a node may still use an older generation than it did.
+    /// Microseconds for which a node may still match calls by an older generation after it has used a newer one.
     pub fall_back_within: u64,
     /// Microseconds within which a call that reached its node is matched.
     pub admitted_within: u64,
-    /// Microseconds for which an allowance's ceiling may be passed while news is on its way.
+    /// Microseconds for which a quota's ceiling may be exceeded while demand updates spread by gossip.
     pub ceiling_lag: u64,
-    /// Starts and stops beyond the platform's rate in a second, over the whole fleet: a tenth of it.
+    /// Starts and stops per second that the platform may reject, over the whole fleet: a tenth of its rate limit.
     pub operations_throttled_per_second: usize,
-    /// Microseconds within which a node that reaches no majority of the disks says that it cannot.
+    /// Microseconds within which a node that reaches no majority of the disks must report that it cannot decide.
     pub inability_reported_within: u64,
-    /// Microseconds within which any node that is awake answers an order or a read.
+    /// Microseconds within which each node that is not paused must respond to an order or a read.
     pub order_answered_within: u64,
-    /// Microseconds of a leader's lease: within it no holder acts after another that acted after it.
+    /// Microseconds of a leader's lease: within it no holder acts again after another holder has acted.
     pub lease: u64,
-    /// Refusals allowed besides one in 500.
+    /// Refusals allowed in addition to one in 500 calls.
     pub refusals_fixed: usize,
-    /// Whether refusals are counted at all: runs that overload on purpose do not.
+    /// Whether refusals are checked; runs that overload the fleet on purpose switch this off.
     pub count_refusals: bool,
 }
 
@@ -120,7 +122,7 @@
     counts
 }
 
-/// A call that may not be repeated runs once at most; one refused as not run never runs.
+/// A call that is not repeatable runs at most once, and a call refused as not run never runs.
 fn check_runs(lines: &[Line], violations: &mut Vec<Violation>) {
     let calls = sent_calls(lines);
     let counts = run_counts(lines);
@@ -139,7 +141,7 @@
     }
 }
 
-/// An answer that looks complete is the call's own, whole, and some cell ran it.
+/// A response with outcome `ran` is complete, belongs to its call, and some instance ran the call.
 fn check_responses(lines: &[Line], violations: &mut Vec<Violation>) {
     let counts = run_counts(lines);
     for line in lines {
@@ -154,7 +156,7 @@
     }
 }
 
-/// One generation's lanes with the times between which calls may go by them.
+/// The routes of one generation with the time span in which calls may be routed by them.
 struct RouteSpan {
     generation: u64,
     from: u64,
@@ -162,7 +164,7 @@
     routes: BTreeMap<String, String>,
 }
 
-/// Where a path's calls go: the longest prefix of whole segments wins.
+/// The function that a path is routed to: the longest prefix of whole segments wins.
 fn route_of<'routes>(routes: &'routes BTreeMap<String, String>, path: &str) -> Option<&'routes str> {
     let mut prefix = path.trim_end_matches('/');
     loop {
@@ -173,8 +175,8 @@
     }
 }
 
-/// A generation's lanes hold from when the first node has them until a newer generation was
-/// acknowledged and the time to apply it everywhere is over.
+/// Routes are valid from when the first node has them until `apply_within` after the acknowledgement of a
+/// generation with other routes.
 fn route_spans(lines: &[Line], settings: &CheckSettings) -> Vec<RouteSpan> {
     let mut spans: Vec<RouteSpan> = Vec::new();
     let mut routes = BTreeMap::new();
@@ -196,18 +198,18 @@
         })
         .collect();
     acknowledged.sort_unstable();
-    for place in 0..spans.len() {
-        // The lanes are over once a generation that has others was acknowledged.
-        let other = spans[place + 1..].iter().find(|later| later.routes != spans[place].routes);
+    for index in 0..spans.len() {
+        // The routes expire once a generation with other routes was acknowledged.
+        let other = spans[index + 1..].iter().find(|later| later.routes != spans[index].routes);
         let Some(other_generation) = other.map(|later| later.generation) else { continue };
         let replaced = acknowledged.iter().filter(|(generation, _)| *generation >= other_generation);
         let replaced_at = replaced.map(|(_, at)| *at).min();
-        spans[place].until = replaced_at.map_or(u64::MAX, |at| at + settings.apply_within);
+        spans[index].until = replaced_at.map_or(u64::MAX, |at| at + settings.apply_within);
     }
     spans
 }
 
-/// Calls reach only cells of a function that the lanes send them to, by a generation that holds then.
+/// A call reaches only instances of a function that it is routed to by a generation valid at that time.
 fn check_services(lines: &[Line], spans: &[RouteSpan], violations: &mut Vec<Violation>) {
     let calls = sent_calls(lines);
     for line in lines {
@@ -224,7 +226,7 @@
     }
 }
 
-/// The most entries of a sorted list of times within any window.
+/// The largest number of entries of a sorted list of times within any window of this length.
 fn most_within(sorted_times: &[u64], window: u64) -> usize {
     let mut first = 0;
     let mut most = 0;
@@ -281,7 +283,7 @@
     }
 }
 
-/// Dispatches beyond each call's first: one in five calls plus sixty, for a function in ten seconds.
+/// Limits the dispatches after each call's first to one in five calls plus 60, per function within ten seconds.
 fn check_extra_tries(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut seen_calls = BTreeSet::new();
     let mut firsts: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -308,7 +310,8 @@
     }
 }
 
-/// Runs of cells by function, and when each node could reach no majority of the disks.
+/// Spans in which each function had a running instance, each node reached no majority of the disks, and each
+/// node was paused.
 struct FaultContext<'a> {
     running: BTreeMap<&'a str, Vec<(u64, u64)>>,
     without_control: BTreeMap<&'a str, Vec<(u64, u64)>>,
@@ -356,7 +359,8 @@
         spans.is_some_and(|spans| spans.iter().any(|(from, until)| *from <= ended_at && sent_at <= *until))
     }
 
-    /// Nothing may be started without a steward, and none can be chosen without a majority.
+    /// Whether no instance of the function ran and the node could not get one started: a start needs a leader, and
+    /// electing one needs a majority.
     fn could_not_start(&self, node: &str, function: &str, at: u64) -> bool {
         let holds = |spans: Option<&Vec<(u64, u64)>>| {
             spans.is_some_and(|spans| spans.iter().any(|(from, until)| *from <= at && at < *until))
@@ -365,9 +369,9 @@
     }
 }
 
-/// A proper call reached a live, ready node that stayed awake, every generation that held when it was sent had a lane
-/// for it, and some cell of its function ran or the node could reach a majority of the disks. Few of
-/// them are refused, whatever fails.
+/// Limits the refusals of proper calls, whatever fails. A call is proper if its node was live, ready and not
+/// paused, every generation valid during the call had a route for it, and an instance of its function ran or
+/// the node could reach a majority of the disks.
 fn check_refusals(
     lines: &[Line],
     settings: &CheckSettings,
@@ -407,7 +411,7 @@
     }
 }
 
-/// A node's process never goes back a generation.
+/// The generation held by a process of a node never decreases.
 fn check_generations(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut held: BTreeMap<(&str, &str), (u64, u64)> = BTreeMap::new();
     for line in lines {
@@ -422,8 +426,8 @@
     }
 }
 
-/// Two acknowledged changes never share a generation, and every acknowledged change stands in what
-/// the nodes hold later; a refused one never does.
+/// Two acknowledged changes never share a generation. Every acknowledged change is in force in later generations
+/// at all nodes; a refused change never is.
 fn check_changes(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut accepted: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut refused = BTreeSet::new();
@@ -447,20 +451,21 @@
     for line in lines {
         let Line::ChangesInForce { node, generation, changes, .. } = line else { continue };
         for (change, (_, accepted_as)) in &accepted {
-            if accepted_as <= generation && !changes.iter().any(|standing| standing == change) {
+            if accepted_as <= generation && !changes.iter().any(|in_force| in_force == change) {
                 let seen =
                     format!("{change}, accepted as {accepted_as}, is missing at {node} in {generation}");
                 broken(violations, "no acknowledged change lost", seen);
             }
         }
-        for standing in changes.iter().filter(|standing| refused.contains(standing.as_str())) {
-            let seen = format!("{standing} was refused and stands at {node}");
+        for in_force in changes.iter().filter(|in_force| refused.contains(in_force.as_str())) {
+            let seen = format!("{in_force} was refused and stands at {node}");
             broken(violations, "refused changes never stand", seen);
         }
     }
 }
 
-/// One node for each (function, steward epoch), among those that took it and those that acted.
+/// Each (function, leader epoch) belongs to one node, and no node acts under an epoch lower than one already
+/// acted under.
 fn check_epochs(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut holders: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
@@ -495,16 +500,16 @@
     }
 }
 
-/// Memory of the cells below each allowance, against its ceiling. Each function may have one cell
-/// whatever its share, and a passing is broken only once it lasts: stewards hear of each other's
-/// demand with the news.
+/// Checks the memory of the instances below each quota against its ceiling. Each function may have one instance
+/// whatever its share. Exceeding the ceiling is a violation only after `ceiling_lag`, since leaders learn each
+/// other's demand by gossip.
 fn check_ceilings(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut parents: BTreeMap<&str, Option<&str>> = BTreeMap::new();
     let mut ceilings: BTreeMap<&str, f64> = BTreeMap::new();
     let mut functions: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
     let mut instances: BTreeMap<&str, &str> = BTreeMap::new();
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut passed_since: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut exceeded_since: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
         let at = match line {
             Line::QuotasHeld { at, quotas, functions: held } => {
@@ -530,12 +535,12 @@
         };
         for (name, ceiling) in &ceilings {
             let is_below = |own: &str| {
-                let mut place = Some(own);
-                while let Some(quota) = place {
+                let mut next = Some(own);
+                while let Some(quota) = next {
                     if quota == *name {
                         return true;
                     }
-                    place = parents.get(quota).copied().flatten();
+                    next = parents.get(quota).copied().flatten();
                 }
                 false
             };
@@ -547,12 +552,12 @@
                 })
                 .sum();
             if used as f64 <= *ceiling {
-                passed_since.remove(name);
+                exceeded_since.remove(name);
                 continue;
             }
-            let since = *passed_since.entry(name).or_insert(at);
+            let since = *exceeded_since.entry(name).or_insert(at);
             if at > since + settings.ceiling_lag {
-                passed_since.insert(name, u64::MAX - settings.ceiling_lag);
+                exceeded_since.insert(name, u64::MAX - settings.ceiling_lag);
                 let seen = format!(
                     "{name}: {used} MB beside the first cells of its functions, over {ceiling}, at {at}"
                 );
@@ -562,8 +567,8 @@
     }
 }
 
-/// Calls at a node, whichever process it is, are matched by no older generation than a quarter of a
-/// second before.
+/// A node, across its processes, matches no call by a generation older than one it used more than
+/// `fall_back_within` before.
 fn check_matched(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     // Per node: the newest generation used, with the time of its first use.
     let mut used: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
@@ -580,8 +585,8 @@
     }
 }
 
-/// A call is matched, and so admitted or refused, as soon as it has reached its node, whoever is
-/// steward or is not.
+/// A call is matched, and so admitted or refused, within `admitted_within` of reaching its node, whether or not
+/// the function has a leader.
 fn check_admission(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut arrived: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
@@ -602,7 +607,7 @@
     }
 }
 
-/// A generation of the voter set is one set, whoever goes by it.
+/// A generation of the voter set is the same set at all nodes.
 fn check_voters(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut sets: BTreeMap<u64, (&Vec<u64>, &Vec<u64>)> = BTreeMap::new();
     for line in lines {
@@ -615,7 +620,7 @@
     }
 }
 
-/// Starts and stops that the platform turned away, in any second.
+/// Limits the starts and stops that the platform rejects because of its rate limit, within any second.
 fn check_operations(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let throttled: Vec<u64> = lines
         .iter()
--- a/packages/history_checker/src/checkers/tests.rs
+++ b/packages/history_checker/src/checkers/tests.rs
@@ -4,7 +4,7 @@
     Line::CallSent { at: 0, call: call.into(), node: "n1".into(), path: "/proof/1".into(), repeatable: false }
 }
 
-fn took(at: u64, call: &str, function: &str, ran: bool) -> Line {
+fn received(at: u64, call: &str, function: &str, ran: bool) -> Line {
     Line::InstanceReceivedCall {
         at,
         call: call.into(),
@@ -43,7 +43,7 @@
             routes: vec![("/proof".into(), Some("proof".into())), ("/late".into(), Some("late".into()))],
         },
         sent("1"),
-        took(1, "1", "proof", true),
+        received(1, "1", "proof", true),
         ended("1", Outcome::Ran, true),
         Line::ChangeAccepted { at: 1, change: "a".into(), generation: 1 },
         Line::ChangeRefused { at: 2, change: "b".into() },
@@ -54,43 +54,43 @@
         Line::InstanceShownDraining { at: 10, instance: "c1".into() },
         action(100, "n1", 4),
         action(3_000_000, "n2", 6),
-        // A lease after its own last act it may act again, though the other did just now.
+        // A holder may act again a lease after its own last action, even directly after another holder.
         action(3_000_100, "n1", 9),
-        // What the platform refuses breaks nothing.
+        // Refused operations violate nothing.
         refused_operation(3_000_200, "n2", 6),
     ];
     lines.extend((0..100).map(|number| sent(&format!("many-{number}"))));
     lines
 }
 
-fn rules(doctored: Vec<Line>) -> BTreeSet<&'static str> {
-    let lines: Vec<Line> = sound_history().into_iter().chain(doctored).collect();
+fn rules(planted: Vec<Line>) -> BTreeSet<&'static str> {
+    let lines: Vec<Line> = sound_history().into_iter().chain(planted).collect();
     check_all(&lines, &CheckSettings::default()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
 fn every_checker_catches_its_planted_violation_and_no_other_fires() {
     assert_eq!(rules(Vec::new()), BTreeSet::new());
-    let took_from = |count: u64, ran: bool| -> Vec<Line> {
-        (0..count).map(|number| took(20 + number, &format!("many-{number}"), "proof", ran)).collect()
+    let received_calls = |count: u64, ran: bool| -> Vec<Line> {
+        (0..count).map(|number| received(20 + number, &format!("many-{number}"), "proof", ran)).collect()
     };
     let cases: Vec<(&str, Vec<Line>)> = vec![
-        ("no double run", vec![took(2, "1", "proof", true)]),
+        ("no double run", vec![received(2, "1", "proof", true)]),
         ("not run is true", vec![ended("1", Outcome::NotRun, false)]),
         ("own whole answer", vec![ended("1", Outcome::Ran, false)]),
         ("own whole answer", vec![ended("2", Outcome::Ran, true)]),
-        ("only allowed services", vec![took(2, "many-1", "other", true)]),
-        ("cell limits", took_from(13, false)),
-        ("leaving cells", vec![took(3_000_011, "many-1", "proof", true)]),
+        ("only allowed services", vec![received(2, "many-1", "other", true)]),
+        ("cell limits", received_calls(13, false)),
+        ("leaving cells", vec![received(3_000_011, "many-1", "proof", true)]),
         (
             "only allowed services",
             vec![
                 Line::RoutesChanged { at: 2, generation: 2, routes: vec![("/proof".into(), None)] },
                 Line::ChangeAccepted { at: 2, change: "moved".into(), generation: 2 },
-                took(3_000_003, "many-1", "proof", true),
+                received(3_000_003, "many-1", "proof", true),
             ],
         ),
-        ("extra tries", (0..62).map(|_| took(6_000_000, "many-0", "late", true)).collect()),
+        ("extra tries", (0..62).map(|_| received(6_000_000, "many-0", "late", true)).collect()),
         ("few refusals", (0..6).map(|_| ended("many-1", Outcome::NotRun, false)).collect()),
         (
             "no generation back",
@@ -171,7 +171,7 @@
         ),
         ("planned stops drop nothing", vec![Line::DroppedInPlannedStop { at: 3, call: "1".into() }]),
     ];
-    for (rule, doctored) in cases {
-        assert!(rules(doctored).contains(rule), "{rule}");
+    for (rule, planted) in cases {
+        assert!(rules(planted).contains(rule), "{rule}");
     }
 }
--- a/packages/history_checker/src/lib.rs
+++ b/packages/history_checker/src/lib.rs
@@ -1,5 +1,5 @@
-//! Histories checked after the fact: what callers, cells, nodes and operators saw, and the rules
-//! that must hold over it. Every checker is shown to fail on a doctored history.
+//! Checks a recorded history (what clients, instances, nodes and operators observed) against the rules of the
+//! system. For each rule a test shows that its checker rejects a history with a planted violation.
 
 mod checkers;
 mod fences;
@@ -18,30 +18,30 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 
-/// How a caller saw its call end.
+/// How a call ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// A whole answer of a cell.
+    /// A complete response of an instance.
     Ran,
-    /// Refused: it did not run.
+    /// Refused; the call did not run.
     NotRun,
-    /// Told to be of unknown fate.
+    /// The node reported that the outcome is unknown.
     Unknown,
-    /// The node never answered: killed, cut off, or too late.
+    /// No response: the node was killed, cut off or too late.
     #[serde(rename = "no_answer")]
     NoResponse,
 }
 
-/// One thing that somebody saw, at microseconds of the history's clock.
+/// One observation; `at` is in microseconds of the history's clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Line {
-    /// A caller sends a call.
+    /// A client sends a call.
     CallSent { at: u64, call: String, node: String, path: String, repeatable: bool },
-    /// A caller's call ends; `is_own` when a `ran` answer is the call's own, whole.
+    /// A client's call ends. For `ran`, `is_own` says that the response is complete and belongs to this call.
     CallEnded { at: u64, call: String, outcome: Outcome, is_own: bool, latency: u64 },
-    /// A call reached a cell; `ran` false when the cell turned it away.
+    /// A call reached an instance; `ran` is false if the instance refused it as busy.
     #[serde(rename = "cell_took")]
     InstanceReceivedCall {
         at: u64,
@@ -53,7 +53,7 @@
         in_flight: u32,
         limit: u32,
     },
-    /// The platform started a cell; it takes calls from `runs_from` on.
+    /// The platform started an instance, which accepts calls from `runs_from` on.
     #[serde(rename = "cell_started")]
     InstanceStarted {
         at: u64,
@@ -64,14 +64,14 @@
         memory_mb: u64,
         runs_from: u64,
     },
-    /// A node's machine stands still until a time: its calls are none of a live node's.
+    /// A node's machine is paused until `until`; its calls do not count as calls to a live node.
     NodeFrozen { at: u64, node: String, until: u64 },
-    /// A call reached its node, which is awake.
+    /// A call reached its node, which is not paused.
     CallReached { at: u64, call: String },
-    /// A node looked up a call's lane, in a generation, and gave it over to be held or refused.
+    /// A node looked up a call's route in a generation and passed the call on to be queued or refused.
     CallMatched { at: u64, call: String, node: String, generation: u64 },
-    /// The allowances and functions of a generation: names with parent and memory ceiling, names with
-    /// allowance and memory of one cell.
+    /// The quotas and functions of a generation: each quota with its parent and memory ceiling, each function
+    /// with its quota and the memory of one instance.
     #[serde(rename = "allowances_held")]
     QuotasHeld {
         at: u64,
@@ -79,40 +79,40 @@
         quotas: Vec<(String, Option<String>, Option<f64>)>,
         functions: Vec<(String, String, u64)>,
     },
-    /// The platform took a stop.
+    /// The platform accepted a stop.
     #[serde(rename = "cell_stopped")]
     InstanceStopped {
         at: u64,
         #[serde(rename = "cell")]
         instance: String,
     },
-    /// The platform turned a start or stop away: too many in a second.
+    /// The platform rejected a start or stop because of its rate limit.
     #[serde(rename = "act_throttled")]
     OperationThrottled { at: u64 },
-    /// A cell is gone with its memory.
+    /// An instance ended and its memory is free.
     #[serde(rename = "cell_ended")]
     InstanceEnded {
         at: u64,
         #[serde(rename = "cell")]
         instance: String,
     },
-    /// A node goes by this voter set from now on.
+    /// A node uses this voter set from now on.
     VotersSeen { at: u64, node: String, generation: u64, disks: Vec<u64>, joining: Vec<u64> },
     /// Whether a node can reach a majority of the voting disks.
     ControlReached { at: u64, node: String, reached: bool },
-    /// The platform began to show a cell leaving, or gone.
+    /// The platform's list began to show an instance as draining or gone.
     #[serde(rename = "cell_shown_leaving")]
     InstanceShownDraining {
         at: u64,
         #[serde(rename = "cell")]
         instance: String,
     },
-    /// An operator's change was acknowledged under a generation.
+    /// An operator's change was acknowledged with a generation.
     ChangeAccepted { at: u64, change: String, generation: u64 },
     /// An operator's change was refused.
     ChangeRefused { at: u64, change: String },
     /// An operator sends an order to a node, for the first time or again under the same name. An order
-    /// that is not proper has a fault of its own and has to be refused.
+    /// with `is_proper` false is invalid in itself and has to be refused.
     OrderSent {
         at: u64,
         order: String,
@@ -122,7 +122,7 @@
         version: Option<u64>,
         is_proper: bool,
     },
-    /// One sending of an order ends.
+    /// One attempt of an order ends.
     OrderAnswered {
         at: u64,
         order: String,
@@ -130,7 +130,7 @@
         #[serde(rename = "answer")]
         response: OrderResponse,
     },
-    /// An operator asks a node for the configuration as a majority of the disks confirms it.
+    /// An operator requests from a node the configuration as a majority of the disks confirms it.
     ReadSent { at: u64, read: u64, node: String },
     /// An operator's read ends.
     ReadAnswered {
@@ -139,9 +139,9 @@
         #[serde(rename = "answer")]
         response: ReadResponse,
     },
-    /// A node goes by a configuration whose last applied order is this one.
+    /// A node uses a configuration whose last applied order is this one.
     ConfigurationHeld { at: u64, node: String, generation: u64, last_order: String },
-    /// What a generation changes: path prefixes with the function their calls go to, none for no lane.
+    /// The routes that a generation changes: path prefixes with their function, `None` for a removed route.
     #[serde(rename = "lanes_changed")]
     RoutesChanged {
         at: u64,
@@ -149,7 +149,7 @@
         #[serde(rename = "lanes")]
         routes: Vec<(String, Option<String>)>,
     },
-    /// A node holds a generation. `incarnation` tells a node's processes apart.
+    /// A node holds a generation. `incarnation` distinguishes the processes of a node.
     GenerationHeld {
         at: u64,
         node: String,
@@ -157,21 +157,21 @@
         incarnation: String,
         generation: u64,
     },
-    /// The document that holds at a node contains the marks of these changes.
+    /// The configuration in force at a node contains these changes.
     #[serde(rename = "changes_stand")]
     ChangesInForce { at: u64, node: String, generation: u64, changes: Vec<String> },
-    /// A node took a function under a steward epoch.
+    /// A node became leader of a function under a leader epoch.
     #[serde(rename = "steward_taken")]
     LeadershipTaken { at: u64, node: String, function: String, epoch: u64 },
-    /// A node acted as steward (a ticket, a start or a stop) under an epoch.
+    /// A node acted as leader (a permit, a start or a stop) under an epoch.
     #[serde(rename = "steward_acted")]
     LeaderActed { at: u64, node: String, function: String, epoch: u64 },
-    /// Usage is to be reported: true time at the history's beginning, the length of a window, the delay until
-    /// a report is due, the lease of acts, all in microseconds.
+    /// The terms of usage reporting: wall-clock time at the start of the history, length of a window, delay until
+    /// a report is due, lease of a holder's reports; all in microseconds.
     UsageTerms { at: u64, unix: u64, window: u64, delay: u64, lease: u64 },
-    /// A cell began a tenant's call.
+    /// An instance began a tenant's call.
     UsageBegan { at: u64, tenant: String },
-    /// A report of usage reached the platform; `accepted` false where it had seen a higher fence.
+    /// A usage report reached the platform; `accepted` is false if the platform had seen a higher fence.
     UsageReported {
         at: u64,
         holder: String,
@@ -180,24 +180,24 @@
         counts: Vec<(String, u32)>,
         accepted: bool,
     },
-    /// Reports that fall due after this are not waited for.
+    /// End of usage reporting: windows whose report is due later are not checked.
     UsageOver { at: u64 },
-    /// A start or stop reached the platform, under the holder's name and fence, for a function of its own;
-    /// `is_accepted` unless a higher fence was seen or it was turned away.
+    /// A start or stop of the function's leader reached the platform with the leader's name and fence;
+    /// `is_accepted` is false if the platform had seen a higher fence or rejected the operation otherwise.
     #[serde(rename = "platform_act")]
     PlatformOperation { at: u64, holder: String, function: String, fence: u64, is_accepted: bool },
-    /// A call was dropped although its node was only stopped in a planned way.
+    /// A call was dropped although its node was only stopped as planned.
     DroppedInPlannedStop { at: u64, call: String },
 }
 
-/// What a first configuration's lanes are, for a history that begins with it.
+/// The line for the routes of a history's first configuration.
 /// Example: `first_routes(0, [("/proof".to_owned(), "proof".to_owned())])`.
 pub fn first_routes(at: u64, routes: impl IntoIterator<Item = (String, String)>) -> Line {
     let routes = routes.into_iter().map(|(prefix, function)| (prefix, Some(function))).collect();
     Line::RoutesChanged { at, generation: 1, routes }
 }
 
-/// A history that many threads append to. Example: `history.append(Line::InstanceShownDraining { .. })`.
+/// A history that several threads append to. Example: `history.append(Line::InstanceShownDraining { .. })`.
 #[derive(Debug, Default)]
 pub struct History {
     lines: Mutex<Vec<Line>>,
--- a/packages/history_checker/src/linearizability.rs
+++ b/packages/history_checker/src/linearizability.rs
@@ -1,9 +1,9 @@
-//! Linearizability of the configuration register: is there one order of all operations, each between
-//! its begin and its end, that a single compare-and-set register would have answered the same way?
+//! Linearizability of the configuration register: searches for an order of all operations, each between its begin
+//! and its end, in which a single compare-and-set register would have given the same responses.
 //!
-//! The search is that of Wing and Gong with the memo of Lowe: configurations of operations done and
-//! register state that led nowhere are not tried again. Reads and refusals change nothing, so each is
-//! done as soon as the state allows; only applied orders are branched over.
+//! The search is Wing and Gong's algorithm with Lowe's memoization: a configuration (operations done and register
+//! state) that failed is not tried again. Reads and refusals do not change the state, so each is done as soon as
+//! the state allows; the search branches only over applied orders.
 
 use crate::Line;
 use crate::checkers::{Violation, broken};
@@ -11,7 +11,7 @@
 use std::collections::HashSet;
 
 const RULE: &str = "configuration is linearizable";
-/// Configurations that the search looks at before it gives up, and says so.
+/// Number of configurations after which the search gives up and reports the history as undecided.
 const SEARCH_LIMIT: usize = 200_000;
 
 /// How a search ended.
@@ -19,34 +19,34 @@
 enum Search {
     Found,
     Exhausted,
-    /// Neither found nor excluded within the limit.
+    /// Undecided within the limit.
     GivenUp,
 }
 
-/// What a compare-and-set register holds.
+/// State of the compare-and-set register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RegisterState {
     version: u64,
-    /// The place of the order applied last.
+    /// Index of the order applied last.
     last_order: Option<usize>,
 }
 
 struct Searcher<'a> {
     history: RegisterHistory<'a>,
-    /// For each order the place of its operation, if it may be applied.
-    apply_places: Vec<Option<usize>>,
+    /// For each order the index of its apply operation, if it may have been applied.
+    apply_indexes: Vec<Option<usize>>,
     tried: HashSet<(Vec<bool>, RegisterState)>,
     search_limit: usize,
-    /// The most operations done, with the state and the operation that was due there.
+    /// The largest number of operations done, with the state and the operation that was due there.
     furthest: (usize, RegisterState, usize),
 }
 
-/// A history of orders and reads is that of one register.
+/// Checks that the orders and reads of a history are those of one register.
 pub(crate) fn check_register(lines: &[Line], violations: &mut Vec<Violation>) {
-    judge(lines, SEARCH_LIMIT, violations);
+    check_within(lines, SEARCH_LIMIT, violations);
 }
 
-fn judge(lines: &[Line], search_limit: usize, violations: &mut Vec<Violation>) {
+fn check_within(lines: &[Line], search_limit: usize, violations: &mut Vec<Violation>) {
     let mut searcher = Searcher::new(RegisterHistory::of(lines), search_limit);
     let start = RegisterState { version: 0, last_order: None };
     let done = vec![false; searcher.history.operations.len()];
@@ -62,17 +62,17 @@
 
 impl<'a> Searcher<'a> {
     fn new(history: RegisterHistory<'a>, search_limit: usize) -> Searcher<'a> {
-        let mut apply_places = vec![None; history.orders.len()];
-        for (place, operation) in history.operations.iter().enumerate() {
+        let mut apply_indexes = vec![None; history.orders.len()];
+        for (index, operation) in history.operations.iter().enumerate() {
             if let Step::Apply { order } = operation.step {
-                apply_places[order] = Some(place);
+                apply_indexes[order] = Some(index);
             }
         }
         let furthest = (0, RegisterState { version: 0, last_order: None }, 0);
-        Searcher { history, apply_places, tried: HashSet::new(), search_limit, furthest }
+        Searcher { history, apply_indexes, tried: HashSet::new(), search_limit, furthest }
     }
 
-    /// Does all operations that are left, from a state on.
+    /// Tries to do all remaining operations from this state on.
     fn extend(&mut self, mut done: Vec<bool>, state: RegisterState) -> Search {
         self.do_without_effect(&mut done, state);
         let Some(due) = self.first_due(&done) else { return Search::Found };
@@ -80,23 +80,23 @@
         if done_count >= self.furthest.0 {
             self.furthest = (done_count, state, due);
         }
-        if self.is_passed_over(&done, state) || !self.tried.insert((done.clone(), state)) {
+        if self.is_obsolete(&done, state) || !self.tried.insert((done.clone(), state)) {
             return Search::Exhausted;
         }
         if self.tried.len() > self.search_limit {
             return Search::GivenUp;
         }
         let due_at = self.history.operations[due].ends_at;
-        for place in 0..done.len() {
-            let operation = &self.history.operations[place];
+        for index in 0..done.len() {
+            let operation = &self.history.operations[index];
             let Step::Apply { order } = operation.step else { continue };
             let terms = &self.history.orders[order];
-            if done[place] || operation.begins_at > due_at || !terms.admit(state.version) {
+            if done[index] || operation.begins_at > due_at || !terms.admit(state.version) {
                 continue;
             }
             let version = terms.version.unwrap_or(state.version);
             let mut next_done = done.clone();
-            next_done[place] = true;
+            next_done[index] = true;
             match self.extend(next_done, RegisterState { version, last_order: Some(order) }) {
                 Search::Exhausted => {}
                 ended => return ended,
@@ -105,32 +105,32 @@
         Search::Exhausted
     }
 
-    /// Whether something that has to be done needs a version that is over: versions never fall.
-    fn is_passed_over(&self, done: &[bool], state: RegisterState) -> bool {
+    /// Whether a required operation needs a version below the current one; versions never decrease.
+    fn is_obsolete(&self, done: &[bool], state: RegisterState) -> bool {
         self.history.operations.iter().zip(done).any(|(operation, is_done)| {
             if *is_done || !operation.is_required {
                 return false;
             }
             match operation.step {
-                Step::Apply { order } => self.history.orders[order].is_over_at(state.version),
+                Step::Apply { order } => self.history.orders[order].is_obsolete_at(state.version),
                 Step::Read { version, .. } => version < state.version,
                 Step::Refuse { .. } => false,
             }
         })
     }
 
-    /// Does every read and refusal that the state answers and that may come next: none of them
-    /// changes the state, so that doing them now closes no way.
+    /// Does every read and refusal that agrees with the state and may come next. They do not change the state, so
+    /// doing them now excludes no solution.
     fn do_without_effect(&self, done: &mut [bool], state: RegisterState) {
         while let Some(due) = self.first_due(done) {
             let due_at = self.history.operations[due].ends_at;
             let mut is_any_done = false;
-            for (place, operation) in self.history.operations.iter().enumerate() {
+            for (index, operation) in self.history.operations.iter().enumerate() {
                 if operation.begins_at > due_at {
                     break;
                 }
-                if !done[place] && self.is_answered_by(operation.step, done, state) {
-                    done[place] = true;
+                if !done[index] && self.agrees_with(operation.step, done, state) {
+                    done[index] = true;
                     is_any_done = true;
                 }
             }
@@ -140,11 +140,11 @@
         }
     }
 
-    fn is_answered_by(&self, step: Step, done: &[bool], state: RegisterState) -> bool {
+    fn agrees_with(&self, step: Step, done: &[bool], state: RegisterState) -> bool {
         match step {
             Step::Apply { .. } => false,
             Step::Refuse { order } => {
-                let is_applied = self.apply_places[order].is_some_and(|place| done[place]);
+                let is_applied = self.apply_indexes[order].is_some_and(|index| done[index]);
                 !is_applied && !self.history.orders[order].admit(state.version)
             }
             Step::Read { version, last_order } => {
@@ -157,13 +157,13 @@
         order.map(|order| self.history.orders[order].name)
     }
 
-    /// The operation that has to be done first, if any is left.
+    /// The remaining required operation that ends first.
     fn first_due(&self, done: &[bool]) -> Option<usize> {
-        let left = |place: &usize| !done[*place] && self.history.operations[*place].is_required;
-        (0..done.len()).filter(left).min_by_key(|place| self.history.operations[*place].ends_at)
+        let is_due = |index: &usize| !done[*index] && self.history.operations[*index].is_required;
+        (0..done.len()).filter(is_due).min_by_key(|index| self.history.operations[*index].ends_at)
     }
 
-    /// What could not be done where the search came furthest.
+    /// Describes the operation that could not be done at the furthest point of the search.
     fn obstacle(&self) -> String {
         let (done_count, state, due) = self.furthest;
         let operation = &self.history.operations[due];
--- a/packages/history_checker/src/order_lines.rs
+++ b/packages/history_checker/src/order_lines.rs
@@ -1,21 +1,21 @@
-//! What operators saw of their orders: the answers that history lines carry.
+//! The responses to operators' orders and reads, as history lines carry them.
 
 use serde::{Deserialize, Serialize};
 
-/// How one sending of an order ended. Example: `OrderResponse::Accepted { generation: 5 }`.
+/// How one attempt of an order ended. Example: `OrderResponse::Accepted { generation: 5 }`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[serde(rename = "OrderAnswer")]
 pub enum OrderResponse {
-    /// It stands under this generation.
+    /// Accepted with this generation.
     Accepted { generation: u64 },
-    /// Refused because of the version that stands.
+    /// Refused because of the current version.
     RefusedVersion,
     /// Refused for any other reason.
     RefusedInvalid { reason: String },
-    /// The node said that it cannot tell.
+    /// The node reported that the outcome is unknown.
     Unclear,
-    /// The node answered and the answer was lost, or the node ended before it answered.
+    /// The response was lost, or the node ended before it responded.
     Lost,
 }
 
@@ -31,10 +31,10 @@
 #[serde(rename_all = "snake_case")]
 #[serde(rename = "ReadAnswer")]
 pub enum ReadResponse {
-    /// The version that stands, and the order that was applied last.
+    /// The current version and the order applied last.
     Confirmed { version: u64, last_order: Option<String> },
-    /// The node said that no majority answers.
+    /// The node reported that no majority of the disks responds.
     NoMajority,
-    /// The answer was lost, or the node ended before it answered.
+    /// The response was lost, or the node ended before it responded.
     Lost,
 }
--- a/packages/history_checker/src/order_rules.rs
+++ b/packages/history_checker/src/order_rules.rs
@@ -1,12 +1,12 @@
-//! Rules over single orders and their answers: a taken order is never refused when it is sent again,
-//! a proper one is refused for its version alone, one version is one order, and answers come in time.
+//! Rules over single orders and their responses: an accepted order is never refused when it is sent again, a proper
+//! order is refused only because of its version, a version belongs to one order, and responses arrive in time.
 
 use crate::checkers::{CheckSettings, Violation, broken};
 use crate::register_operations::{SentOrder, sent_orders};
 use crate::{Line, OrderResponse};
 use std::collections::BTreeMap;
 
-/// Every rule over orders.
+/// Checks every rule over orders.
 pub(crate) fn check_orders(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let orders = sent_orders(lines);
     for order in orders.values() {
@@ -19,7 +19,7 @@
     check_response_times(lines, &orders, settings, violations);
 }
 
-/// An order that was accepted is accepted again, or left without a clear answer, when it is sent again.
+/// An accepted order that is sent again is accepted again or gets no definite response.
 fn check_repeats(order: &SentOrder, violations: &mut Vec<Violation>) {
     let Some(accepted_at) = order.accepted_at() else { return };
     for (number, attempt) in &order.attempts {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Only the version that stands, or a fault of the order's own, is a reason to refuse it.
+/// An order is refused only because of the current version or because it is invalid in itself.
 fn check_reasons(order: &SentOrder, violations: &mut Vec<Violation>) {
     for attempt in order.attempts.values() {
         match attempt.response {
@@ -61,7 +61,7 @@
     }
 }
 
-/// No two orders are accepted under one version of the operators'.
+/// No two orders are accepted with the same operator version.
 fn check_versions(orders: &BTreeMap<&str, SentOrder>, violations: &mut Vec<Violation>) {
     let mut accepted: BTreeMap<u64, &str> = BTreeMap::new();
     for order in orders.values().filter(|order| order.accepted_at().is_some()) {
@@ -73,7 +73,7 @@
     }
 }
 
-/// All nodes that go by a generation go by the same configuration.
+/// All nodes that use a generation use the same configuration.
 fn check_held(lines: &[Line], violations: &mut Vec<Violation>) {
     let mut held: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
     for line in lines {
@@ -88,7 +88,7 @@
     }
 }
 
-/// An order or a read on its way to its answer.
+/// An attempt of an order, or a read, with the time of its response.
 struct Exchange<'a> {
     what: String,
     node: &'a str,
@@ -96,8 +96,8 @@
     ended_at: u64,
 }
 
-/// A node that is awake answers in time; one that reaches no majority says so soon, since its operator
-/// would better turn to another.
+/// A node that is not paused responds in time. A node that reaches no majority reports this soon, so that the
+/// operator can use another node.
 fn check_response_times(
     lines: &[Line],
     orders: &BTreeMap<&str, SentOrder>,
@@ -105,7 +105,7 @@
     violations: &mut Vec<Violation>,
 ) {
     let frozen = frozen_spans(lines);
-    let powerless = spans_without_majority(lines);
+    let without_majority = spans_without_majority(lines);
     let mut exchanges = order_exchanges(orders);
     exchanges.extend(read_exchanges(lines));
     exchanges.retain(|exchange| {
@@ -115,13 +115,13 @@
     });
     let all: Vec<&Exchange> = exchanges.iter().collect();
     report_late(&all, settings.order_answered_within, "operators are answered in time", violations);
-    // Those that were without a majority for the whole time that they have.
-    let was_powerless = |exchange: &&Exchange| {
+    // Exchanges whose node reached no majority for the whole time allowed.
+    let was_without_majority = |exchange: &&Exchange| {
         let due_at = exchange.sent_at + settings.inability_reported_within;
-        let spans = spans_at(&powerless, exchange.node);
+        let spans = spans_at(&without_majority, exchange.node);
         spans.iter().any(|(from, until)| *from <= exchange.sent_at && due_at <= *until)
     };
-    let reported: Vec<&Exchange> = exchanges.iter().filter(was_powerless).collect();
+    let reported: Vec<&Exchange> = exchanges.iter().filter(was_without_majority).collect();
     report_late(
         &reported,
         settings.inability_reported_within,
@@ -130,7 +130,7 @@
     );
 }
 
-/// Tells of exchanges that took longer than a time.
+/// Reports the exchanges that took longer than `within`.
 fn report_late(exchanges: &[&Exchange], within: u64, rule: &'static str, violations: &mut Vec<Violation>) {
     let is_late = |exchange: &&&Exchange| exchange.ended_at > exchange.sent_at.saturating_add(within);
     let late: Vec<&&Exchange> = exchanges.iter().filter(is_late).collect();
--- a/packages/history_checker/src/register_operations.rs
+++ b/packages/history_checker/src/register_operations.rs
@@ -1,8 +1,8 @@
-//! Turns the lines about orders and reads into operations on the configuration register.
+//! Converts the lines about orders and reads into operations on the configuration register.
 //!
-//! An order is one operation however often it is sent. It takes effect between its first sending and
-//! the first answer that accepts it; without such an answer it may take effect at any later time or
-//! never. A refusal and a confirmed read are operations of their own that change nothing.
+//! An order is one operation however often it is sent. It takes effect between its first attempt and the first
+//! response that accepts it; without such a response it may take effect at any later time or never. A refusal
+//! and a confirmed read are separate operations that do not change the register.
 
 use crate::{Line, OrderResponse, ReadResponse};
 use std::collections::BTreeMap;
@@ -16,58 +16,58 @@
 }
 
 impl OrderTerms<'_> {
-    /// Whether the order may be applied while a version stands.
-    pub fn admit(&self, standing: u64) -> bool {
-        self.expected_version.is_none_or(|expected| expected == standing)
-            && self.version.is_none_or(|version| version > standing)
+    /// Whether the order may be applied at this current version.
+    pub fn admit(&self, current: u64) -> bool {
+        self.expected_version.is_none_or(|expected| expected == current)
+            && self.version.is_none_or(|version| version > current)
     }
 
-    /// Whether the order can't be applied any more once a version stands.
-    pub fn is_over_at(&self, standing: u64) -> bool {
-        self.expected_version.is_some_and(|expected| expected < standing)
-            || self.version.is_some_and(|version| version <= standing)
+    /// Whether the order can no longer be applied at this current version or a later one.
+    pub fn is_obsolete_at(&self, current: u64) -> bool {
+        self.expected_version.is_some_and(|expected| expected < current)
+            || self.version.is_some_and(|version| version <= current)
     }
 }
 
-/// What an operation does. Orders are named by their place in [`RegisterHistory::orders`].
+/// What an operation does. `order` is an index into [`RegisterHistory::orders`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step<'a> {
     /// An order is applied.
     Apply { order: usize },
-    /// An order is refused because of the version that stands.
+    /// An order is refused because of the current version.
     Refuse { order: usize },
-    /// A confirmed read shows a version and the order that was applied last.
+    /// A confirmed read shows a version and the order applied last.
     Read { version: u64, last_order: Option<&'a str> },
 }
 
-/// One operation with the times between which it takes effect.
+/// One operation with the time span in which it takes effect.
 #[derive(Debug)]
 pub(crate) struct Operation<'a> {
     pub begins_at: u64,
-    /// `u64::MAX` when no answer bounds it.
+    /// `u64::MAX` if no response bounds it.
     pub ends_at: u64,
-    /// Whether it has to take effect at all.
+    /// Whether it must take effect; an order without an accepting response may never do.
     pub is_required: bool,
     pub step: Step<'a>,
 }
 
-/// All operations of a history on the configuration register.
+/// All operations on the configuration register in a history.
 #[derive(Debug, Default)]
 pub(crate) struct RegisterHistory<'a> {
     pub orders: Vec<OrderTerms<'a>>,
     pub operations: Vec<Operation<'a>>,
 }
 
-/// One sending of an order.
+/// One attempt of an order.
 #[derive(Debug)]
 pub(crate) struct Attempt<'a> {
     pub node: &'a str,
     pub sent_at: u64,
-    /// When it ended and how; none while it is open at the end of the history.
+    /// Time and kind of the response; `None` if there was none by the end of the history.
     pub response: Option<(u64, &'a OrderResponse)>,
 }
 
-/// An order with all its sendings, in turn.
+/// An order with all its attempts by number.
 #[derive(Debug)]
 pub(crate) struct SentOrder<'a> {
     pub name: &'a str,
@@ -78,12 +78,12 @@
 }
 
 impl SentOrder<'_> {
-    /// When the first answer that accepts it came.
+    /// When the first response that accepts it arrived.
     pub fn accepted_at(&self) -> Option<u64> {
         self.acceptances().map(|(at, _)| at).min()
     }
 
-    /// Times and generations of the answers that accept it.
+    /// Times and generations of the responses that accept it.
     pub fn acceptances(&self) -> impl Iterator<Item = (u64, u64)> {
         self.attempts.values().filter_map(|attempt| match attempt.response {
             Some((at, OrderResponse::Accepted { generation })) => Some((at, *generation)),
@@ -91,7 +91,7 @@
         })
     }
 
-    /// When the first sending that was not refused began.
+    /// When the first attempt that was not refused was sent.
     fn may_apply_from(&self) -> Option<u64> {
         let is_refused =
             |attempt: &&Attempt| attempt.response.is_some_and(|(_, response)| response.is_refusal());
@@ -99,7 +99,7 @@
     }
 }
 
-/// All orders of a history by name.
+/// All orders in a history by name.
 pub(crate) fn sent_orders(lines: &[Line]) -> BTreeMap<&str, SentOrder<'_>> {
     let mut orders: BTreeMap<&str, SentOrder> = BTreeMap::new();
     for line in lines {
@@ -127,7 +127,7 @@
 }
 
 impl<'a> RegisterHistory<'a> {
-    /// The operations that a history tells of.
+    /// The operations recorded in a history.
     pub fn of(lines: &'a [Line]) -> RegisterHistory<'a> {
         let mut history = RegisterHistory::default();
         let held_since = first_held(lines);
@@ -144,7 +144,7 @@
         let (expected_version, version) = (sent.expected_version, sent.version);
         self.orders.push(OrderTerms { name: sent.name, expected_version, version });
         if let Some(begins_at) = sent.may_apply_from() {
-            // A node that goes by an order shows it to callers: from then on it must have been applied.
+            // A node that uses an order exposes it to clients, so the order must have been applied by then.
             let shown_at = sent.accepted_at().into_iter().chain(held_since).min();
             self.operations.push(Operation {
                 begins_at,
@@ -182,7 +182,7 @@
     }
 }
 
-/// When the first node went by each order.
+/// When each order was first in use at a node.
 fn first_held(lines: &[Line]) -> BTreeMap<&str, u64> {
     let mut held_since: BTreeMap<&str, u64> = BTreeMap::new();
     for line in lines {
--- a/packages/history_checker/src/test_orders.rs
+++ b/packages/history_checker/src/test_orders.rs
@@ -1,8 +1,8 @@
-//! Lines of operators' orders and their answers, for the tests of this package's judges.
+//! Builders of lines for operators' orders and their responses, for this package's tests.
 
 use crate::{Line, OrderResponse};
 
-/// A proper order, sent to the node `n1`.
+/// A proper order sent to the node `n1`.
 pub(crate) fn sent(
     order: &str,
     attempt: u64,
--- a/packages/history_checker/src/usage_rules.rs
+++ b/packages/history_checker/src/usage_rules.rs
@@ -1,28 +1,28 @@
-//! Reports of usage to the platform: what may never be, and what each window came to.
+//! Checks the usage reports to the platform and compares each window's report with the calls that began in it.
 
 use crate::Line;
 use crate::checkers::{Violation, broken};
 use std::collections::BTreeMap;
 
-/// What the windows of a history came to, for which a report was due.
+/// The results of the windows of a history for which a report was due.
 /// Example: `usage_windows(&lines, 0.05).missing.is_empty()`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UsageWindows {
     /// Windows with calls whose report fell due within the history.
     pub due: Vec<u64>,
-    /// Of these, windows without a report.
+    /// Due windows without a report.
     pub missing: Vec<u64>,
-    /// Windows whose report came after it fell due.
+    /// Due windows whose report arrived late.
     pub late: Vec<u64>,
-    /// Windows with a tenant whose count is off by more than the bound.
+    /// Due windows in which a tenant's count is off by more than the bound.
     pub off: Vec<u64>,
 }
 
-/// A call counts in the window in which its cell was given it, and begins within this: one that begins so soon
-/// after a window's start may be counted in the window before.
-const ON_ITS_WAY: u64 = 2_000;
+/// A call is counted in the window in which it was dispatched and begins within this time, so a call that begins
+/// so soon after a window's start may be counted in the window before.
+const DISPATCH_DELAY_MICROS: u64 = 2_000;
 
-/// The calls of a tenant that began in a window, and those of them that may be counted in the one before.
+/// The number of a tenant's calls that began in a window, and of those that may be counted in the window before.
 #[derive(Clone, Copy, Default)]
 struct Begun {
     calls: u32,
@@ -45,8 +45,8 @@
     })
 }
 
-/// For a window one set of counts is accepted; a fence is one holder's; holders do not act in the order
-/// A, B, A within the lease, refused acts apart.
+/// A window has one accepted set of counts; a fence belongs to one holder; accepted reports of holders do not
+/// alternate (A, B, A) within the lease.
 pub(crate) fn check_usage(lines: &[Line], violations: &mut Vec<Violation>) {
     let Some(terms) = terms(lines) else { return };
     let mut accepted_counts: BTreeMap<u64, &Vec<(String, u32)>> = BTreeMap::new();
@@ -77,7 +77,7 @@
     }
 }
 
-/// What the windows came to, by the accepted reports, with counts off by more than this share.
+/// Compares the accepted reports with the calls that began; a count may differ by the share `bound`.
 /// Example: `usage_windows(&lines, 0.05).late`.
 pub fn usage_windows(lines: &[Line], bound: f64) -> UsageWindows {
     let Some(terms) = terms(lines) else { return UsageWindows::default() };
@@ -90,7 +90,7 @@
                 let unix = terms.unix + at;
                 let begun = began.entry(unix / terms.window).or_default().entry(tenant).or_default();
                 begun.calls += 1;
-                begun.at_start += u32::from(unix % terms.window < ON_ITS_WAY);
+                begun.at_start += u32::from(unix % terms.window < DISPATCH_DELAY_MICROS);
             }
             Line::UsageReported { at, window, counts, accepted: true, .. } => {
                 let counts = counts.iter().map(|(tenant, count)| (tenant.as_str(), *count)).collect();
--- a/packages/history_checker/src/usage_rules/tests.rs
+++ b/packages/history_checker/src/usage_rules/tests.rs
@@ -19,7 +19,9 @@
 }
 
 fn refused(line: Line) -> Line {
-    let Line::UsageReported { at, holder, fence, window, counts, .. } = line else { panic!("a report") };
+    let Line::UsageReported { at, holder, fence, window, counts, .. } = line else {
+        panic!("the line is not UsageReported")
+    };
     Line::UsageReported { at, holder, fence, window, counts, accepted: false }
 }
 
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn a_window_has_one_set_of_counts() {
+fn two_sets_of_counts_for_a_window_are_found() {
     let repeated = vec![reported(6, "a", 1, 20, 7), reported(7, "b", 2, 20, 7)];
     assert_eq!(rules(&repeated), [""; 0]);
     let other = vec![reported(6, "a", 1, 20, 7), reported(7, "a", 1, 20, 8)];
@@ -39,13 +41,13 @@
 }
 
 #[test]
-fn a_fence_is_one_holders_also_where_it_is_refused() {
+fn a_fence_of_two_holders_is_found_even_if_refused() {
     let lines = vec![reported(6, "a", 1, 20, 7), refused(reported(7, "b", 1, 21, 7))];
     assert_eq!(rules(&lines), ["one fence, one holder"]);
 }
 
 #[test]
-fn holders_do_not_take_turns_within_the_lease() {
+fn holders_that_alternate_within_the_lease_are_found() {
     let turns = |last_at| {
         vec![reported(6, "a", 1, 20, 7), reported(7, "b", 2, 21, 7), reported(last_at, "a", 3, 22, 7)]
     };
@@ -54,12 +56,12 @@
     let mut with_refused = turns(8);
     with_refused[2] = refused(with_refused[2].clone());
     assert_eq!(rules(&with_refused), [""; 0]);
-    // One holder alone acts as often as it likes.
+    // A single holder may report at any rate.
     assert_eq!(rules(&[reported(6, "a", 1, 20, 7), reported(7, "a", 1, 21, 7)]), [""; 0]);
 }
 
 #[test]
-fn windows_are_missing_late_or_off() {
+fn missing_late_and_wrong_windows_are_found() {
     let calls = |at_seconds: u64, count: usize| {
         vec![Line::UsageBegan { at: at_seconds * SECOND, tenant: "acme".to_owned() }; count]
     };
@@ -77,9 +79,9 @@
     assert_eq!(windows, expected);
 }
 
-/// A call that was given to its cell just before a window's end and began just after it is in either.
+/// A call dispatched just before a window's end that began just after it may be counted in either window.
 #[test]
-fn a_call_on_its_way_at_the_end_counts_in_either_window() {
+fn a_call_in_dispatch_at_a_windows_end_counts_in_either_window() {
     let begun = |at: u64| Line::UsageBegan { at, tenant: "acme".to_owned() };
     let off_windows = |first: u32, second: u32| {
         let lines = vec![
