--- a/packages/control_model/src/action.rs
+++ b/packages/control_model/src/action.rs
@@ -1,32 +1,34 @@
-/// Something that may happen next; machines and messages by their places.
+//! The steps of the model.
+
+/// A step that may happen next; machines and messages are given by index.
 /// Example: `for action in fleet.actions() { fleet.clone().apply(&action)?; }`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// A message arrives, and the answer to it at once.
+    /// A message arrives, and its response arrives at once.
     Deliver { packet: usize },
-    /// A message arrives, and the answer is on its way for a while.
+    /// A message arrives, and its response stays in flight.
     DeliverAlone { packet: usize },
-    /// A message arrives and will arrive once more.
+    /// A message arrives and stays in flight to arrive again.
     Repeat { packet: usize },
-    /// A message is lost: only walks need it, to keep few on their way.
+    /// A message is lost; used only by walks, to bound the number of messages in flight.
     Lose { packet: usize },
-    /// A disk syncs all that waits.
+    /// A disk syncs all waiting records.
     Sync { machine: usize },
     /// A machine loses power and starts again.
     Crash { machine: usize },
     /// A machine starts again with a blank disk.
     Wipe { machine: usize },
-    /// An owner sends again what was not answered.
+    /// An owner sends its unanswered messages again.
     Resend { machine: usize },
-    /// An owner gives up what was not answered.
+    /// An owner abandons its unanswered requests.
     GiveUp { machine: usize },
     /// An operation begins.
     Begin { operation: usize, machine: usize },
-    /// A change of the voter set begins: the vote of one disk goes to another.
+    /// A change of the voter set begins: the disk `fresh` replaces the voter `lost`.
     BeginChange { machine: usize, lost: u64, fresh: u64 },
-    /// The owner goes on with the change that is under way.
+    /// The owner continues the change of the voter set in progress.
     ContinueChange { machine: usize },
-    /// The voter set is read since the machine's disk holds a proposal.
+    /// The voter set is read because the machine's disk holds a proposal.
     ReadSet { machine: usize },
 }
 
@@ -37,7 +39,7 @@
     pub(crate) const BEGIN: usize = 9;
     pub(crate) const CONTINUE: usize = 11;
 
-    /// The place of its kind among all kinds.
+    /// The index of its kind among all kinds.
     pub(crate) fn kind(&self) -> usize {
         match self {
             Action::Deliver { .. } => Action::DELIVER,
@@ -56,12 +58,12 @@
         }
     }
 
-    /// Without these nothing would ever be finished.
+    /// Whether it is a kind that is needed to make progress.
     pub(crate) fn is_ordinary(&self) -> bool {
         [Action::DELIVER, Action::SYNC, Action::CONTINUE].contains(&self.kind())
     }
 
-    /// The machine at which a client or operator acts.
+    /// The machine at which a client's or operator's step takes place.
     pub(crate) fn owner(&self) -> Option<usize> {
         match self {
             Action::Begin { machine, .. }
--- a/packages/control_model/src/explore.rs
+++ b/packages/control_model/src/explore.rs
@@ -1,32 +1,34 @@
+//! Exploration of the model's states: breadth first up to a depth, and by random walks.
+
 use crate::{Action, Counts, Fleet, Limits, Violation};
 use fastrand::Rng;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 
-/// Marks of visited states lie in so many sets, so that threads seldom wait for one another.
+/// Number of sets that the fingerprints of visited states are split over, to reduce lock contention between threads.
 const SHARDS: usize = 64;
-/// Beyond so many messages on their way a walk loses some.
-const CROWDED: usize = 40;
-/// In so many of a thousand steps another machine becomes the one that clients go to.
-const LEADERS_CHANGE: u32 = 8;
+/// Number of messages in flight above which a walk loses some.
+const IN_FLIGHT_LIMIT: usize = 40;
+/// Steps in a thousand before which the machine that clients prefer changes.
+const LEADER_CHANGES_PER_THOUSAND: u32 = 8;
 
-/// A breach and how it came about.
+/// A violation and the steps that led to it.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What was broken.
+    /// The violated invariant.
     pub violation: Violation,
-    /// The actions from the founded fleet on.
+    /// The actions from the bootstrapped fleet on.
     pub path: Vec<Action>,
 }
 
-/// What a breadth-first exploration came to.
+/// The result of a breadth-first exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration {
-    /// Different states that were visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// The depth up to which all were.
+    /// The depth up to which all states were visited.
     pub depth: usize,
-    /// Whether nothing more can happen beyond that depth.
+    /// Whether no further state exists beyond that depth.
     pub is_whole: bool,
     /// The first failure, if any.
     pub failure: Option<Failure>,
@@ -46,27 +48,29 @@
     }
 
     fn count(&self) -> usize {
-        self.0.iter().map(|shard| shard.lock().map_or(0, |marks| marks.len())).sum()
+        self.0.iter().map(|shard| shard.lock().map_or(0, |fingerprints| fingerprints.len())).sum()
     }
 }
 
-/// Visits every state within a depth, breadth first, on some threads; no further level is begun beyond
-/// `most_states`. Example: `explore(&Limits::racing_writes(), 12, 1_000_000, 4).failure.is_none()`.
+/// Visits every state up to a depth, breadth first, on several threads. No further level is begun once
+/// `most_states` were visited. Example: `explore(&Limits::racing_writes(), 12, 1_000_000, 4).failure.is_none()`.
 pub fn explore(limits: &Limits, depth: usize, most_states: usize, threads: usize) -> Exploration {
     let visited = Visited((0..SHARDS).map(|_| Mutex::new(HashSet::new())).collect());
     let bootstrapped = Fleet::bootstrapped(&Arc::new(limits.clone()));
     visited.insert(bootstrapped.fingerprint());
     let mut level = vec![Step { fleet: bootstrapped, path: Vec::new() }];
     for reached in 0..depth {
-        let part = level.len().div_ceil(threads.max(1)).max(1);
-        let parts: Vec<Result<Vec<Step>, Failure>> = std::thread::scope(|scope| {
+        let chunk_size = level.len().div_ceil(threads.max(1)).max(1);
+        let chunks: Vec<Result<Vec<Step>, Failure>> = std::thread::scope(|scope| {
             let visited = &visited;
-            let workers: Vec<_> =
-                level.chunks(part).map(|steps| scope.spawn(move || next_level(steps, visited))).collect();
+            let workers: Vec<_> = level
+                .chunks(chunk_size)
+                .map(|steps| scope.spawn(move || next_level(steps, visited)))
+                .collect();
             workers.into_iter().map(|worker| worker.join().expect("a worker's own panic")).collect()
         });
         let mut next_steps = Vec::new();
-        for steps in parts {
+        for steps in chunks {
             match steps {
                 Ok(steps) => next_steps.extend(steps),
                 Err(failure) => {
@@ -105,17 +109,17 @@
     Ok(next_steps)
 }
 
-/// What walks came to.
+/// The result of walks.
 #[derive(Clone, Debug, Default)]
 pub struct Walks {
-    /// What came about in all of them.
+    /// The counts of all walks.
     pub counts: Counts,
     /// The first failure, with the walk's seed.
     pub failure: Option<(u64, Failure)>,
 }
 
-/// Walks through the states at random, the same way for the same seed. Each walk draws anew how often
-/// each kind of event comes about, so that some walks are calm and long and others full of one failure.
+/// Walks through the states at random, reproducibly for a seed. Each walk chooses the frequency of each kind of
+/// action at random, so that some walks have few faults and others many of one kind.
 /// Example: `walk(&Limits::everything(), 7, 400).failure.is_none()`.
 pub fn walk(limits: &Limits, seed: u64, length: usize) -> Walks {
     let mut rng = Rng::with_seed(seed);
@@ -132,16 +136,16 @@
     Walks { counts: fleet.counts, failure: None }
 }
 
-/// How a walk picks what happens next.
+/// How a walk chooses the next action.
 struct ActionWeights {
-    /// Of a thousand steps so many are rare events, while there is anything ordinary to do.
+    /// Steps in a thousand that are rare actions while an ordinary one is possible.
     rare_share: u32,
     /// The weight of each kind of action.
     weights: [u32; Action::KINDS],
     owners: usize,
-    /// The machine that most owners' actions are at.
+    /// The machine at which most of the owners' actions take place.
     leader: usize,
-    /// A machine whose process gets nothing for a while, and then acts by what it knew.
+    /// A machine whose process receives nothing for a while and then continues with outdated knowledge.
     frozen: Option<usize>,
 }
 
@@ -161,10 +165,10 @@
     }
 
     fn pick(&mut self, fleet: &Fleet, rng: &mut Rng) -> Option<Action> {
-        if fleet.packet_count() > CROWDED {
+        if fleet.packet_count() > IN_FLIGHT_LIMIT {
             return Some(Action::Lose { packet: rng.usize(..fleet.packet_count()) });
         }
-        if rng.u32(..1_000) < LEADERS_CHANGE {
+        if rng.u32(..1_000) < LEADER_CHANGES_PER_THOUSAND {
             self.change_leader(rng);
         }
         if let Some(packet) = self.frozen.and_then(|frozen| fleet.packet_for(frozen)) {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// A kind by its weight, however many places it has; then a place.
+    /// Chooses a kind by its weight, however many actions of it there are, then one of its actions.
     fn pick_of(&self, picked: &[Action], rng: &mut Rng) -> Option<Action> {
         let mut kinds: Vec<usize> = picked.iter().map(Action::kind).collect();
         kinds.sort_unstable();
@@ -205,7 +209,7 @@
         let of_kind: Vec<&Action> = picked.iter().filter(|action| action.kind() == kind).collect();
         let at_leader: Vec<&Action> =
             of_kind.iter().filter(|action| action.owner() == Some(self.leader)).copied().collect();
-        let places = if at_leader.is_empty() || rng.u8(..10) == 0 { of_kind } else { at_leader };
-        rng.choice(places).copied()
+        let candidates = if at_leader.is_empty() || rng.u8(..10) == 0 { of_kind } else { at_leader };
+        rng.choice(candidates).copied()
     }
 }
--- a/packages/control_model/src/fault.rs
+++ b/packages/control_model/src/fault.rs
@@ -1,17 +1,19 @@
+//! The faults that tests plant in the model.
+
 /// A rule of the protocol that the model breaks on purpose.
 /// Example: `Limits { fault: Some(PlantedFault::AnswerBeforeSync), ..limits }`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlantedFault {
-    /// A disk answers before its records are synced.
+    /// A disk responds before its records are synced.
     AnswerBeforeSync,
-    /// A disk says that it stored what its promise to a higher epoch forbids.
+    /// A disk reports as stored what its promise to a higher epoch forbids.
     PromiseFenceSkipped,
-    /// A disk admits senders under outdated voter sets.
+    /// A disk accepts senders with outdated voter sets.
     SetFenceSkipped,
-    /// A voter set is gone by as soon as one disk stored it.
+    /// A voter set is in force as soon as one disk stored it.
     SetInForceAtOnce,
-    /// One disk's answer counts for two disks.
+    /// One disk's response counts for two disks.
     QuorumMinusOne,
-    /// A change of the voter set ends before any key was copied.
+    /// A change of the voter set ends before any key is copied.
     CopySkipped,
 }
--- a/packages/control_model/src/fleet.rs
+++ b/packages/control_model/src/fleet.rs
@@ -1,3 +1,5 @@
+//! One state of the model and the effect of each action on it.
+
 use crate::history::{Acknowledged, Counts, History, Mark, Violation};
 use crate::limits::{Limits, Operation};
 use crate::machine::{Machine, Packet, PendingRequest, Purpose, Receiver, StoredSet, Unsynced};
@@ -16,16 +18,17 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Later than an owner's pause before it sends again, and than its patience.
+/// Longer than the owner's resend interval.
 const RESEND_PAUSE: Micros = Micros::from_millis(300);
+/// Longer than the owner's request timeout.
 const GIVE_UP_PAUSE: Micros = Micros::from_millis(2_500);
 const COPY_WINDOW: usize = 2;
-/// A change of the configuration is tried so often again where another version stands.
-const CHANGE_TRIES: u8 = 2;
-/// Process ids tell their machine, as real ones tell their place.
-const PROCESSES_A_MACHINE: u64 = 1_000;
+/// Retries of a change of the configuration when the current version differs.
+const CHANGE_RETRIES: u8 = 2;
+/// A process id identifies its machine, as that of a real node does.
+const PROCESSES_PER_MACHINE: u64 = 1_000;
 
-/// How often each thing that [`Limits`] count has happened.
+/// How often each event limited by [`Limits`] has happened.
 #[derive(Clone, Debug, Default, Hash)]
 struct Used {
     operations: Vec<bool>,
@@ -41,7 +44,7 @@
     disks: u64,
 }
 
-/// One state of the model: machines with real registers and owners, messages on their way, and what was
+/// One state of the model: machines with real registers and owners, messages in flight, and what was
 /// acknowledged so far. Example: `Fleet::bootstrapped(&Arc::new(Limits::three_disks()))`.
 #[derive(Clone, Debug)]
 pub struct Fleet {
@@ -50,9 +53,9 @@
     packets: Vec<Arc<Packet>>,
     history: History,
     used: Used,
-    /// Whether anything was synced, wiped or acknowledged in this step.
-    is_judged_anew: bool,
-    /// What came about so far; no part of the state.
+    /// Whether something was synced, wiped or acknowledged in this step, so that the quorums must be checked.
+    is_check_due: bool,
+    /// Counts of events so far; not part of the state.
     pub counts: Counts,
 }
 
@@ -63,7 +66,7 @@
 }
 
 impl Fleet {
-    /// Machines whose first disks took and synced the founding set.
+    /// Machines whose first disks stored and synced the bootstrap set.
     /// Example: `Fleet::bootstrapped(&Arc::new(Limits::racing_writes())).actions().len()`.
     pub fn bootstrapped(limits: &Arc<Limits>) -> Fleet {
         let disks: Vec<u64> = (1..=limits.machines as u64).collect();
@@ -73,7 +76,7 @@
             if bootstrap_set.disks.0.contains(disk) {
                 registers.bootstrap(&bootstrap_set).expect("a blank disk takes the first set");
             }
-            Arc::new(Machine::new(*disk, (disk - 1) * PROCESSES_A_MACHINE + 1, registers))
+            Arc::new(Machine::new(*disk, (disk - 1) * PROCESSES_PER_MACHINE + 1, registers))
         };
         Fleet {
             machines: disks.iter().map(machine).collect(),
@@ -85,25 +88,25 @@
                 disks: disks.len() as u64,
                 ..Used::default()
             },
-            is_judged_anew: false,
+            is_check_due: false,
             counts: Counts::default(),
             limits: limits.clone(),
         }
     }
 
-    /// The state's mark among visited ones. Example: `visited.insert(fleet.fingerprint())`.
+    /// The state's fingerprint among visited ones. Example: `visited.insert(fleet.fingerprint())`.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
     }
 
-    /// How many messages are on their way. Example: `fleet.packet_count() < 60`.
+    /// The number of messages in flight. Example: `fleet.packet_count() < 60`.
     pub fn packet_count(&self) -> usize {
         self.packets.len()
     }
 
-    /// A message on its way to a machine's process. Example: `fleet.packet_for(2)`.
+    /// The index of a message in flight to a machine's process. Example: `fleet.packet_for(2)`.
     pub fn packet_for(&self, machine: usize) -> Option<usize> {
         let receiver = Receiver::Process(self.machines[machine].process);
         self.packets.iter().position(|packet| packet.to == receiver)
@@ -113,8 +116,8 @@
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.add_deliveries(&mut actions);
-        for place in 0..self.machines.len() {
-            self.add_machine_actions(place, &mut actions);
+        for machine in 0..self.machines.len() {
+            self.add_machine_actions(machine, &mut actions);
         }
         for machine in 0..self.limits.owners.min(self.machines.len()) {
             self.add_owner_actions(machine, &mut actions);
@@ -125,8 +128,8 @@
     fn add_deliveries(&self, actions: &mut Vec<Action>) {
         for packet in 0..self.packets.len() {
             actions.push(Action::Deliver { packet });
-            let is_asking = matches!(self.packets[packet].to, Receiver::Disk(_));
-            if is_asking
+            let is_request = matches!(self.packets[packet].to, Receiver::Disk(_));
+            if is_request
                 && !self.limits.separate_sync
                 && self.used.late_responses < self.limits.late_responses
             {
@@ -150,9 +153,9 @@
         }
     }
 
-    /// Whether the newest chosen set keeps a quorum of disks that were never wiped without this one.
+    /// Whether the newest chosen set keeps a quorum of never wiped disks without this machine's disk.
     fn may_lose(&self, machine: usize) -> bool {
-        let kept = self.machines.iter().enumerate().filter(|(place, _)| *place != machine);
+        let kept = self.machines.iter().enumerate().filter(|(index, _)| *index != machine);
         self.history.newest_set().quorum(&kept.map(|(_, kept)| kept.disk).collect())
     }
 
@@ -189,9 +192,9 @@
         if self.used.changes >= self.limits.changes {
             return;
         }
-        let spares =
+        let spare_disks =
             self.machines.iter().map(|other| other.disk).filter(|disk| !own.set.all().contains(disk));
-        for fresh in spares {
+        for fresh in spare_disks {
             for lost in &own.set.disks.0 {
                 actions.push(Action::BeginChange { machine, lost: *lost, fresh });
             }
@@ -208,7 +211,7 @@
         !copy.due_lists(own.clock).is_empty() || !copy.due_keys(COPY_WINDOW).is_empty()
     }
 
-    /// Lets an action happen; a breach if an invariant does not hold after it.
+    /// Applies an action; fails with a violation if an invariant does not hold after it.
     /// Example: `fleet.apply(&fleet.actions()[0])?`.
     pub fn apply(&mut self, action: &Action) -> Result<(), Violation> {
         self.counts.steps += 1;
@@ -250,7 +253,7 @@
             }
         }
         self.packets.sort_by_key(|packet| packet.fingerprint);
-        if !std::mem::take(&mut self.is_judged_anew) {
+        if !std::mem::take(&mut self.is_check_due) {
             return Ok(());
         }
         let disks: BTreeMap<u64, &DiskRegisters> =
@@ -271,49 +274,50 @@
     fn crash(&mut self, machine: usize) -> Result<(), Violation> {
         self.used.crashes += 1;
         self.used.incarnations += 1;
-        let process = machine as u64 * PROCESSES_A_MACHINE + self.used.incarnations;
+        let process = machine as u64 * PROCESSES_PER_MACHINE + self.used.incarnations;
         let own = self.machine(machine);
         let previous_process = own.process;
         own.restart(process);
         let set = own.set.clone();
         self.packets.retain(|packet| packet.to != Receiver::Process(previous_process));
-        if set.generation == 0 { Ok(()) } else { self.history.goes_by(&set) }
+        if set.generation == 0 { Ok(()) } else { self.history.check_in_force(&set) }
     }
 
     fn wipe(&mut self, machine: usize) {
-        self.is_judged_anew = true;
+        self.is_check_due = true;
         self.used.wipes += 1;
         self.used.incarnations += 1;
         self.used.disks += 1;
         let (disk, process) =
-            (self.used.disks, machine as u64 * PROCESSES_A_MACHINE + self.used.incarnations);
+            (self.used.disks, machine as u64 * PROCESSES_PER_MACHINE + self.used.incarnations);
         let lost = self.machines[machine].clone();
         self.machines[machine] = Arc::new(Machine::new(disk, process, DiskRegisters::default()));
         let is_lost = |to| [Receiver::Process(lost.process), Receiver::Disk(lost.disk)].contains(&to);
         self.packets.retain(|packet| !is_lost(packet.to));
     }
 
-    // What a disk does.
+    // Steps of a disk.
 
-    fn deliver(&mut self, packet: &Packet, responses_at_once: bool) -> Result<(), Violation> {
+    fn deliver(&mut self, packet: &Packet, delivers_response: bool) -> Result<(), Violation> {
         let is_receiver = |machine: &Arc<Machine>| match packet.to {
             Receiver::Disk(disk) => machine.disk == disk,
             Receiver::Process(process) => machine.process == process,
         };
-        let Some(place) = self.machines.iter().position(is_receiver) else { return Ok(()) };
+        let Some(machine) = self.machines.iter().position(is_receiver) else { return Ok(()) };
         match &packet.message {
             Message::Promise { .. } | Message::Store { .. } | Message::KeysRequest { .. } => {
-                self.disk_requested(place, packet, responses_at_once)
+                self.handle_disk_request(machine, packet, delivers_response)
             }
-            message => self.process_received(place, message),
+            message => self.handle_process_message(machine, message),
         }
     }
 
-    /// The mark under which a disk judges a sender: the sender's own, but for planted faults.
-    fn judged_set(&self, machine: usize, sender_set: u64) -> u64 {
+    /// The voter set digest by which a disk accepts or rejects a sender: the sender's own, except for planted
+    /// faults.
+    fn effective_sender_set(&self, machine: usize, sender_set: u64) -> u64 {
         let registers = &self.machines[machine].registers;
-        let is_open = self.limits.fault == Some(PlantedFault::SetFenceSkipped);
-        if !is_open || registers.chosen().generation == 0 {
+        let is_skipped = self.limits.fault == Some(PlantedFault::SetFenceSkipped);
+        if !is_skipped || registers.chosen().generation == 0 {
             return sender_set;
         }
         let stored_generation = registers.proposed().map_or(0, |proposed| proposed.generation());
@@ -323,25 +327,25 @@
         }
     }
 
-    fn disk_requested(
+    fn handle_disk_request(
         &mut self,
-        place: usize,
+        machine: usize,
         packet: &Packet,
-        responses_at_once: bool,
+        delivers_response: bool,
     ) -> Result<(), Violation> {
         let fault = self.limits.fault;
         let sender_set = sender_set(&packet.message);
-        let judged_set = self.judged_set(place, sender_set);
-        let own = self.machine(place);
+        let effective_set = self.effective_sender_set(machine, sender_set);
+        let own = self.machine(machine);
         let (mut records, mut sets) = (Vec::new(), Vec::new());
         let response = match &packet.message {
             Message::Promise { entries, .. } => {
-                let (responses, promised) = own.registers.promise(judged_set, entries);
+                let (responses, promised) = own.registers.promise(effective_set, entries);
                 records = promised;
                 Some(Message::Promised { disk: own.disk, entries: List(responses) })
             }
             Message::Store { entries, .. } => {
-                let (mut responses, stored) = own.registers.store(judged_set, entries);
+                let (mut responses, stored) = own.registers.store(effective_set, entries);
                 records = stored;
                 sets = stored_sets(entries, &responses);
                 if fault == Some(PlantedFault::PromiseFenceSkipped) {
@@ -357,41 +361,41 @@
         let is_outdated = sender_set >> 32 < own.set.generation;
         let response =
             response.map(|message| Packet::new(Receiver::Process(packet.from), own.process, message));
-        self.submit_to_disk(place, records, sets, response, responses_at_once)?;
+        self.submit_to_disk(machine, records, sets, response, delivers_response)?;
         if is_outdated {
-            self.announce_set(place, packet.from);
+            self.announce_set(machine, packet.from);
         }
         if fault == Some(PlantedFault::SetInForceAtOnce) {
-            self.apply_stored_set(place, &packet.message)?;
+            self.apply_stored_set(machine, &packet.message)?;
         }
         Ok(())
     }
 
-    /// Records wait for the sync, and the answer for them.
+    /// Submits records to be synced; the response waits for the sync.
     fn submit_to_disk(
         &mut self,
-        place: usize,
+        machine: usize,
         records: Vec<Vec<u8>>,
         sets: Vec<StoredSet>,
         response: Option<Packet>,
-        responses_at_once: bool,
+        delivers_response: bool,
     ) -> Result<(), Violation> {
         let responses_early = self.limits.fault == Some(PlantedFault::AnswerBeforeSync);
         let (early, waiting) = if responses_early { (response, None) } else { (None, response) };
         if !records.is_empty() || waiting.is_some() {
-            self.machine(place).unsynced.push(Unsynced { records, sets, response: waiting });
+            self.machine(machine).unsynced.push(Unsynced { records, sets, response: waiting });
         }
         self.packets.extend(early.map(Arc::new));
-        let is_waiting = !self.machines[place].unsynced.iter().all(|unsynced| unsynced.records.is_empty());
+        let is_waiting = !self.machines[machine].unsynced.iter().all(|unsynced| unsynced.records.is_empty());
         if self.limits.separate_sync && is_waiting {
             return Ok(());
         }
-        self.sync(place, responses_at_once && !self.limits.separate_sync)
+        self.sync(machine, delivers_response && !self.limits.separate_sync)
     }
 
-    fn sync(&mut self, place: usize, responses_at_once: bool) -> Result<(), Violation> {
-        self.is_judged_anew = true;
-        let own = self.machine(place);
+    fn sync(&mut self, machine: usize, delivers_response: bool) -> Result<(), Violation> {
+        self.is_check_due = true;
+        let own = self.machine(machine);
         let disk = own.disk;
         let (sets, responses) = own.sync();
         for (epoch, value) in sets {
@@ -400,7 +404,7 @@
             }
         }
         for response in responses {
-            match responses_at_once {
+            match delivers_response {
                 true => self.deliver(&response, true)?,
                 false => self.packets.push(Arc::new(response)),
             }
@@ -408,20 +412,20 @@
         Ok(())
     }
 
-    /// Planted: what one disk stored is gone by.
-    fn apply_stored_set(&mut self, place: usize, message: &Message) -> Result<(), Violation> {
+    /// Planted fault: uses a set that only one disk stored.
+    fn apply_stored_set(&mut self, machine: usize, message: &Message) -> Result<(), Violation> {
         let Message::Store { entries, .. } = message else { return Ok(()) };
         let set_entry = entries.0.iter().find(|entry| entry.key.0 == DISKS_KEY);
         match set_entry.and_then(|entry| ChosenSet::received(&entry.value)) {
-            Some(set) => self.learn(place, &set),
+            Some(set) => self.learn_set(machine, &set),
             None => Ok(()),
         }
     }
 
-    // What a process does.
+    // Steps of a process.
 
-    fn process_received(&mut self, place: usize, message: &Message) -> Result<(), Violation> {
-        let own = self.machine(place);
+    fn handle_process_message(&mut self, machine: usize, message: &Message) -> Result<(), Violation> {
+        let own = self.machine(machine);
         let now = own.clock;
         match message {
             Message::Promised { disk, entries } => own.owner.promised(*disk, entries.clone(), now),
@@ -433,27 +437,27 @@
             }
             Message::Gossip { items } => {
                 if let Some(set) = ChosenSet::received(&items.0[0].body) {
-                    self.learn(place, &set)?;
+                    self.learn_set(machine, &set)?;
                 }
             }
             _ => {}
         }
         if self.limits.fault == Some(PlantedFault::QuorumMinusOne) {
-            self.count_twice(place, message);
+            self.count_for_second_disk(machine, message);
         }
-        self.flush(place)
+        self.flush(machine)
     }
 
-    fn count_twice(&mut self, place: usize, message: &Message) {
+    fn count_for_second_disk(&mut self, machine: usize, message: &Message) {
         let Message::Stored { disk, entries } = message else { return };
-        let own = self.machine(place);
+        let own = self.machine(machine);
         let other = own.set.all().into_iter().find(|other| other != disk);
         own.owner.stored(other.unwrap_or(*disk), entries.clone(), own.clock);
     }
 
-    fn learn(&mut self, place: usize, set: &ChosenSet) -> Result<(), Violation> {
-        self.history.goes_by(set)?;
-        let own = self.machine(place);
+    fn learn_set(&mut self, machine: usize, set: &ChosenSet) -> Result<(), Violation> {
+        self.history.check_in_force(set)?;
+        let own = self.machine(machine);
         if set.generation > own.set.generation {
             own.set = set.clone();
             own.copy = None;
@@ -465,58 +469,58 @@
         }
         let set = own.set.clone();
         let records = own.registers.learn_chosen(&set);
-        self.submit_to_disk(place, records, Vec::new(), None, false)
+        self.submit_to_disk(machine, records, Vec::new(), None, false)
     }
 
-    fn announce_set(&mut self, place: usize, process: u64) {
-        let own = &self.machines[place];
+    fn announce_set(&mut self, machine: usize, process: u64) {
+        let own = &self.machines[machine];
         let (origin, sequence) = (own.process, own.set.generation);
         let item = GossipItem { topic: DISKS_KEY.into(), origin, sequence, body: own.set.encode() };
         let message = Message::Gossip { items: List(vec![item]) };
         self.packets.push(Arc::new(Packet::new(Receiver::Process(process), origin, message)));
     }
 
-    fn flush(&mut self, place: usize) -> Result<(), Violation> {
+    fn flush(&mut self, machine: usize) -> Result<(), Violation> {
         loop {
-            let own = self.machine(place);
+            let own = self.machine(machine);
             let actions = own.owner.flush(own.clock);
             if actions.is_empty() {
                 return Ok(());
             }
             for action in actions {
-                self.carry_out(place, action)?;
+                self.apply_owner_action(machine, action)?;
             }
         }
     }
 
-    fn carry_out(&mut self, place: usize, action: OwnerAction) -> Result<(), Violation> {
-        let from = self.machines[place].process;
+    fn apply_owner_action(&mut self, machine: usize, action: OwnerAction) -> Result<(), Violation> {
+        let from = self.machines[machine].process;
         match action {
             OwnerAction::Promise { disk, fleet_set, entries } => {
                 let message = Message::Promise { fleet_set, entries };
                 self.packets.push(Arc::new(Packet::new(Receiver::Disk(disk), from, message)));
             }
             OwnerAction::Store { disk, fleet_set, entries } => {
-                let epochs = &mut self.machine(place).epochs;
+                let epochs = &mut self.machine(machine).epochs;
                 epochs.extend(entries.0.iter().map(|entry| (entry.key.0.clone(), entry.epoch.clone())));
                 let message = Message::Store { fleet_set, entries };
                 self.packets.push(Arc::new(Packet::new(Receiver::Disk(disk), from, message)));
             }
             OwnerAction::Chosen(set) => {
-                self.learn(place, &set)?;
+                self.learn_set(machine, &set)?;
                 for other in 0..self.machines.len() {
-                    if other != place {
+                    if other != machine {
                         let process = self.machines[other].process;
-                        self.announce_set(place, process);
+                        self.announce_set(machine, process);
                     }
                 }
             }
-            OwnerAction::Response { outcome, .. } => self.answered(place, &outcome)?,
+            OwnerAction::Response { outcome, .. } => self.handle_response(machine, &outcome)?,
         }
         Ok(())
     }
 
-    // What clients and operators do.
+    // Steps of clients and operators.
 
     fn begin(&mut self, operation: usize, machine: usize) -> Result<(), Violation> {
         self.used.operations[operation] = true;
@@ -527,14 +531,14 @@
                 let value = Bytes(value.to_le_bytes().to_vec());
                 self.request_write(machine, key, expected, value, Purpose::Write)
             }
-            Operation::Change { id } => self.request_change(machine, id, CHANGE_TRIES),
+            Operation::Change { id } => self.request_change(machine, id, CHANGE_RETRIES),
         }
     }
 
     fn request_change(&mut self, machine: usize, id: u64, tries: u8) -> Result<(), Violation> {
         let (expected, base) =
             self.machines[machine].known.get(CONFIGURATION_KEY).cloned().unwrap_or_default();
-        // Where the model writes plain numbers into the configuration's key, a change has no base.
+        // Where the model writes plain numbers to the configuration's key, there is no document to change.
         let Some(mut stored) = StoredConfiguration::decode(&base.0) else { return Ok(()) };
         let change = Change { change_id: id.to_string(), partial: Some(json!({})), ..Change::default() };
         let ChangeOutcome::Accepted { generation, repeated } = stored.apply(&change) else { return Ok(()) };
@@ -609,9 +613,9 @@
         self.flush(machine)
     }
 
-    fn answered(&mut self, place: usize, outcome: &WriteOutcome) -> Result<(), Violation> {
-        self.is_judged_anew = true;
-        let own = self.machine(place);
+    fn handle_response(&mut self, machine: usize, outcome: &WriteOutcome) -> Result<(), Violation> {
+        self.is_check_due = true;
+        let own = self.machine(machine);
         let Some(request) = own.requests.remove(&outcome.request_id) else { return Ok(()) };
         let is_write = matches!(request.purpose, Purpose::Write | Purpose::Change { .. });
         let value = if is_write && outcome.outcome == WRITTEN { &request.value } else { &outcome.value };
@@ -644,14 +648,14 @@
             && request.key == DISKS_KEY
             && let Some(set) = ChosenSet::received(value)
         {
-            self.learn(place, &set)?;
+            self.learn_set(machine, &set)?;
         }
-        self.change_answered(place, &request, outcome.outcome)
+        self.handle_change_response(machine, &request, outcome.outcome)
     }
 
-    fn change_answered(
+    fn handle_change_response(
         &mut self,
-        place: usize,
+        machine: usize,
         request: &PendingRequest,
         outcome: u8,
     ) -> Result<(), Violation> {
@@ -661,7 +665,7 @@
                 self.counts.changes += 1;
                 self.history.accept(id, generation)
             }
-            DIFFERS if tries > 0 => self.request_change(place, id, tries - 1),
+            DIFFERS if tries > 0 => self.request_change(machine, id, tries - 1),
             _ => Ok(()),
         }
     }
@@ -676,10 +680,10 @@
     }
 }
 
-/// The voter sets among what a disk took to store.
+/// The voter sets among the entries that a disk stored.
 fn stored_sets(entries: &List<StoreEntry>, responses: &[StoredEntry]) -> Vec<StoredSet> {
-    let taken = entries.0.iter().zip(responses).filter(|(_, response)| response.granted == 1);
-    let sets = taken.filter(|(entry, _)| entry.key.0 == DISKS_KEY);
+    let stored = entries.0.iter().zip(responses).filter(|(_, response)| response.granted == 1);
+    let sets = stored.filter(|(entry, _)| entry.key.0 == DISKS_KEY);
     sets.filter(|(entry, _)| VoterSet::decode(&entry.value).is_some())
         .map(|(entry, _)| (entry.epoch.rank(), entry.value.clone()))
         .collect()
--- a/packages/control_model/src/history.rs
+++ b/packages/control_model/src/history.rs
@@ -1,56 +1,58 @@
+//! What was acknowledged and chosen in a run, and the invariants over it.
+
 use control_registers::{ChosenSet, DISKS_KEY, DiskRegisters, VoterSet};
 use peer_messages::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold after each step. Example: `violation.invariant == Invariant::OneChosenSet`.
+/// A condition that must hold after each step. Example: `violation.invariant == Invariant::OneChosenSet`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// 1: a generation of the voter set has one chosen set at the most.
+    /// 1: a generation of the voter set has at most one chosen set.
     OneChosenSet,
-    /// 1: nobody goes by a set that was not chosen.
+    /// 1: no process uses a set that was not chosen.
     OnlyChosenInForce,
-    /// 2: a version of a key that was acknowledged has one value.
+    /// 2: an acknowledged version of a key has one value.
     OneValueAVersion,
-    /// 2: what begins after a version was acknowledged meets none older. Versions give the order in which
-    /// operations took effect, so with 2 and 3 the history is linearizable.
+    /// 2: an operation that begins after a version was acknowledged sees no older one. Versions give the order in
+    /// which operations took effect, so 2 and 3 together make the history linearizable.
     NothingOlderAfter,
-    /// 3: one conditional write succeeds on top of a version.
+    /// 3: at most one conditional write succeeds on top of a version.
     OneWriteAVersion,
-    /// 3: a change of the configuration is accepted once, and alone in its generation.
+    /// 3: a change of the configuration is accepted in one generation, and no other change in the same one.
     OneChangeAGeneration,
-    /// 4: each quorum of the newest chosen set, of disks that were not wiped, shows each acknowledged value
-    /// or a newer one.
+    /// 4: each quorum of the newest chosen set, without wiped disks, shows each acknowledged value or a newer one.
     AcknowledgedOnQuorums,
-    /// 5: what begins after an acknowledgement under an epoch and set gets none under older ones.
+    /// 5: an operation that begins after an acknowledgement under an epoch and voter set is not acknowledged under
+    /// older ones.
     NoOlderOwner,
 }
 
-/// A broken invariant. Example: `panic!("{breach:?}")`.
+/// A violated invariant. Example: `panic!("{violation:?}")`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which one.
+    /// The invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// The observation that violates it.
     pub seen: String,
 }
 
-/// How often things came about in a walk, to show that it went somewhere.
+/// How often each kind of event happened in a walk, to show that the walk made progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Writes that were acknowledged.
+    /// Acknowledged writes.
     pub writes: u64,
     /// Confirmed reads.
     pub reads: u64,
-    /// Changes of the configuration that were accepted.
+    /// Accepted changes of the configuration.
     pub changes: u64,
-    /// Voter sets that were chosen.
+    /// Chosen voter sets.
     pub sets: u64,
     /// Steps.
     pub steps: u64,
 }
 
 impl Counts {
-    /// Adds another walk's. Example: `total.add(&walked.counts)`.
+    /// Adds the counts of another walk. Example: `total.add(&walked.counts)`.
     pub fn add(&mut self, other: &Counts) {
         self.writes += other.writes;
         self.reads += other.reads;
@@ -60,7 +62,8 @@
     }
 }
 
-/// Where a key stood when an operation began: what it must not fall behind.
+/// The newest acknowledged version, epoch and set generation of a key when an operation began; the operation must
+/// not fall behind them. The name is part of violation texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Mark {
     version: u64,
@@ -68,7 +71,7 @@
     generation: u64,
 }
 
-/// An acknowledgement, as the asker and the owner see it.
+/// An acknowledgement, as the requester and the owner see it.
 #[derive(Clone, Debug)]
 pub(crate) struct Acknowledged<'a> {
     pub(crate) key: &'a str,
@@ -77,7 +80,7 @@
     pub(crate) epoch: (u64, u64),
     pub(crate) generation: u64,
     pub(crate) begun: &'a Mark,
-    /// The ask of a write; `None` for a read.
+    /// Process and request id of a write; `None` for a read.
     pub(crate) write: Option<(u64, u64)>,
 }
 
@@ -88,12 +91,12 @@
     writes: BTreeMap<u64, (u64, u64)>,
 }
 
-/// What was acknowledged and chosen so far, seen from outside.
+/// What was acknowledged and chosen so far, as observed from outside.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
     keys: BTreeMap<String, KeyHistory>,
     chosen: BTreeMap<u64, VoterSet>,
-    /// Which disks ever synced a set under an epoch.
+    /// The disks that ever synced a set under an epoch.
     stored_sets: BTreeMap<(u64, (u64, u64), Bytes), BTreeSet<u64>>,
     accepted: BTreeMap<u64, u64>,
 }
@@ -142,7 +145,7 @@
         self.shown(key, version, value)
     }
 
-    /// A value that an owner tells to stand.
+    /// Records a value that an owner reported as current.
     pub(crate) fn shown(&mut self, key: &str, version: u64, value: &Bytes) -> Result<(), Violation> {
         let key_history = self.keys.entry(key.to_owned()).or_default();
         let known = key_history.values.entry(version).or_insert_with(|| value.clone());
@@ -154,7 +157,8 @@
     }
 
     pub(crate) fn accept(&mut self, change: u64, generation: u64) -> Result<(), Violation> {
-        let other_generation = self.accepted.iter().find(|(_, known)| **known == change).map(|(at, _)| *at);
+        let other_generation =
+            self.accepted.iter().find(|(_, known)| **known == change).map(|(generation, _)| *generation);
         let other_change = self.accepted.insert(generation, change);
         if other_generation.is_some_and(|other| other != generation)
             || other_change.is_some_and(|other| other != change)
@@ -165,7 +169,7 @@
         Ok(())
     }
 
-    /// A disk synced a voter set under an epoch; true if that made it the chosen one.
+    /// Records that a disk synced a voter set under an epoch; true if the set is chosen by that.
     pub(crate) fn set_synced(
         &mut self,
         disk: u64,
@@ -180,23 +184,24 @@
             return Ok(false);
         }
         let is_new = !self.chosen.contains_key(&set.generation);
-        let standing = self.chosen.entry(set.generation).or_insert_with(|| set.clone());
-        if *standing != set {
-            let seen = format!("{standing:?} and {set:?}");
+        let chosen_set = self.chosen.entry(set.generation).or_insert_with(|| set.clone());
+        if *chosen_set != set {
+            let seen = format!("{chosen_set:?} and {set:?}");
             broken(Invariant::OneChosenSet, seen)?;
         }
         Ok(is_new)
     }
 
-    pub(crate) fn goes_by(&self, set: &ChosenSet) -> Result<(), Violation> {
+    /// Checks that a voter set in use was chosen.
+    pub(crate) fn check_in_force(&self, set: &ChosenSet) -> Result<(), Violation> {
         if self.chosen.get(&set.generation) == Some(&**set) {
             return Ok(());
         }
         broken(Invariant::OnlyChosenInForce, format!("{set:?} was not chosen"))
     }
 
-    /// Whether any quorum of the newest chosen set would show something older than was acknowledged:
-    /// a read takes the value of the highest epoch that it meets.
+    /// Checks that no quorum of the newest chosen set shows a value older than an acknowledged one. A read takes the
+    /// value with the highest epoch in its quorum.
     pub(crate) fn check_quorums(&self, disks: &BTreeMap<u64, &DiskRegisters>) -> Result<(), Violation> {
         let set = self.newest_set();
         for (key, key_history) in self.keys.iter().filter(|(key, _)| *key != DISKS_KEY) {
--- a/packages/control_model/src/lib.rs
+++ b/packages/control_model/src/lib.rs
@@ -1,11 +1,11 @@
-//! A model checker of the control state: the real [`control_registers`] parts on a few machines, explored
-//! breadth first to a stated depth and by long seeded walks beyond.
+//! A model checker of the control state: the real [`control_registers`] code on a few machines, explored breadth
+//! first up to a depth and beyond it by long seeded random walks.
 //!
 //! A [`Fleet`] is one state. [`Fleet::actions`] lists what may happen next (a message arrives, records are
-//! synced, power is lost, a disk is wiped, a change of the voter set begins), [`Fleet::apply`] lets it
-//! happen and judges the outcome by the numbered [`Invariant`]s. Messages are lost by never arriving; they
-//! arrive in any order, and twice where [`Limits`] allow it. A [`PlantedFault`] breaks one rule of the
-//! glue around the real parts, to show that the invariants bite.
+//! synced, power is lost, a disk is wiped, a change of the voter set begins), [`Fleet::apply`] applies one
+//! action and checks the numbered [`Invariant`]s. A message is lost by never arriving; messages arrive in any
+//! order, and twice where [`Limits`] allow it. A [`PlantedFault`] breaks one rule in the code around the real
+//! parts, to show that the invariants detect it.
 
 mod action;
 mod explore;
--- a/packages/control_model/src/limits.rs
+++ b/packages/control_model/src/limits.rs
@@ -1,54 +1,55 @@
+//! What may happen in an exploration, and how often.
+
 use crate::PlantedFault;
 
-/// What a client asks for. Each operation of a [`Limits`] begins once at the most, at any machine that may
-/// own keys. Example: `Operation::Write { key: "a", value: 1 }`.
+/// An operation of a client. Each operation of a [`Limits`] begins at most once, at any machine that may own keys. Example: `Operation::Write { key: "a", value: 1 }`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
     /// A conditional write on top of the version that the machine knows.
     Write { key: &'static str, value: u64 },
     /// A confirmed read.
     Read { key: &'static str },
-    /// A change of the configuration, applied by `StoredConfiguration::apply` and tried again under the
-    /// same id where another version stands.
+    /// A change of the configuration, applied by `StoredConfiguration::apply` and retried with the same id if the
+    /// current version differs.
     Change { id: u64 },
 }
 
 /// What may happen in an exploration, and how often. Example: `Limits::three_disks()`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Machines, each with one disk; the first `bootstrap` ones vote at the start.
+    /// Machines, each with one disk; the first `bootstrap` disks vote at the start.
     pub machines: usize,
-    /// Voters of the founding set.
+    /// Number of voters of the bootstrap set.
     pub bootstrap: usize,
     /// Machines at which operations begin.
     pub owners: usize,
-    /// What clients ask for.
+    /// The clients' operations.
     pub operations: Vec<Operation>,
-    /// Losses of power; a machine is back at once with what its disk had synced.
+    /// Power losses; the machine restarts at once with what its disk had synced.
     pub crashes: u32,
-    /// Wipes of disks, never of more than the newest chosen set may lose.
+    /// Wiped disks; never more than the newest chosen set may lose.
     pub wipes: u32,
-    /// Messages that arrive and stay on their way to arrive again.
+    /// Messages that arrive and stay in flight to arrive again.
     pub repeats: u32,
-    /// Answers that do not arrive at once but in any order later.
+    /// Responses that arrive later, in any order, instead of at once.
     pub late_responses: u32,
-    /// Owners that send again what was not answered.
+    /// Times that an owner sends its unanswered messages again.
     pub resends: u32,
-    /// Owners that give up what was not answered.
+    /// Times that an owner abandons its unanswered requests.
     pub give_ups: u32,
-    /// Changes of the voter set that are begun.
+    /// Changes of the voter set.
     pub changes: u32,
     /// Confirmed reads of the voter set for a proposal that a disk holds.
     pub set_reads: u32,
-    /// Whether syncing is an action of its own. Without it, records are synced as they are handed over,
-    /// which covers a loss of power just as well: what was not synced never arrived.
+    /// Whether syncing is a separate action. If not, records are synced as they are submitted; this covers power
+    /// losses as well, since a message whose records were not synced counts as never arrived.
     pub separate_sync: bool,
-    /// The rule that is broken, if any.
+    /// The planted fault, if any.
     pub fault: Option<PlantedFault>,
 }
 
 impl Limits {
-    /// Three founding disks, and no fault, operation or change. Example: `Limits { crashes: 1, ..Limits::three_disks() }`.
+    /// Three disks in the bootstrap set, and no fault, operation or change. Example: `Limits { crashes: 1, ..Limits::three_disks() }`.
     pub fn three_disks() -> Limits {
         Limits {
             machines: 3,
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Two owners write one key on top of the same version while a third party reads it.
-    /// Example: `explore(&Limits::racing_writes(), 12, 4)`.
+    /// Two owners write one key on top of the same version while the key is also read.
+    /// Example: `explore(&Limits::racing_writes(), 12, 1_000_000, 4)`.
     pub fn racing_writes() -> Limits {
         let write = |value| Operation::Write { key: "steward/a", value };
         Limits {
@@ -80,7 +81,7 @@
     }
 
     /// Two operators change the configuration at two owners.
-    /// Example: `explore(&Limits::racing_changes(), 12, 4)`.
+    /// Example: `explore(&Limits::racing_changes(), 12, 1_000_000, 4)`.
     pub fn racing_changes() -> Limits {
         Limits {
             operations: vec![Operation::Change { id: 1 }, Operation::Change { id: 2 }],
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Two owners begin changes of the voter set, with a spare disk, beside a write.
-    /// Example: `explore(&Limits::racing_sets(), 12, 4)`.
+    /// Two owners begin changes of the voter set with a spare disk while a key is written.
+    /// Example: `explore(&Limits::racing_sets(), 12, 1_000_000, 4)`.
     pub fn racing_sets() -> Limits {
         Limits {
             machines: 4,
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Syncing apart from handing over, with losses of power in between.
-    /// Example: `explore(&Limits::power_losses(), 10, 4)`.
+    /// Syncing as a separate action after submission, with power losses in between.
+    /// Example: `explore(&Limits::power_losses(), 10, 1_000_000, 4)`.
     pub fn power_losses() -> Limits {
         let write = |value| Operation::Write { key: "steward/a", value };
         Limits {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Many operations and changes of the voter set without any failure but lost messages.
+    /// Many operations and changes of the voter set, with lost messages as the only fault.
     /// Example: `walk(&Limits::many_sets(), 1, 400)`.
     pub fn many_sets() -> Limits {
         Limits {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// All that can go wrong, in plenty: for walks. Example: `walk(&Limits::everything(), 1, 400)`.
+    /// Every kind of fault, with high limits, for walks. Example: `walk(&Limits::everything(), 1, 400)`.
     pub fn everything() -> Limits {
         let keys = ["steward/a", "steward/b", "configuration"];
         let mut operations = Vec::new();
--- a/packages/control_model/src/machine.rs
+++ b/packages/control_model/src/machine.rs
@@ -1,3 +1,5 @@
+//! The machines of the model and the messages between them.
+
 use crate::history::Mark;
 use control_registers::{ChosenSet, DiskRegisters, KeyOwner, SetCopy};
 use monotonic_clock::Micros;
@@ -6,21 +8,21 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Whom a message is for: a disk, whatever process has it, or one process.
+/// The receiver of a message: a disk, whichever process has it, or one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Receiver {
     Disk(u64),
     Process(u64),
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Packet {
     pub(crate) to: Receiver,
-    /// The process that gets the answer.
+    /// The process that gets the response.
     pub(crate) from: u64,
     pub(crate) message: Message,
-    /// Reckoned once: states are compared by it.
+    /// Computed once; states are compared by it.
     pub(crate) fingerprint: u64,
 }
 
@@ -38,10 +40,10 @@
     }
 }
 
-/// A voter set that a disk took and has yet to sync: its epoch and bytes.
+/// A voter set that a disk accepted and has not synced yet: its epoch and bytes.
 pub(crate) type StoredSet = ((u64, u64), Bytes);
 
-/// Records that are not synced, and the answer that waits for them.
+/// Records that are not synced, and the response that waits for them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Unsynced {
     pub(crate) records: Vec<Vec<u8>>,
@@ -49,12 +51,12 @@
     pub(crate) response: Option<Packet>,
 }
 
-/// What an ask of this machine's owner is for.
+/// The purpose of a request to this machine's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
     Write,
     Read,
-    /// A change of the configuration: its id, the generation it would have, and tries left.
+    /// A change of the configuration: its id, the generation it would get, and the retries left.
     Change {
         id: u64,
         generation: u64,
@@ -73,13 +75,13 @@
     pub(crate) begun: Mark,
 }
 
-/// A machine: a disk, and the process on it that may own keys.
+/// A machine: a disk, and a process that may own keys.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Machine {
     pub(crate) disk: u64,
-    /// What a loss of power leaves.
+    /// What survives a power loss.
     pub(crate) durable: DiskRegisters,
-    /// What the process goes by.
+    /// The state that the process uses.
     pub(crate) registers: DiskRegisters,
     pub(crate) unsynced: Vec<Unsynced>,
     pub(crate) process: u64,
@@ -91,7 +93,7 @@
     pub(crate) next_request_id: u64,
     /// The epoch under which the owner last stored a key.
     pub(crate) epochs: BTreeMap<String, Epoch>,
-    /// Versions and values that answers told.
+    /// Versions and values from responses.
     pub(crate) known: BTreeMap<String, (u64, Bytes)>,
 }
 
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The process starts anew with what the disk had synced.
+    /// Restarts the process with what the disk had synced.
     pub(crate) fn restart(&mut self, process: u64) {
         *self = Machine::new(self.disk, process, self.durable.clone());
     }
@@ -126,7 +128,8 @@
         self.set.all().contains(&self.disk)
     }
 
-    /// All that waits is synced, through the records themselves; sets and answers that this sets free.
+    /// Syncs all waiting records by restoring the disk from its records; returns the sets and responses that waited
+    /// for them.
     pub(crate) fn sync(&mut self) -> (Vec<StoredSet>, Vec<Packet>) {
         let (mut records, mut sets, mut responses) = (Vec::new(), Vec::new(), Vec::new());
         for unsynced in self.unsynced.drain(..) {
--- a/packages/control_model/src/main.rs
+++ b/packages/control_model/src/main.rs
@@ -1,4 +1,4 @@
-//! The deep run: explores each set of limits to a depth, then walks.
+//! Explores each set of limits to a depth, then runs random walks.
 
 use control_model::{Counts, Failure, Limits, explore, walk};
 use std::process::ExitCode;
