--- a/packages/local_fleet/src/deployments.rs
+++ b/packages/local_fleet/src/deployments.rs
@@ -1,25 +1,28 @@
-//! The two deployments of the brief, as far as one machine can stand in for them.
+//! The two deployments that vanelane is built for, scaled down to one machine.
 
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use test_doubles::{FakeFunction, Misbehaviour, PlatformSettings, Target};
 
-pub const BUSY: usize = 8;
-pub const RARE: usize = 150;
+/// Number of functions that get nine in ten calls.
+pub const BUSY_FUNCTIONS: usize = 8;
+/// Number of functions that share the remaining calls.
+pub const RARE_FUNCTIONS: usize = 150;
 
-/// A deployment's sizes.
+/// The functions and sizes of a deployment.
 pub struct Deployment {
     pub name: &'static str,
     worker_memory_mb: u64,
-    busy_names: [&'static str; BUSY],
+    busy_names: [&'static str; BUSY_FUNCTIONS],
     rare_name: &'static str,
-    busy_memory_mb: [u64; BUSY],
+    busy_memory_mb: [u64; BUSY_FUNCTIONS],
     busy_calls_at_once: u32,
     busy_work_millis: u64,
     repeatable_from: usize,
 }
 
+/// The deployment of this name, if there is one.
 pub fn find(name: &str) -> Option<Deployment> {
     match name {
         "tiszacimke" => Some(Deployment {
@@ -65,17 +68,18 @@
 }
 
 impl Deployment {
+    /// The names of all functions, the busy ones first.
     pub fn functions(&self) -> Vec<String> {
         let busy = self.busy_names.iter().map(|name| (*name).to_owned());
-        busy.chain((0..RARE).map(|number| format!("{}-{number:03}", self.rare_name))).collect()
+        busy.chain((0..RARE_FUNCTIONS).map(|number| format!("{}-{number:03}", self.rare_name))).collect()
     }
 
-    /// The configuration document that an operator would send.
+    /// The configuration document that an operator sends.
     pub fn document(&self) -> Value {
         let mut functions = Map::new();
         let mut routes = Map::new();
         for (number, name) in self.functions().into_iter().enumerate() {
-            let is_busy = number < BUSY;
+            let is_busy = number < BUSY_FUNCTIONS;
             let function = match is_busy {
                 true => json!({
                     "allowance": "busy",
@@ -113,11 +117,11 @@
         })
     }
 
-    /// The platform stand-in with this deployment's workers and cells.
+    /// Settings of a fake platform with this deployment's workers and functions.
     pub fn platform(&self) -> PlatformSettings {
         let mut functions = BTreeMap::new();
         for (number, name) in self.functions().into_iter().enumerate() {
-            let is_busy = number < BUSY;
+            let is_busy = number < BUSY_FUNCTIONS;
             let behaviour = FakeFunction {
                 boot_millis: if is_busy { 1_400 } else { 900 },
                 calls_at_once: if is_busy { self.busy_calls_at_once } else { 2 },
@@ -136,14 +140,18 @@
         }
     }
 
-    /// Nine in ten calls go to the busy functions.
+    /// The targets of the load; nine in ten calls go to the busy functions.
     pub fn targets(&self) -> Vec<Target> {
         let functions = self.functions().into_iter().enumerate();
         functions
             .map(|(number, name)| Target {
                 path: format!("/{name}/1"),
-                weight: if number < BUSY { 0.9 / BUSY as f64 } else { 0.1 / RARE as f64 },
-                repeatable: (self.repeatable_from..BUSY).contains(&number),
+                weight: if number < BUSY_FUNCTIONS {
+                    0.9 / BUSY_FUNCTIONS as f64
+                } else {
+                    0.1 / RARE_FUNCTIONS as f64
+                },
+                repeatable: (self.repeatable_from..BUSY_FUNCTIONS).contains(&number),
                 function: name,
             })
             .collect()
--- a/packages/local_fleet/src/main.rs
+++ b/packages/local_fleet/src/main.rs
@@ -1,5 +1,5 @@
-//! A whole fleet on one machine: ten real nodes in three zones on loopback, the platform stand-in,
-//! callers at the brief's load, failures midway, and the checkers over what was seen.
+//! Runs a whole fleet on one machine: ten real nodes in three zones on loopback, a fake platform, a load generator,
+//! faults during the load, and the checkers over the recorded history.
 
 mod deployments;
 mod fleet;
--- a/packages/local_fleet/src/operator.rs
+++ b/packages/local_fleet/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator of the local fleet: pages and changes over the control addresses.
+//! The operator of the local fleet: reads pages and sends changes over the control addresses.
 
 use awc::Client;
 use serde_json::Value;
@@ -6,13 +6,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Works the control pages from a thread of its own runtime.
+/// A client of the control pages with its own runtime.
 pub struct Operator {
     system: actix_rt::SystemRunner,
     client: Client,
 }
 
 impl Operator {
+    /// Creates the runtime and the HTTP client.
     pub fn new() -> Operator {
         let system = actix_rt::System::new();
         let client = system.block_on(async {
@@ -21,6 +22,7 @@
         Operator { system, client }
     }
 
+    /// The text of a page, if its request succeeds.
     pub fn get(&self, control: SocketAddr, page: &str) -> Option<String> {
         let request = self.client.get(format!("http://{control}{page}")).force_close();
         self.system.block_on(async {
@@ -30,11 +32,12 @@
         })
     }
 
+    /// A page parsed as JSON.
     pub fn get_json(&self, control: SocketAddr, page: &str) -> Option<Value> {
         serde_json::from_str(&self.get(control, page)?).ok()
     }
 
-    /// Metrics without labels, by name.
+    /// The values of the metrics by name, without the `vanelane_` prefix.
     pub fn metrics(&self, control: SocketAddr) -> BTreeMap<String, u64> {
         let text = self.get(control, "/metrics").unwrap_or_default();
         text.lines()
@@ -45,7 +48,7 @@
             .collect()
     }
 
-    /// Sends one change line; its outcome line.
+    /// Sends one change line and returns its outcome line.
     pub fn change(&self, control: SocketAddr, line: &Value) -> Option<Value> {
         let request = self.client.post(format!("http://{control}/control/changes")).force_close();
         let body = line.to_string() + "\n";
@@ -56,7 +59,7 @@
         })
     }
 
-    /// The whole decision stream as any node tells it.
+    /// The whole decision stream as this node returns it.
     pub fn decisions(&self, control: SocketAddr) -> Vec<Value> {
         let mut lines = Vec::new();
         let mut cursor = String::new();
--- a/packages/local_fleet/src/scenarios.rs
+++ b/packages/local_fleet/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet, and what is reported of it.
+//! The scenarios: the faults applied to the fleet, and the report.
 
 mod soak;
 
@@ -30,6 +30,7 @@
     "soak",
 ];
 
+/// One run of a scenario.
 struct Run {
     fleet: Fleet,
     operator: Operator,
@@ -43,8 +44,9 @@
     is_soak: bool,
 }
 
+/// Runs the scenario of the command line; whether no rule was violated.
 pub fn run(command_line: &LocalFleet) -> Result<bool, String> {
-    let said = |failure: std::io::Error| failure.to_string();
+    let error_text = |failure: std::io::Error| failure.to_string();
     let scenario = command_line.scenario.clone().unwrap_or_else(|| "kills".to_owned());
     if !SCENARIOS.contains(&scenario.as_str()) {
         return Err(format!("--scenario is one of {}", SCENARIOS.join(", ")));
@@ -72,10 +74,10 @@
     };
     let program = match &command_line.vanelane {
         Some(program) => program.clone(),
-        None => std::env::current_exe().map_err(said)?.with_file_name("vanelane"),
+        None => std::env::current_exe().map_err(error_text)?.with_file_name("vanelane"),
     };
     let folder = command_line.folder.clone().unwrap_or_else(fresh_folder);
-    std::fs::create_dir_all(&folder).map_err(said)?;
+    std::fs::create_dir_all(&folder).map_err(error_text)?;
     let history = Arc::new(History::default());
     let began = Instant::now();
     let platform = FakePlatform::start(
@@ -84,8 +86,8 @@
         history.clone(),
         began,
     )
-    .map_err(said)?;
-    let fleet = Fleet::prepare(&program, &folder, platform.address(), &options).map_err(said)?;
+    .map_err(error_text)?;
+    let fleet = Fleet::prepare(&program, &folder, platform.address(), &options).map_err(error_text)?;
     let mut run = Run {
         fleet,
         operator: Operator::new(),
@@ -100,14 +102,15 @@
     };
     let seconds = command_line.seconds.unwrap_or(60);
     let rate = command_line.calls_per_second.unwrap_or(300.0);
-    let callers = run.play(&scenario, Duration::from_secs(seconds), rate)?;
-    run.report(&scenario, &callers, &folder)
+    let load = run.play(&scenario, Duration::from_secs(seconds), rate)?;
+    run.report(&scenario, &load, &folder)
 }
 
 fn fresh_folder() -> PathBuf {
     std::env::temp_dir().join(format!("vanelane-fleet-{}", std::process::id()))
 }
 
+/// Values of the behaviour header for the scenario `misbehave`.
 const MISBEHAVIOURS: [&str; 8] =
     ["lose", "garble", "cut", "cut_chunks", "cut_long", "cut_long_chunks", "until_close", "long"];
 
@@ -141,7 +144,7 @@
             .all(|(_, node)| self.operator.get(node.control, "/ready").is_some())
     }
 
-    fn all_held(&self) -> bool {
+    fn every_function_has_leader(&self) -> bool {
         self.fleet.nodes.iter().enumerate().filter(|(number, _)| self.fleet.is_running(*number)).all(
             |(_, node)| {
                 let status = self.operator.get_json(node.control, "/control/status");
@@ -150,7 +153,7 @@
         )
     }
 
-    /// Sends a whole document and waits until every running node holds its generation.
+    /// Sends a change and waits until every running node holds its generation.
     fn change(&mut self, body: Value, at: usize) -> Result<(u64, Duration), String> {
         self.changes += 1;
         let mut line = body;
@@ -177,7 +180,7 @@
         Ok((generation, spread))
     }
 
-    /// Calls to all functions at this rate, by callers that wait longer than any lane does.
+    /// Load on all functions at this rate; the clients wait longer than any route's timeout.
     fn load_settings(&self, span: Duration, rate: f64) -> LoadSettings {
         LoadSettings {
             calls_per_second: rate,
@@ -192,7 +195,7 @@
         }
     }
 
-    fn callers(&self, settings: LoadSettings) -> Result<LoadGenerator, String> {
+    fn start_load(&self, settings: LoadSettings) -> Result<LoadGenerator, String> {
         LoadGenerator::start(
             settings,
             self.fleet.running_client_addresses(),
@@ -203,11 +206,11 @@
     }
 
     fn wait_for_first_readiness(&mut self) -> Result<Duration, String> {
-        const PAUSE: Duration = Duration::from_millis(500);
-        const LOOKS: u32 = 120;
+        const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
+        const ATTEMPTS: u32 = 120;
         let began = Instant::now();
-        for _ in 0..LOOKS {
-            if self.wait_until("readiness", PAUSE, Run::all_ready).is_ok() {
+        for _ in 0..ATTEMPTS {
+            if self.wait_until("readiness", ATTEMPT_TIMEOUT, Run::all_ready).is_ok() {
                 return Ok(began.elapsed());
             }
             self.fleet.start_ended().map_err(|failure| failure.to_string())?;
@@ -223,27 +226,26 @@
         self.note("ready_ms", ready.as_millis() as u64);
         let mut document = self.deployment.document();
         if self.is_soak {
-            soak::narrow(&self.deployment, &mut document);
+            soak::limit_narrow_function(&self.deployment, &mut document);
         }
         let at = micros_since(self.began);
         let routes = self.deployment.functions().into_iter().map(|name| (format!("/{name}"), name));
         self.history.append(history_checker::first_routes(at, routes));
         let (_, spread) = self.change(json!({ "whole": document }), 4)?;
         self.note("configuration_spread_ms", spread.as_millis() as u64);
-        let held = self.wait_until("stewards", Duration::from_secs(60), Run::all_held)?;
+        let held = self.wait_until("stewards", Duration::from_secs(60), Run::every_function_has_leader)?;
         self.note("all_stewards_ms", held.as_millis() as u64);
         let spread = self.leader_spread();
         self.note("steward_spread_at_first", spread);
 
-        let urgent = if scenario == "crowd" { 3 } else { 0 };
-        // One call in eight is lost, garbled, cut or long.
+        let immediate_retries = if scenario == "crowd" { 3 } else { 0 };
+        // One call in eight requests a lost, garbled, cut or long response.
         let behaviours = match scenario {
             "misbehave" => (0.125, MISBEHAVIOURS.to_vec()),
             _ => (0.0, Vec::new()),
         };
-        let settings =
-            LoadSettings { immediate_retries: urgent, behaviours, ..self.load_settings(span, rate) };
-        let callers = self.callers(settings)?;
+        let settings = LoadSettings { immediate_retries, behaviours, ..self.load_settings(span, rate) };
+        let load = self.start_load(settings)?;
         let part = |share: f64| span.mul_f64(share);
         let load_began = Instant::now();
         let until = |share: f64| {
@@ -254,29 +256,29 @@
         match scenario {
             "kills" => {
                 until(0.4);
-                self.kill(&callers, &[7]);
+                self.kill(&load, &[7]);
                 until(0.6);
-                self.kill(&callers, &[DISK_NODES[1]]);
+                self.kill(&load, &[DISK_NODES[1]]);
                 until(0.8);
-                self.start_again(&callers, &[7, DISK_NODES[1]])?;
+                self.start_again(&load, &[7, DISK_NODES[1]])?;
             }
             "herd" => {
                 until(0.4);
-                self.kill(&callers, &[0, 1, 2, 5, 8]);
+                self.kill(&load, &[0, 1, 2, 5, 8]);
                 until(0.5);
-                self.start_again(&callers, &[0, 1, 2, 5, 8])?;
+                self.start_again(&load, &[0, 1, 2, 5, 8])?;
             }
             "restart-all" => {
                 until(0.4);
                 let all: Vec<usize> = (0..NODES).collect();
-                self.kill(&callers, &all);
+                self.kill(&load, &all);
                 std::thread::sleep(Duration::from_secs(2));
-                self.start_again(&callers, &all)?;
+                self.start_again(&load, &all)?;
             }
             "rolling" => {
                 for number in 0..NODES {
                     until(0.1 + 0.08 * number as f64);
-                    self.stop_planned(&callers, number)?;
+                    self.stop_planned(&load, number)?;
                 }
             }
             "workers" => {
@@ -293,43 +295,43 @@
                 self.fleet.signal(DISK_NODES[2], "STOP");
                 let others: Vec<usize> =
                     (0..NODES).filter(|number| ![6, DISK_NODES[2]].contains(number)).collect();
-                callers.set_nodes(
-                    others.iter().map(|number| self.fleet.nodes[*number].client_addresses).collect(),
+                load.set_nodes(
+                    others.iter().map(|number| self.fleet.nodes[*number].client_address).collect(),
                 );
                 std::thread::sleep(Duration::from_secs(8));
                 self.fleet.signal(6, "CONT");
                 self.fleet.signal(DISK_NODES[2], "CONT");
                 std::thread::sleep(Duration::from_secs(1));
-                callers.set_nodes(self.fleet.running_client_addresses());
+                load.set_nodes(self.fleet.running_client_addresses());
             }
             "crowd" => {
                 until(0.4);
                 let settings =
                     LoadSettings { immediate_retries: 3, ..self.load_settings(part(0.2), rate * 2.0) };
-                let spike = self.callers(settings)?;
+                let spike = self.start_load(settings)?;
                 let spike_report = spike.finish();
-                self.note("crowd", callers_page(&spike_report));
+                self.note("crowd", load_page(&spike_report));
             }
             "replace" => {
                 until(0.2);
                 let lost = DISK_NODES[1];
-                self.kill(&callers, &[lost]);
+                self.kill(&load, &[lost]);
                 self.fleet.wipe_data(lost).map_err(|failure| failure.to_string())?;
-                self.start_again(&callers, &[lost])?;
+                self.start_again(&load, &[lost])?;
                 let control = self.fleet.nodes[lost].control;
-                let taken = self.wait_until("the vote", Duration::from_secs(60), |run| {
+                let voting_after = self.wait_until("the vote", Duration::from_secs(60), |run| {
                     let status = run.operator.get_json(control, "/control/status");
                     status.is_some_and(|status| votes(&status))
                 })?;
-                self.note("empty_disk_votes_after_ms", taken.as_millis() as u64);
-                // Another disk machine may now be lost, and changes are still taken.
-                self.kill(&callers, &[DISK_NODES[0]]);
+                self.note("empty_disk_votes_after_ms", voting_after.as_millis() as u64);
+                // With the new voter, another disk may be lost and changes are still accepted.
+                self.kill(&load, &[DISK_NODES[0]]);
                 let name = self.deployment.functions()[0].clone();
                 let mut partial = json!({"lanes": {}});
                 partial["lanes"][name] = json!({ "patience_millis": 4_001 });
                 let (_, spread) = self.change(json!({ "partial": partial }), 5)?;
                 self.note("change_with_another_disk_down_ms", spread.as_millis() as u64);
-                self.start_again(&callers, &[DISK_NODES[0]])?;
+                self.start_again(&load, &[DISK_NODES[0]])?;
             }
             "reload" => {
                 for round in 0..10 {
@@ -351,14 +353,17 @@
             "soak" => soak::disturb(self, load_began, span)?,
             _ => {}
         }
-        let report = callers.finish();
-        if self.wait_until("stewards at the end", Duration::from_secs(20), Run::all_held).is_err() {
+        let report = load.finish();
+        if self
+            .wait_until("stewards at the end", Duration::from_secs(20), Run::every_function_has_leader)
+            .is_err()
+        {
             self.note("stewards_missing_at_the_end", true);
         }
         Ok(report)
     }
 
-    /// Every node reads changed settings on SIGHUP, and in odd rounds bad ones, which it must refuse.
+    /// Every node reloads changed settings on SIGHUP; in odd rounds they are invalid and must be refused.
     fn reload_all(&mut self, round: usize) -> Result<(), String> {
         let is_bad = round % 2 == 1;
         let (line, reported) = match is_bad {
@@ -372,7 +377,7 @@
             self.wait_until("the reload", Duration::from_secs(20), |run| {
                 run.fleet.logged(number, reported) > before
             })?;
-            // What stands on the disk is sound again, should the node be started anew.
+            // The settings file is made valid again, in case the node is restarted.
             self.fleet.write_settings(number, "", round).map_err(|failure| failure.to_string())?;
         }
         let kind = if is_bad { "bad_reloads_refused" } else { "reloads" };
@@ -380,45 +385,46 @@
         Ok(())
     }
 
-    fn kill(&mut self, callers: &LoadGenerator, numbers: &[usize]) {
+    fn kill(&mut self, load: &LoadGenerator, numbers: &[usize]) {
         for number in numbers {
             self.fleet.kill(*number);
         }
-        callers.set_nodes(self.fleet.running_client_addresses());
+        load.set_nodes(self.fleet.running_client_addresses());
     }
 
-    fn start_again(&mut self, callers: &LoadGenerator, numbers: &[usize]) -> Result<(), String> {
+    fn start_again(&mut self, load: &LoadGenerator, numbers: &[usize]) -> Result<(), String> {
         for number in numbers {
             self.fleet.start(*number).map_err(|failure| failure.to_string())?;
         }
-        let arrived = self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
-        callers.set_nodes(self.fleet.running_client_addresses());
-        self.note("ready_again_ms", arrived.as_millis() as u64);
-        let held = self.wait_until("stewards again", Duration::from_secs(30), Run::all_held)?;
-        self.note("stewards_again_ms", (arrived + held).as_millis() as u64);
+        let ready = self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
+        load.set_nodes(self.fleet.running_client_addresses());
+        self.note("ready_again_ms", ready.as_millis() as u64);
+        let held =
+            self.wait_until("stewards again", Duration::from_secs(30), Run::every_function_has_leader)?;
+        self.note("stewards_again_ms", (ready + held).as_millis() as u64);
         Ok(())
     }
 
-    /// The platform hands no more callers to the node, stops it, and starts it again.
-    fn stop_planned(&mut self, callers: &LoadGenerator, number: usize) -> Result<(), String> {
+    /// Stops a node as planned, sends it no more calls shortly after the signal, and restarts it.
+    fn stop_planned(&mut self, load: &LoadGenerator, number: usize) -> Result<(), String> {
         let others: Vec<_> = (0..NODES)
             .filter(|other| *other != number && self.fleet.is_running(*other))
-            .map(|other| self.fleet.nodes[other].client_addresses)
+            .map(|other| self.fleet.nodes[other].client_address)
             .collect();
         self.fleet.signal(number, "TERM");
         std::thread::sleep(Duration::from_millis(100));
-        callers.set_nodes(others);
+        load.set_nodes(others);
         match self.fleet.wait_gone(number, Duration::from_secs(10)) {
             Some(took) => self.note(&format!("stop_{number}_ms"), took.as_millis() as u64),
             None => return Err(format!("node {number} did not stop within ten seconds")),
         }
         self.fleet.start(number).map_err(|failure| failure.to_string())?;
         self.wait_until("readiness again", Duration::from_secs(30), Run::all_ready)?;
-        callers.set_nodes(self.fleet.running_client_addresses());
+        load.set_nodes(self.fleet.running_client_addresses());
         Ok(())
     }
 
-    /// Steward counts of the running nodes and their standard deviation, as the paper tells it.
+    /// Number of led functions of each running node and their standard deviation, as in the leader election paper.
     fn leader_spread(&self) -> Value {
         let counts: Vec<usize> = self
             .fleet
@@ -435,7 +441,7 @@
         json!({ "counts": counts, "standard_deviation": rounded(variance.sqrt()) })
     }
 
-    fn report(&mut self, scenario: &str, callers: &LoadReport, folder: &Path) -> Result<bool, String> {
+    fn report(&mut self, scenario: &str, load: &LoadReport, folder: &Path) -> Result<bool, String> {
         self.fleet.sample_all();
         let decisions = self.operator.decisions(self.fleet.nodes[0].control);
         let mut waits: Vec<u64> = Vec::new();
@@ -480,16 +486,16 @@
             .iter()
             .filter(|line| matches!(line, Line::CallEnded { outcome: Outcome::NoResponse, .. }))
             .count();
-        // With nothing killed or frozen no call may go without an answer.
-        let is_gentle =
+        // In scenarios without kills or pauses every call must get a response.
+        let must_respond_to_all =
             ["quiet", "rolling", "reload", "workers", "changes", "crowd", "soak"].contains(&scenario);
-        let is_sound = violations.is_empty() && !(is_gentle && dropped > 0);
+        let is_sound = violations.is_empty() && !(must_respond_to_all && dropped > 0);
         let page = json!({
             "scenario": scenario,
             "seed": self.seed,
             "deployment": self.deployment.name,
             "notes": self.notes.iter().cloned().collect::<serde_json::Map<String, Value>>(),
-            "callers": callers_page(callers),
+            "callers": load_page(load),
             "ticket_mean_micros": total("calls_ticket_micros") / total("calls_tickets").max(1),
             "extra_dispatches": total("calls_extra_dispatches"),
             "turned_away": total("calls_turned_away"),
@@ -506,7 +512,7 @@
             "disk_groups_a_second": rounded(total("disk_groups") as f64 / elapsed),
             "messages_a_second": rounded(total("messages_sent") as f64 / elapsed),
             "cpu_seconds": cpu,
-            "cpu_seconds_a_thousand_calls": rounded(cpu_sum * 1_000.0 / callers.sent.max(1) as f64),
+            "cpu_seconds_a_thousand_calls": rounded(cpu_sum * 1_000.0 / load.sent.max(1) as f64),
             "peak_memory_mb": memory,
             "platform": { "starts": starts, "stops": stops, "throttled": throttled },
             "decisions": kinds,
@@ -515,29 +521,29 @@
         });
         let text = serde_json::to_string_pretty(&page).unwrap_or_default();
         println!("{text}");
-        let said = |failure: std::io::Error| failure.to_string();
-        std::fs::write(folder.join("report.json"), &text).map_err(said)?;
+        let error_text = |failure: std::io::Error| failure.to_string();
+        std::fs::write(folder.join("report.json"), &text).map_err(error_text)?;
         let history_text: String = lines
             .iter()
             .filter_map(|line| serde_json::to_string(line).ok())
             .map(|line| line + "\n")
             .collect();
-        std::fs::write(folder.join("history.jsonl"), history_text).map_err(said)?;
+        std::fs::write(folder.join("history.jsonl"), history_text).map_err(error_text)?;
         let decision_text: String = decisions.iter().map(|decision| format!("{decision}\n")).collect();
-        std::fs::write(folder.join("decisions.jsonl"), decision_text).map_err(said)?;
+        std::fs::write(folder.join("decisions.jsonl"), decision_text).map_err(error_text)?;
         eprintln!("history, decisions and logs: {}", folder.display());
         Ok(is_sound)
     }
 }
 
-/// Whether the node that tells its status has a voting disk.
+/// Whether the node with this status has a voting disk.
 fn votes(status: &Value) -> bool {
     let is_own = |member: &&Value| member["node"] == status["node"];
     let own = status["members"].as_array().and_then(|members| members.iter().find(is_own));
     own.is_some_and(|own| own["disk"] == "voting")
 }
 
-fn callers_page(report: &LoadReport) -> Value {
+fn load_page(report: &LoadReport) -> Value {
     json!({
         "sent": report.sent,
         "ran": report.ran,
--- a/packages/local_fleet/src/scenarios/soak.rs
+++ b/packages/local_fleet/src/scenarios/soak.rs
@@ -1,6 +1,6 @@
-//! Planned work in series that overlap: stops, restarts, reloads and changes, drawn from a seed, while clients
-//! keep using their connections until each process is gone. Bursts for one function that has a single cell make
-//! calls wait for longer than a stop takes.
+//! Overlapping planned stops, restarts, reloads and changes, chosen at random from a seed, while clients reuse their
+//! connections until each process is gone. Bursts for one function that has a single instance make calls wait for
+//! longer than a stop takes.
 
 use super::Run;
 use crate::deployments::Deployment;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use test_doubles::{LoadGenerator, LoadSettings};
 
-/// A stop is over before a call that came in its beginning has waited as long as its lane allows (4 s).
+/// A stop takes less time than the route timeout (4 s) of a call that arrives at its beginning.
 pub(super) const NODE_SETTINGS: &str = "still_accepting_millis = 1000\nstop_within_millis = 2500\n";
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -20,26 +20,26 @@
 const BETWEEN_CHANGES: Range<u64> = 200..1_500;
 const BETWEEN_BURSTS: Range<u64> = 4_000..7_000;
 const BURST_SPAN: Duration = Duration::from_millis(2_500);
-/// Some three times what the narrow function's one cell can run.
+/// About three times what the single instance of the narrow function can run.
 const BURST_CALLS_PER_SECOND: f64 = 300.0;
-/// Until a process that ended is started again.
-const DOWN_FOR: Range<u64> = 0..600;
-/// By its settings a stop takes 2.5 s; the machine may have other things to do.
-const STOP_TAKES_AT_MOST: Duration = Duration::from_secs(6);
-/// Nothing begins so shortly before the end: all nodes are to be up again by then.
-const QUIET_END: Duration = Duration::from_secs(7);
-
-/// The function that bursts are for: the first one.
+/// Milliseconds from the end of a process until its restart.
+const DOWNTIME_MILLIS: Range<u64> = 0..600;
+/// By its settings a stop takes 2.5 s; the rest allows for other load on the machine.
+const STOP_LIMIT: Duration = Duration::from_secs(6);
+/// Time before the end in which no disturbance begins, so that all nodes are up again at the end.
+const RECOVERY_SPAN: Duration = Duration::from_secs(7);
+
+/// The function that gets the bursts: the first one.
 fn narrow_function(deployment: &Deployment) -> String {
     deployment.functions()[0].clone()
 }
 
-/// Allows the narrow function one cell.
-pub(super) fn narrow(deployment: &Deployment, document: &mut Value) {
+/// Limits the narrow function to one instance.
+pub(super) fn limit_narrow_function(deployment: &Deployment, document: &mut Value) {
     document["functions"][narrow_function(deployment)]["most_cells"] = json!(1);
 }
 
-/// A node that was told to stop, and what became of it.
+/// The state of a planned stop of a node.
 enum Stop {
     Stopping { number: usize, since: Instant },
     Down { number: usize, until: Instant },
@@ -53,7 +53,7 @@
     }
 }
 
-/// When something of one kind happens next.
+/// A recurring disturbance and the time of its next occurrence.
 struct Series {
     between: Range<u64>,
     next_at: Instant,
@@ -73,6 +73,7 @@
     }
 }
 
+/// The state of a soak run.
 struct Soak<'run> {
     run: &'run mut Run,
     rng: Rng,
@@ -84,7 +85,7 @@
     unclear_changes: u64,
 }
 
-/// Plays the seed's disturbances until the span is over, and waits for the nodes that are still away.
+/// Applies the seed's disturbances until the span is over, and waits for the nodes that are still down.
 pub(super) fn disturb(run: &mut Run, began: Instant, span: Duration) -> Result<(), String> {
     let rng = Rng::with_seed(run.seed);
     let mut soak = Soak {
@@ -103,7 +104,7 @@
     let mut burst_series = Series::new(BETWEEN_BURSTS, began + Duration::from_secs(2));
     while began.elapsed() < span || !soak.stops.is_empty() {
         soak.check_stops()?;
-        let is_ending = began.elapsed() + QUIET_END >= span;
+        let is_ending = began.elapsed() + RECOVERY_SPAN >= span;
         if !is_ending && stop_series.is_due(&mut soak.rng) {
             soak.begin_stop();
         }
@@ -118,25 +119,25 @@
         }
         std::thread::sleep(CHECK_INTERVAL);
     }
-    soak.into_report();
+    soak.report();
     Ok(())
 }
 
 impl Soak<'_> {
-    /// Nodes that run and were not told to stop.
-    fn untouched(&self) -> Vec<usize> {
-        let is_touched = |number: &usize| self.stops.iter().any(|stop| stop.number() == *number);
-        (0..self.run.fleet.nodes.len()).filter(|number| !is_touched(number)).collect()
+    /// Nodes without a planned stop in progress.
+    fn undisturbed_nodes(&self) -> Vec<usize> {
+        let is_stopped = |number: &usize| self.stops.iter().any(|stop| stop.number() == *number);
+        (0..self.run.fleet.nodes.len()).filter(|number| !is_stopped(number)).collect()
     }
 
-    /// A third of the fleet may be away at once, and one of the nodes that hold state.
+    /// At most a third of the fleet is down at once, and at most one of the nodes with a disk.
     fn begin_stop(&mut self) {
         if self.stops.len() >= self.run.fleet.nodes.len() / 3 {
             return;
         }
-        let is_state_node_away = self.stops.iter().any(|stop| DISK_NODES.contains(&stop.number()));
-        let may_stop = |number: &usize| !(is_state_node_away && DISK_NODES.contains(number));
-        let candidates: Vec<usize> = self.untouched().into_iter().filter(may_stop).collect();
+        let is_disk_node_down = self.stops.iter().any(|stop| DISK_NODES.contains(&stop.number()));
+        let may_stop = |number: &usize| !(is_disk_node_down && DISK_NODES.contains(number));
+        let candidates: Vec<usize> = self.undisturbed_nodes().into_iter().filter(may_stop).collect();
         let Some(number) = self.rng.choice(candidates) else { return };
         self.run.fleet.signal(number, "TERM");
         self.stops.push(Stop::Stopping { number, since: Instant::now() });
@@ -147,12 +148,12 @@
         for stop in std::mem::take(&mut self.stops) {
             let next = match stop {
                 Stop::Stopping { number, since } if self.run.fleet.is_gone(number) => {
-                    let pause = Duration::from_millis(self.rng.u64(DOWN_FOR));
+                    let pause = Duration::from_millis(self.rng.u64(DOWNTIME_MILLIS));
                     self.run
                         .note(&format!("stop_{}_ms", self.stops_begun), since.elapsed().as_millis() as u64);
                     Some(Stop::Down { number, until: Instant::now() + pause })
                 }
-                Stop::Stopping { number, since } if since.elapsed() > STOP_TAKES_AT_MOST => {
+                Stop::Stopping { number, since } if since.elapsed() > STOP_LIMIT => {
                     return Err(format!("node {number} did not stop in time"));
                 }
                 Stop::Down { number, until } if Instant::now() >= until => {
@@ -167,7 +168,7 @@
     }
 
     fn reload_one(&mut self) -> Result<(), String> {
-        let Some(number) = self.rng.choice(self.untouched()) else { return Ok(()) };
+        let Some(number) = self.rng.choice(self.undisturbed_nodes()) else { return Ok(()) };
         let turn = self.reloads as usize;
         self.run
             .fleet
@@ -178,9 +179,9 @@
         Ok(())
     }
 
-    /// A change that gets no clear answer from a node that is being restarted may hold or not.
+    /// Sends one change; without a definite response from a restarting node, it may be applied or not.
     fn change_one(&mut self) {
-        let Some(number) = self.rng.choice(self.untouched()) else { return };
+        let Some(number) = self.rng.choice(self.undisturbed_nodes()) else { return };
         self.changes += 1;
         let function = self.run.deployment.functions()[0].clone();
         let mut partial = json!({"lanes": {}});
@@ -196,11 +197,11 @@
         let settings = self.run.load_settings(BURST_SPAN, BURST_CALLS_PER_SECOND);
         let targets = settings.targets.iter().filter(|target| target.function == narrow).cloned().collect();
         let settings = LoadSettings { targets, random_seed: self.rng.u64(..), ..settings };
-        self.bursts.push(self.run.callers(settings)?);
+        self.bursts.push(self.run.start_load(settings)?);
         Ok(())
     }
 
-    fn into_report(self) {
+    fn report(self) {
         let Soak { run, bursts, stops_begun, reloads, changes, unclear_changes, .. } = self;
         let reports: Vec<_> = bursts.into_iter().map(LoadGenerator::finish).collect();
         run.note("bursts", reports.len() as u64);
@@ -212,11 +213,12 @@
         run.note("reloads", reloads);
         run.note("changes", changes);
         run.note("unclear_changes", unclear_changes);
-        let left =
-            (0..run.fleet.nodes.len()).map(|number| run.fleet.logged(number, LEFT_BEHIND)).sum::<usize>();
+        let left = (0..run.fleet.nodes.len())
+            .map(|number| run.fleet.logged(number, LEFT_OPEN_WARNING))
+            .sum::<usize>();
         run.note("stops_that_left_calls", left as u64);
     }
 }
 
-/// The warning of a stop that leaves calls or connections of clients behind.
-const LEFT_BEHIND: &str = "\"level\":\"WARN\",\"message\":\"stopped after";
+/// Start of the warning that a node logs if its stop left calls or connections of clients open.
+const LEFT_OPEN_WARNING: &str = "\"level\":\"WARN\",\"message\":\"stopped after";
--- a/packages/local_fleet/tests/soak.rs
+++ b/packages/local_fleet/tests/soak.rs
@@ -1,14 +1,15 @@
-//! A short soak: planned work in series that overlap, while clients keep using their connections until each
-//! process is gone. The long ones are started by hand; see `docs/measurements.md`.
+//! Short soaks: overlapping planned stops, reloads and changes while clients reuse their connections until each
+//! process is gone. Long soaks are run by hand; see `docs/measurements.md`.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The program under test stands beside this package's own. A test run of the whole workspace has built it.
+/// Builds the program under test; it lies beside this package's own. A test run of the whole workspace has built it
+/// already.
 fn vanelane_beside(local_fleet: &Path) -> PathBuf {
     let built =
         Command::new(env!("CARGO")).args(["build", "--locked", "--offline", "-p", "vanelane"]).status();
-    assert!(built.expect("cargo").success());
+    assert!(built.expect("cannot run cargo").success());
     local_fleet.with_file_name("vanelane")
 }
 
@@ -25,11 +26,12 @@
         .arg("--folder")
         .arg(&folder)
         .output()
-        .expect("the local fleet");
+        .expect("cannot run local_fleet");
     let page = String::from_utf8_lossy(&output.stdout);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "seed {seed}, kept in {}: {page}{errors}", folder.display());
-    let report: serde_json::Value = serde_json::from_str(&page).expect("a report");
+    let report: serde_json::Value =
+        serde_json::from_str(&page).expect("the output of local_fleet is no JSON report");
     let note = |name: &str| report["notes"][name].as_u64().unwrap_or(0);
     assert!(note("stops") > 10 && note("reloads") > 10 && note("changes") > 10, "{page}");
     assert_eq!(note("stops_that_left_calls"), 0, "seed {seed}, kept in {}: {page}", folder.display());
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn planned_work_in_series_leaves_no_request_without_a_response() {
+fn overlapping_planned_stops_leave_no_request_without_a_response() {
     soak(1, 10, 25);
     soak(2, 20, 25);
 }
