--- a/packages/test_doubles/src/bin/stand_in_platform.rs
+++ b/packages/test_doubles/src/bin/stand_in_platform.rs
@@ -1,4 +1,4 @@
-//! A platform stand-in to try vanelane with: workers, cells that answer, a late list, a rate limit.
+//! Runs a fake platform to try vanelane with: workers, instances that respond, a delayed list, a rate limit.
 
 use history_checker::History;
 use std::collections::BTreeMap;
--- a/packages/test_doubles/src/fake_instance.rs
+++ b/packages/test_doubles/src/fake_instance.rs
@@ -1,3 +1,5 @@
+//! Instances of the fake platform: they run calls over HTTP and misbehave on request.
+
 use crate::{BEHAVE_HEADER, CALL_HEADER, micros_since};
 use actix_codec::Framed;
 use actix_http::h1::{Codec, Message, MessageType};
@@ -13,33 +15,34 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How a function's cells behave, known to the stand-in apart from any configuration.
+/// The behaviour of a function's instances; independent of any configuration.
 /// Example: `FakeFunction { boot_millis: 1500, calls_at_once: 4, work_millis: 60, .. }`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "FunctionStandIn")]
 pub struct FakeFunction {
-    /// From the start to the first accepted connection.
+    /// Time from the start to the first accepted connection.
     pub boot_millis: u64,
-    /// More at once are turned away.
+    /// Number of concurrent calls; further ones are refused as busy.
     pub calls_at_once: u32,
-    /// How long a call takes.
+    /// Duration of a call.
     pub work_millis: u64,
-    /// Shares of calls that end badly.
+    /// Shares of calls whose response fails.
     #[serde(default)]
     pub misbehaviour: Misbehaviour,
 }
 
-/// Shares (0 to 1) of calls whose answer goes wrong after they ran.
+/// Shares (0 to 1) of calls whose response fails after they ran.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Misbehaviour {
-    /// The connection ends without an answer.
+    /// The connection ends without a response.
     pub lose: f64,
-    /// The answer is no HTTP.
+    /// The response is not HTTP.
     pub garble: f64,
-    /// The answer ends before its length.
+    /// The response ends before its declared length.
     pub cut: f64,
 }
 
+/// An instance of a function, served on its own listener.
 pub(crate) struct FakeInstance {
     pub id: String,
     pub function: String,
@@ -59,6 +62,7 @@
 }
 
 impl FakeInstance {
+    /// Serves connections until the task is aborted.
     pub(crate) async fn accept(self: Rc<FakeInstance>, listener: TcpListener) {
         let mut connections = tokio::task::JoinSet::new();
         loop {
@@ -66,14 +70,14 @@
                 accepted = listener.accept() => {
                     let Ok((stream, _)) = accepted else { continue };
                     let _ = stream.set_nodelay(true);
-                    connections.spawn_local(self.clone().converse(stream));
+                    connections.spawn_local(self.clone().serve(stream));
                 }
                 Some(_) = connections.join_next() => {}
             }
         }
     }
 
-    async fn converse(self: Rc<FakeInstance>, stream: TcpStream) {
+    async fn serve(self: Rc<FakeInstance>, stream: TcpStream) {
         let mut framed = Framed::new(stream, Codec::default());
         let Some(Ok(Message::Item(request))) = framed.next().await else { return };
         let has_body = framed.codec_ref().message_type() != MessageType::None;
@@ -93,14 +97,14 @@
     }
 
     async fn respond(self: &Rc<FakeInstance>, request: &Request, body_length: usize, stream: &mut TcpStream) {
-        let named = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
-        let is_meant =
-            named(FUNCTION_HEADER) == Some(&self.function) && named(INSTANCE_HEADER) == Some(&self.id);
-        if !is_meant {
+        let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
+        let is_addressed =
+            header(FUNCTION_HEADER) == Some(&self.function) && header(INSTANCE_HEADER) == Some(&self.id);
+        if !is_addressed {
             let _ = stream.write_all(&response_bytes("421 Misdirected Request", "", "not this cell")).await;
             return;
         }
-        let call = named(CALL_HEADER).unwrap_or_default().to_owned();
+        let call = header(CALL_HEADER).unwrap_or_default().to_owned();
         let in_flight = self.in_flight.get() + 1;
         let limit = self.behaviour.calls_at_once;
         let is_running = in_flight <= limit;
@@ -125,8 +129,8 @@
             "{{\"call\":\"{call}\",\"cell\":\"{}\",\"body_length\":{body_length},\"end\":true}}",
             self.id
         );
-        if named(BEHAVE_HEADER) == Some("long") {
-            // Sound, in chunks, and longer than what a node holds until it is whole.
+        if header(BEHAVE_HEADER) == Some("long") {
+            // A valid chunked response, longer than a node buffers before it forwards.
             let padded =
                 whole_body.replace("\"end\"", &format!("\"padding\":\"{}\",\"end\"", "x".repeat(600_000)));
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await;
@@ -139,17 +143,17 @@
             return;
         }
         let whole_response = response_bytes("200 OK", "content-type: application/json\r\n", &whole_body);
-        let requested = named(BEHAVE_HEADER);
-        let bad = self.behaviour.misbehaviour;
+        let requested = header(BEHAVE_HEADER);
+        let misbehaviour = self.behaviour.misbehaviour;
         let random = fastrand::f64();
-        if requested == Some("lose") || random < bad.lose {
+        if requested == Some("lose") || random < misbehaviour.lose {
             return;
         }
-        if requested == Some("garble") || random < bad.lose + bad.garble {
+        if requested == Some("garble") || random < misbehaviour.lose + misbehaviour.garble {
             let _ = stream.write_all(b"\x00\x17 no http \xff\xfe\r\n\r\n").await;
             return;
         }
-        if requested == Some("cut") || random < bad.lose + bad.garble + bad.cut {
+        if requested == Some("cut") || random < misbehaviour.lose + misbehaviour.garble + misbehaviour.cut {
             let _ = stream.write_all(&whole_response[..whole_response.len() - 5]).await;
             return;
         }
--- a/packages/test_doubles/src/fake_platform.rs
+++ b/packages/test_doubles/src/fake_platform.rs
@@ -1,3 +1,5 @@
+//! The fake platform: an HTTP API to list, start and stop instances and to report usage.
+
 use crate::fake_instance::{FakeFunction, FakeInstance};
 use crate::micros_since;
 use actix_http::body::BoxBody;
@@ -19,20 +21,20 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// What the platform stand-in is like. Example: `PlatformSettings::small()`.
+/// Settings of the fake platform. Example: `PlatformSettings { workers: 12, .. }`.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// How many workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Each worker's memory.
+    /// Memory of each worker.
     pub worker_memory_mb: u64,
-    /// Starts and stops taken each second.
+    /// Operations (starts, stops and usage reports) accepted per second.
     pub operations_per_second: f64,
-    /// How late the list is.
+    /// Age of the list that is served.
     pub list_late: Duration,
-    /// How the functions' cells behave; a function not named here cannot be started.
+    /// Behaviour of the functions' instances; other functions cannot be started.
     pub functions: BTreeMap<String, FakeFunction>,
-    /// How long a stopped cell still finishes its calls.
+    /// Time that a stopped instance has to finish its calls.
     pub drain_within: Duration,
 }
 
@@ -49,7 +51,7 @@
     began: Instant,
     workers: Vec<WorkerDocument>,
     instances: BTreeMap<String, RunningInstance>,
-    /// Lists of the past, newest last: the late one is served.
+    /// Recent lists, newest last; the oldest is served.
     lists: VecDeque<(Instant, ListDocument)>,
     shown_draining: BTreeSet<String>,
     started: BTreeMap<String, StartedDocument>,
@@ -60,11 +62,11 @@
     throttled: u64,
     starts: u64,
     stops: u64,
-    /// The highest fence that reports of usage bore.
+    /// The highest fence of the usage reports so far.
     highest_fence: u64,
 }
 
-/// A platform on a thread of its own. Example: `FakePlatform::start(settings, history, began)`.
+/// A fake platform on its own thread. Example: `FakePlatform::start(listen, settings, history, began)`.
 pub struct FakePlatform {
     address: SocketAddr,
     commands: mpsc::UnboundedSender<Command>,
@@ -79,7 +81,7 @@
 }
 
 impl FakePlatform {
-    /// Starts the platform on a free port. Example: `platform.address()`.
+    /// Starts the platform at this address; port 0 selects a free port. Example: `platform.address()`.
     pub fn start(
         listen: SocketAddr,
         settings: PlatformSettings,
@@ -104,22 +106,22 @@
         Ok(FakePlatform { address, commands })
     }
 
-    /// Where it listens. Example: `platform.address().port() != 0`.
+    /// The address that it listens at. Example: `platform.address().port() != 0`.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Drains a worker: its cells leave. Example: `platform.drain(0)`.
+    /// Drains a worker and its instances. Example: `platform.drain(0)`.
     pub fn drain(&self, worker: usize) {
         let _ = self.commands.send(Command::Drain(worker));
     }
 
-    /// Crashes a worker with its cells. Example: `platform.crash(1)`.
+    /// Removes a worker with its instances at once. Example: `platform.crash(1)`.
     pub fn crash(&self, worker: usize) {
         let _ = self.commands.send(Command::Crash(worker));
     }
 
-    /// Starts, stops and throttled acts so far. Example: `let (starts, ..) = platform.counts();`.
+    /// Numbers of starts, stops and throttled operations so far. Example: `let (starts, ..) = platform.counts();`.
     pub fn counts(&self) -> (u64, u64, u64) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let _ = self.commands.send(Command::Counts(sender));
@@ -181,8 +183,8 @@
                     let (reply, response) = oneshot::channel();
                     let (method, path) = (request.method().clone(), request.path().to_owned());
                     let _ = sender.send(Command::Http { method, path, body, reply });
-                    let silence = (StatusCode::INTERNAL_SERVER_ERROR, String::new());
-                    let (status, text) = response.await.unwrap_or(silence);
+                    let no_response = (StatusCode::INTERNAL_SERVER_ERROR, String::new());
+                    let (status, text) = response.await.unwrap_or(no_response);
                     Ok::<_, std::convert::Infallible>(Response::with_body(status, BoxBody::new(text)))
                 }
             })
@@ -192,10 +194,10 @@
     let server = server.run();
     let handle = server.handle();
     actix_rt::spawn(server);
-    let mut digests = tokio::time::interval(Duration::from_millis(50));
+    let mut list_ticker = tokio::time::interval(Duration::from_millis(50));
     loop {
         tokio::select! {
-            _ = digests.tick() => state.borrow_mut().record_digest(),
+            _ = list_ticker.tick() => state.borrow_mut().record_list(),
             command = received.recv() => match command {
                 Some(Command::Drain(worker)) => state.borrow_mut().drain(worker),
                 Some(Command::Crash(worker)) => state.borrow_mut().crash(worker),
@@ -238,7 +240,7 @@
     if let Some(started) = platform.started.get(&start.start_id) {
         return (StatusCode::OK, json!(started).to_string());
     }
-    if !platform.spend() {
+    if !platform.take_token() {
         return (StatusCode::TOO_MANY_REQUESTS, String::new());
     }
     let Some(behaviour) = platform.settings.functions.get(&start.function).cloned() else {
@@ -257,12 +259,12 @@
     if used_memory + start.memory_mb > worker_memory {
         return (StatusCode::CONFLICT, json!({"reason": "no room"}).to_string());
     }
-    // Freed addresses are used again first, as a platform may.
+    // Freed ports are reused first, since a platform may reuse addresses.
     let reused_port = platform.free_ports.pop_front();
     let Some((socket, address)) = bind(reused_port.unwrap_or(0)).or_else(|| bind(0)) else {
         return (StatusCode::CONFLICT, json!({"reason": "no address"}).to_string());
     };
-    // Another platform on this machine may hand out the same port: its cells bear other names.
+    // The id contains the process id: another fake platform on this machine may assign the same port.
     let id = format!("cell-{}-{}", std::process::id(), platform.next_instance);
     platform.next_instance += 1;
     platform.starts += 1;
@@ -275,7 +277,7 @@
         began: platform.began,
         in_flight: Cell::new(0),
     });
-    // Bound but not listening yet: connections are refused while it boots.
+    // The socket is bound but does not listen yet, so connections are refused while the instance boots.
     let task = actix_rt::spawn(async move {
         tokio::time::sleep(boot).await;
         if let Ok(listener) = socket.listen(1_024) {
@@ -324,7 +326,7 @@
     if !platform.instances.contains_key(instance) {
         return (StatusCode::NOT_FOUND, String::new());
     }
-    if !platform.spend() {
+    if !platform.take_token() {
         return (StatusCode::TOO_MANY_REQUESTS, String::new());
     }
     platform.stops += 1;
@@ -340,11 +342,12 @@
 }
 
 impl PlatformState {
-    fn spend(&mut self) -> bool {
-        let passed = self.filled_at.elapsed().as_secs_f64();
+    /// Takes a token of the rate limit; false if there is none.
+    fn take_token(&mut self) -> bool {
+        let elapsed = self.filled_at.elapsed().as_secs_f64();
         self.filled_at = Instant::now();
-        let most = self.settings.operations_per_second;
-        self.tokens = (self.tokens + passed * most).min(most);
+        let rate = self.settings.operations_per_second;
+        self.tokens = (self.tokens + elapsed * rate).min(rate);
         if self.tokens < 1.0 {
             self.throttled += 1;
             self.history.append(Line::OperationThrottled { at: micros_since(self.began) });
@@ -355,7 +358,7 @@
     }
 
     fn report_usage(&mut self, report: UsageReportDocument) -> (StatusCode, String) {
-        if !self.spend() {
+        if !self.take_token() {
             return (StatusCode::TOO_MANY_REQUESTS, String::new());
         }
         let accepted = report.fence >= self.highest_fence;
@@ -378,6 +381,7 @@
         }
     }
 
+    /// Ends an instance and frees its port.
     fn end(&mut self, instance: &str) {
         let Some(running) = self.instances.remove(instance) else { return };
         running.task.abort();
@@ -413,7 +417,8 @@
         (self.starts, self.stops, self.throttled)
     }
 
-    fn record_digest(&mut self) {
+    /// Records the current list and reports instances that the served list shows as draining for the first time.
+    fn record_list(&mut self) {
         let list = ListDocument {
             workers: self.workers.clone(),
             instances: self.instances.values().map(|instance| instance.document.clone()).collect(),
@@ -422,8 +427,8 @@
         while self.lists.len() > 1 && self.lists[1].0.elapsed() >= self.settings.list_late {
             self.lists.pop_front();
         }
-        let Some((taken_at, shown)) = self.lists.front() else { return };
-        if taken_at.elapsed() < self.settings.list_late {
+        let Some((recorded_at, shown)) = self.lists.front() else { return };
+        if recorded_at.elapsed() < self.settings.list_late {
             return;
         }
         for instance in shown.instances.iter().filter(|instance| instance.state == "leaving") {
@@ -435,7 +440,8 @@
     }
 
     fn late_list(&self) -> String {
-        let late = self.lists.front().filter(|(taken_at, _)| taken_at.elapsed() >= self.settings.list_late);
+        let late =
+            self.lists.front().filter(|(recorded_at, _)| recorded_at.elapsed() >= self.settings.list_late);
         let empty = ListDocument { workers: self.workers.clone(), instances: Vec::new() };
         json!(late.map_or(&empty, |(_, list)| list)).to_string()
     }
--- a/packages/test_doubles/src/load_generator.rs
+++ b/packages/test_doubles/src/load_generator.rs
@@ -1,3 +1,5 @@
+//! The load generator: clients that call the nodes at a given rate and record what they observe.
+
 mod kept_connections;
 
 use crate::{BEHAVE_HEADER, CALL_HEADER, micros_since};
@@ -20,72 +22,73 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// A lane to call. Example: `Target { function: "proof".into(), path: "/proof".into(), weight: 9.0, .. }`.
+/// A route to call. Example: `Target { function: "proof".into(), path: "/proof".into(), weight: 9.0, .. }`.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The function that its lane names.
+    /// The function of the route.
     pub function: String,
     /// The path to call.
     pub path: String,
-    /// Its part of all calls.
+    /// Its share of all calls, relative to the other targets.
     pub weight: f64,
-    /// Whether the lane is repeatable.
+    /// Whether the route is repeatable.
     pub repeatable: bool,
 }
 
-/// How the callers call. Example: `LoadSettings { calls_per_second: 300.0, .. }`.
+/// Settings of the load. Example: `LoadSettings { calls_per_second: 300.0, .. }`.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Calls sent each second, whether or not earlier ones were answered.
+    /// Calls sent per second, whether or not earlier ones got a response.
     pub calls_per_second: f64,
-    /// For how long.
+    /// Duration of the load.
     pub span: Duration,
-    /// What is called.
+    /// The routes to call.
     pub targets: Vec<Target>,
-    /// The longest a caller waits.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Seeds the order of targets.
+    /// Seed of the order of targets.
     pub random_seed: u64,
-    /// Retries sent at once after a refusal, as hasty callers do.
+    /// Number of retries sent immediately after a refusal.
     pub immediate_retries: u32,
-    /// The length of bodies.
+    /// Length of the request bodies.
     pub body_length: usize,
-    /// The share of calls that ask their cell to behave in one of these ways.
+    /// The share of calls that request one of these behaviours of their instance.
     pub behaviours: (f64, Vec<&'static str>),
-    /// Connections are used again until their node closes them; otherwise each call has its own.
+    /// Whether connections are reused until their node closes them; otherwise each call opens its own.
     pub keeps_connections: bool,
 }
 
-/// What the callers saw, in short.
+/// Summary of what the clients observed.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
     /// Calls sent, retries included.
     pub sent: u64,
-    /// Whole answers.
+    /// Calls with a complete response.
     pub ran: u64,
-    /// Refused as not run.
+    /// Calls refused as not run.
     pub not_run: u64,
-    /// Of unknown fate.
+    /// Calls of unknown outcome.
     pub unknown: u64,
-    /// Never answered.
+    /// Calls without a response.
     pub no_response: u64,
-    /// Requests that their node did not take, since it was gone or closed at that moment; sent again to another.
+    /// Requests that their node did not accept, since it was gone or closed the connection at that moment; they were
+    /// sent again to another node.
     pub not_taken: u64,
-    /// Sorted latencies of whole answers, in microseconds.
+    /// Sorted latencies of complete responses, in microseconds.
     pub latencies: Vec<u64>,
-    /// Reasons of refusals and unknowns with their counts.
+    /// Reasons of calls without a complete response, with their counts.
     pub reasons: Vec<(String, u64)>,
 }
 
 impl LoadReport {
     /// A quantile of the latencies. Example: `report.quantile(0.99)`.
-    pub fn quantile(&self, part: f64) -> u64 {
-        let place = ((self.latencies.len() as f64 - 1.0) * part).max(0.0) as usize;
-        self.latencies.get(place).copied().unwrap_or(0)
+    pub fn quantile(&self, fraction: f64) -> u64 {
+        let index = ((self.latencies.len() as f64 - 1.0) * fraction).max(0.0) as usize;
+        self.latencies.get(index).copied().unwrap_or(0)
     }
 }
 
-/// Callers on a thread of their own. Example: `LoadGenerator::start(settings, nodes, history, began)`.
+/// Clients on a thread of their own. Example: `LoadGenerator::start(settings, nodes, history, began)`.
 pub struct LoadGenerator {
     thread: std::thread::JoinHandle<LoadReport>,
     nodes: Arc<Mutex<Vec<SocketAddr>>>,
@@ -95,7 +98,7 @@
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
 impl LoadGenerator {
-    /// Starts calling the nodes in turn. Example: `callers.finish().ran`.
+    /// Starts calling the nodes, each call to a node chosen at random. Example: `load.finish().ran`.
     pub fn start(
         settings: LoadSettings,
         nodes: Vec<SocketAddr>,
@@ -111,7 +114,7 @@
         Ok(LoadGenerator { thread, nodes, ending })
     }
 
-    /// The platform hands callers to these nodes from now on. Example: `callers.set_nodes(nodes)`.
+    /// Sends calls only to these nodes from now on. Example: `load.set_nodes(nodes)`.
     pub fn set_nodes(&self, nodes: Vec<SocketAddr>) {
         match self.nodes.lock() {
             Ok(mut shared) => *shared = nodes,
@@ -119,12 +122,12 @@
         }
     }
 
-    /// Stops before the span is over. Example: `callers.end_early()`.
+    /// Stops before the span is over. Example: `load.end_early()`.
     pub fn end_early(&self) {
         self.ending.store(true, Ordering::Relaxed);
     }
 
-    /// Waits for the end of the span and of all calls. Example: `let report = callers.finish();`.
+    /// Waits for the end of the span and of all calls. Example: `let report = load.finish();`.
     pub fn finish(self) -> LoadReport {
         self.thread.join().unwrap_or_default()
     }
@@ -191,8 +194,8 @@
     report
 }
 
-async fn call_with_retries(shared: Rc<Shared>, target: Target, random: u64) {
-    let mut rng = Rng::with_seed(random);
+async fn call_with_retries(shared: Rc<Shared>, target: Target, random_seed: u64) {
+    let mut rng = Rng::with_seed(random_seed);
     for _ in 0..=shared.settings.immediate_retries {
         let outcome = call_once(&shared, &target, &mut rng).await;
         if outcome != Outcome::NotRun {
@@ -246,8 +249,8 @@
     behaviour: &str,
     rng: &mut Rng,
 ) -> (Outcome, bool, String) {
-    let answered = request_from_some_node(shared, target, node, call, behaviour, rng);
-    let (status, reported, body) = match tokio::time::timeout(shared.settings.timeout, answered).await {
+    let response = request_any_node(shared, target, node, call, behaviour, rng);
+    let (status, reported, body) = match tokio::time::timeout(shared.settings.timeout, response).await {
         Ok(Ok(response)) => response,
         Ok(Err(reason)) => return (Outcome::NoResponse, false, reason.to_owned()),
         Err(_) => return (Outcome::NoResponse, false, "no answer in time".to_owned()),
@@ -265,24 +268,26 @@
     }
 }
 
-/// How a request went without an answer.
-enum Unanswered {
-    /// The node was gone, or closed the connection as the request came: another may be asked.
-    NotTaken,
-    /// The request was taken, and this came of it.
+/// Why a request got no response.
+enum RequestFailure {
+    /// The node was gone or closed the connection as the request arrived; another node may be tried.
+    NotAccepted,
+    /// The node accepted the request, but the response failed for this reason.
     Failed(&'static str),
 }
 
-/// A status, the outcome that the node tells, and the body.
+/// The status, the outcome that the node reports, and the body.
 type Response = (StatusCode, Option<String>, BytesMut);
 
-/// A connection that ends without an answer so soon after its request may have been closed as that came.
-const CROSSING: Duration = Duration::from_millis(500);
-/// How many nodes a request is offered to that do not take it.
-const OFFERS_MOST: u32 = 40;
-const OFFER_PAUSE: Duration = Duration::from_millis(20);
+/// A connection that ends without a response within this time after its request may have been closed by the node
+/// before the request arrived.
+const CLOSE_RACE_SPAN: Duration = Duration::from_millis(500);
+/// Number of attempts for a request that nodes do not accept.
+const ATTEMPT_LIMIT: u32 = 40;
+const ATTEMPT_PAUSE: Duration = Duration::from_millis(20);
 
-async fn request_from_some_node(
+/// Sends a request to the first node and, if connections are kept, to others until one accepts it.
+async fn request_any_node(
     shared: &Rc<Shared>,
     target: &Target,
     first_node: SocketAddr,
@@ -291,47 +296,49 @@
     rng: &mut Rng,
 ) -> Result<Response, &'static str> {
     let mut node = first_node;
-    for _ in 0..OFFERS_MOST {
+    for _ in 0..ATTEMPT_LIMIT {
         match read_response(shared, target, node, call, behaviour).await {
             Ok(response) => return Ok(response),
-            Err(Unanswered::Failed(reason)) => return Err(reason),
-            Err(Unanswered::NotTaken) if !shared.settings.keeps_connections => return Err("no connection"),
-            Err(Unanswered::NotTaken) => {}
+            Err(RequestFailure::Failed(reason)) => return Err(reason),
+            Err(RequestFailure::NotAccepted) if !shared.settings.keeps_connections => {
+                return Err("no connection");
+            }
+            Err(RequestFailure::NotAccepted) => {}
         }
         shared.report.borrow_mut().not_taken += 1;
-        tokio::time::sleep(OFFER_PAUSE).await;
+        tokio::time::sleep(ATTEMPT_PAUSE).await;
         node = shared.random_node(rng).unwrap_or(node);
     }
     Err("no node takes it")
 }
 
-/// One call, read by the codec itself: a chunked body that ends without its last chunk is seen to be cut,
-/// which higher clients pass over in silence.
+/// Sends one request and reads the response with the codec itself, which detects a chunked body without its last
+/// chunk; higher-level clients ignore this silently.
 async fn read_response(
     shared: &Shared,
     target: &Target,
     node: SocketAddr,
     call: &str,
     behaviour: &str,
-) -> Result<Response, Unanswered> {
-    let failed = Unanswered::Failed;
-    let keeps = shared.settings.keeps_connections;
+) -> Result<Response, RequestFailure> {
+    let failed = RequestFailure::Failed;
+    let keeps_connection = shared.settings.keeps_connections;
     let mut framed = match shared.kept.check_out(node) {
         Some(kept) => kept,
-        None => connected(node).await?,
+        None => connect(node).await?,
     };
-    let head = request_head(target, node, call, behaviour, keeps).map_err(failed)?;
+    let head = request_head(target, node, call, behaviour, keeps_connection).map_err(failed)?;
     let length = shared.settings.body_length;
     let begin = Message::Item((RequestHeadType::from(head), BodySize::Sized(length as u64)));
-    framed.send(begin).await.map_err(|_| Unanswered::NotTaken)?;
+    framed.send(begin).await.map_err(|_| RequestFailure::NotAccepted)?;
     if length > 0 {
         let body = vec![b'b'; length].into();
-        framed.send(Message::Chunk(Some(body))).await.map_err(|_| Unanswered::NotTaken)?;
+        framed.send(Message::Chunk(Some(body))).await.map_err(|_| RequestFailure::NotAccepted)?;
     }
     let sent_at = Instant::now();
-    let ended = |reason| match keeps && sent_at.elapsed() < CROSSING {
-        true => Unanswered::NotTaken,
-        false => Unanswered::Failed(reason),
+    let ended = |reason| match keeps_connection && sent_at.elapsed() < CLOSE_RACE_SPAN {
+        true => RequestFailure::NotAccepted,
+        false => RequestFailure::Failed(reason),
     };
     let response = match framed.next().await {
         Some(Ok(response)) => response,
@@ -341,7 +348,7 @@
     let status = response.status;
     let reported =
         response.headers.get(OUTCOME_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    let may_be_kept = keeps && response.connection_type() == ConnectionType::KeepAlive;
+    let may_be_kept = keeps_connection && response.connection_type() == ConnectionType::KeepAlive;
     let mut body = BytesMut::new();
     if framed.codec_ref().message_type() != MessageType::None {
         let mut payload = framed.into_map_codec(ClientCodec::into_payload_codec);
@@ -361,8 +368,8 @@
     Ok((status, reported, body))
 }
 
-async fn connected(node: SocketAddr) -> Result<NodeConnection, Unanswered> {
-    let stream = TcpStream::connect(node).await.map_err(|_| Unanswered::NotTaken)?;
+async fn connect(node: SocketAddr) -> Result<NodeConnection, RequestFailure> {
+    let stream = TcpStream::connect(node).await.map_err(|_| RequestFailure::NotAccepted)?;
     let _ = stream.set_nodelay(true);
     Ok(Framed::new(stream, ClientCodec::default()))
 }
@@ -372,12 +379,16 @@
     node: SocketAddr,
     call: &str,
     behaviour: &str,
-    keeps: bool,
+    keeps_connection: bool,
 ) -> Result<RequestHead, &'static str> {
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = target.path.parse().map_err(|_| "no path")?;
-    head.set_connection_type(if keeps { ConnectionType::KeepAlive } else { ConnectionType::Close });
+    head.set_connection_type(if keeps_connection {
+        ConnectionType::KeepAlive
+    } else {
+        ConnectionType::Close
+    });
     for (name, value) in
         [("host", node.to_string().as_str()), (CALL_HEADER, call), (BEHAVE_HEADER, behaviour)]
     {
--- a/packages/test_doubles/src/load_generator/kept_connections.rs
+++ b/packages/test_doubles/src/load_generator/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes that callers use again, until the node closes them.
+//! Pool of connections to nodes that clients reuse until the node closes them.
 
 use actix_codec::Framed;
 use actix_http::h1::ClientCodec;
@@ -16,13 +16,13 @@
 pub(super) struct KeptConnections(RefCell<HashMap<SocketAddr, Vec<NodeConnection>>>);
 
 impl KeptConnections {
-    /// The connection to this node that was idle longest, of those that it has not closed.
+    /// Takes the connection to this node that was idle longest among those that the node has not closed.
     pub(super) fn check_out(&self, node: SocketAddr) -> Option<NodeConnection> {
         let mut idle = self.0.borrow_mut();
         let connections = idle.get_mut(&node)?;
         while !connections.is_empty() {
             let mut connection = connections.remove(0);
-            // Nothing is to come on an idle connection but its end.
+            // An idle connection receives nothing but its end.
             if connection.next().now_or_never().is_none() {
                 return Some(connection);
             }
@@ -30,6 +30,7 @@
         None
     }
 
+    /// Returns an idle connection to the pool.
     pub(super) fn put_back(&self, node: SocketAddr, connection: NodeConnection) {
         self.0.borrow_mut().entry(node).or_default().push(connection);
     }
