--- a/packages/traffic_replay/src/main.rs
+++ b/packages/traffic_replay/src/main.rs
@@ -1,4 +1,4 @@
-//! Replays a recorded day against a fleet at a chosen speed and compares outcomes with the record.
+//! Replays recorded calls against a fleet at a given speed and compares the outcomes with the record.
 
 use awc::http::Method;
 use awc::{Client, Connector};
@@ -53,39 +53,43 @@
     if report.bad_lines == 0 && report.differing() == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// What came of a day, lane by lane.
+/// The results of a replay.
 #[derive(Debug, Default)]
 struct ReplayReport {
     replayed: u64,
     bad_lines: u64,
     /// The first bad lines: number and reason.
     reported_bad_lines: Vec<(u64, String)>,
-    /// Lane, recorded outcome, outcome now: how often.
+    /// Number of calls by route, recorded outcome and replayed outcome.
     outcomes: BTreeMap<(String, String, String), u64>,
+    /// Microseconds, of recorded calls that ran.
     recorded_latency: Vec<u64>,
+    /// Microseconds, of replayed calls that ran.
     latency: Vec<u64>,
-    /// The furthest a call was sent behind its time.
-    latest_micros: u64,
+    /// The largest delay of a call behind its due time.
+    largest_delay_micros: u64,
 }
 
 impl ReplayReport {
-    fn bad_line(&mut self, number: u64, reason: String) {
+    fn add_bad_line(&mut self, number: u64, reason: String) {
         self.bad_lines += 1;
         if self.reported_bad_lines.len() < REPORTED_BAD_LINES_LIMIT {
             self.reported_bad_lines.push((number, reason));
         }
     }
 
+    /// Number of calls whose outcome differs from the recorded one.
     fn differing(&self) -> u64 {
         self.outcomes.iter().filter(|((_, recorded, now), _)| recorded != now).map(|(_, count)| count).sum()
     }
 
+    /// The report as it is printed.
     fn page(&self) -> Value {
-        let quantile = |values: &[u64], part: f64| {
+        let quantile = |values: &[u64], fraction: f64| {
             let mut sorted_values = values.to_vec();
             sorted_values.sort_unstable();
-            let place = ((sorted_values.len() as f64 - 1.0) * part).max(0.0) as usize;
-            sorted_values.get(place).copied().unwrap_or(0) / 1_000
+            let index = ((sorted_values.len() as f64 - 1.0) * fraction).max(0.0) as usize;
+            sorted_values.get(index).copied().unwrap_or(0) / 1_000
         };
         let latencies =
             |values: &[u64]| json!({"median": quantile(values, 0.5), "p99": quantile(values, 0.99)});
@@ -109,12 +113,12 @@
             "outcomes": outcomes,
             "recorded_latency_ms": latencies(&self.recorded_latency),
             "latency_ms": latencies(&self.latency),
-            "sent_behind_time_ms": self.latest_micros / 1_000,
+            "sent_behind_time_ms": self.largest_delay_micros / 1_000,
         })
     }
 }
 
-/// Reads one line's record; the reason names what is wrong.
+/// Parses and validates one recorded call; the error says what is wrong.
 fn read_record(line: &[u8]) -> Result<RecordedCall, String> {
     if line.len() > LINE_LIMIT {
         return Err(format!("longer than {LINE_LIMIT} bytes"));
@@ -159,7 +163,7 @@
             Ok(0) => break,
             Ok(_) => line_number += 1,
             Err(failure) => {
-                report.borrow_mut().bad_line(line_number + 1, failure.to_string());
+                report.borrow_mut().add_bad_line(line_number + 1, failure.to_string());
                 break;
             }
         }
@@ -169,12 +173,12 @@
         let call = match read_record(&line) {
             Ok(call) => call,
             Err(reason) => {
-                report.borrow_mut().bad_line(line_number, reason);
+                report.borrow_mut().add_bad_line(line_number, reason);
                 continue;
             }
         };
-        let began = *first_at.get_or_insert(call.at_micros);
-        let due_at = Micros((call.at_micros.saturating_sub(began) as f64 / speed) as u64);
+        let first_at_micros = *first_at.get_or_insert(call.at_micros);
+        let due_at = Micros((call.at_micros.saturating_sub(first_at_micros) as f64 / speed) as u64);
         let pause = due_at - clock.now();
         if pause > Micros(0) {
             tokio::time::sleep(pause.duration()).await;
@@ -183,12 +187,12 @@
             calls.join_next().await;
         }
         while calls.try_join_next().is_some() {}
-        let behind = (clock.now() - due_at).0;
+        let delay = (clock.now() - due_at).0;
         let node = nodes[(line_number as usize) % nodes.len()];
         {
             let mut shared = report.borrow_mut();
             shared.replayed += 1;
-            shared.latest_micros = shared.latest_micros.max(behind);
+            shared.largest_delay_micros = shared.largest_delay_micros.max(delay);
         }
         calls.spawn_local(send(client.clone(), node, call, report.clone(), clock));
     }
--- a/packages/traffic_replay/src/tests.rs
+++ b/packages/traffic_replay/src/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// One seed makes arbtest run a single case: each case has its own, so that all are the same each time.
-const FOREIGN_CASES: u64 = 2_000;
+/// Number of random cases. With a seed arbtest runs a single case, so each case gets its own seed and all are
+/// reproducible.
+const RANDOM_CASES: u64 = 2_000;
 
 #[test]
-fn bad_records_are_named_by_line_and_counted() {
+fn bad_records_are_reported_by_line_and_counted() {
     let sound = r#"{"at_micros":1,"lane":"a","method":"POST","path":"/a","size":1,"status":200,"outcome":"ran","latency_micros":5}"#;
     let day =
         format!("{}\nnot json\n\n{}\n", sound.replace("\"ran\"", "\"maybe\""), sound.replace("/a", "a"));
@@ -17,8 +18,8 @@
 }
 
 #[test]
-fn no_line_makes_the_reader_panic() {
-    for number in 0..FOREIGN_CASES {
+fn random_lines_cause_no_panic() {
+    for number in 0..RANDOM_CASES {
         arbtest::arbtest(|source| {
             let line: Vec<u8> = source.arbitrary()?;
             let _ = read_record(&line);
