--- a/packages/control_model/src/limits.rs
+++ b/packages/control_model/src/limits.rs
@@ -2,7 +2,8 @@
 
 use crate::PlantedFault;
 
-/// An operation of a client. Each operation of a [`Limits`] begins at most once, at any machine that may own keys. Example: `Operation::Write { key: "a", value: 1 }`.
+/// An operation of a client. Each operation of a [`Limits`] begins at most once, at any machine that may own keys.
+/// Example: `Operation::Write { key: "a", value: 1 }`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
     /// A conditional write on top of the version that the machine knows.
@@ -49,7 +50,8 @@
 }
 
 impl Limits {
-    /// Three disks in the bootstrap set, and no fault, operation or change. Example: `Limits { crashes: 1, ..Limits::three_disks() }`.
+    /// Three disks in the bootstrap set, and no fault, operation or change.
+    /// Example: `Limits { crashes: 1, ..Limits::three_disks() }`.
     pub fn three_disks() -> Limits {
         Limits {
             machines: 3,
--- a/packages/history_checker/src/fences.rs
+++ b/packages/history_checker/src/fences.rs
@@ -26,7 +26,8 @@
 const REFUSED_IN_A_ROW_LIMIT: usize = 4;
 
 /// A fence belongs to one holder; no operation is accepted under a lower fence than an earlier one; a refused
-/// holder stops soon; and within a lease no holder acts again after another did. Example: `check_fences(&lines, &settings, &mut violations)`.
+/// holder stops soon; and within a lease no holder acts again after another did.
+/// Example: `check_fences(&lines, &settings, &mut violations)`.
 pub(crate) fn check_fences(lines: &[Line], settings: &CheckSettings, violations: &mut Vec<Violation>) {
     let mut functions: BTreeMap<&str, PlatformOperations> = BTreeMap::new();
     for line in lines {
