--- a/packages/call_traces/src/lib.rs
+++ b/packages/call_traces/src/lib.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct TraceWriter {
     file: LineFile,
-    sample: f64,
+    sample_ratio: f64,
     zone: String,
 }
 
@@ -63,16 +63,16 @@
 }
 
 impl TraceWriter {
-    /// Appends to a file up to a maximum size in bytes; `sample` is the share of calls traced.
+    /// Appends to a file up to a maximum size in bytes; `sample_ratio` is the share of calls traced.
     /// Example: `TraceWriter::start(path, 1 << 30, 0.01, "zone-a")`.
-    pub fn start(path: &Path, max_bytes: u64, sample: f64, zone: &str) -> std::io::Result<TraceWriter> {
-        Ok(TraceWriter { file: LineFile::start(path, max_bytes)?, sample, zone: zone.to_owned() })
+    pub fn start(path: &Path, max_bytes: u64, sample_ratio: f64, zone: &str) -> std::io::Result<TraceWriter> {
+        Ok(TraceWriter { file: LineFile::start(path, max_bytes)?, sample_ratio, zone: zone.to_owned() })
     }
 
     /// Begins a trace if the call is sampled, under the client's `traceparent` if there is one.
     /// Example: `let trace = writer.begin(Some(header));`.
     pub fn begin(&self, parent_header: Option<&str>) -> Option<CallTrace> {
-        if fastrand::f64() >= self.sample {
+        if fastrand::f64() >= self.sample_ratio {
             return None;
         }
         let parent = parent_header.and_then(parse_parent);
--- a/packages/call_traces/src/line_file.rs
+++ b/packages/call_traces/src/line_file.rs
@@ -56,7 +56,9 @@
                 line.push(b'\n');
                 if is_full || line.len() as u64 > bytes_left || writer.write_all(&line).is_err() {
                     if !is_full {
-                        log::warn!("a line file is full or its disk fails: nothing more is written to it");
+                        log::warn!(
+                            "trace or recording file is full or cannot be written; dropping further lines"
+                        );
                     }
                     is_full = true;
                     dropped.fetch_add(1, Ordering::Relaxed);
--- a/packages/configuration_schema/src/changes.rs
+++ b/packages/configuration_schema/src/changes.rs
@@ -190,8 +190,8 @@
         serde_json::from_slice(stored_bytes).ok()
     }
 
-    /// The checked document. Example: `stored.checked().unwrap().routes.len()`.
-    pub fn checked(&self) -> Result<Configuration, Vec<Reason>> {
+    /// Checks the document. Example: `stored.validate().unwrap().routes.len()`.
+    pub fn validate(&self) -> Result<Configuration, Vec<Reason>> {
         check(&self.document)
     }
 
--- a/packages/configuration_schema/src/changes/tests.rs
+++ b/packages/configuration_schema/src/changes/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(stored, before_refused_changes);
     let partial = change("e", None, None, Some(json!({ "lanes": { "proofs": { "repeatable": true } } })));
     assert_eq!(stored.apply(&partial), ChangeOutcome::Accepted { generation: 2, repeated: false });
-    assert!(stored.checked().expect("a checked document").routes["proofs"].repeatable);
+    assert!(stored.validate().expect("a checked document").routes["proofs"].repeatable);
     assert_eq!(StoredConfiguration::decode(&stored.encode()), Some(stored));
 }
 
@@ -100,7 +100,7 @@
     replace["lanes"]["proofs"]["split"][0]["weight"] = json!(2);
     let split = Change { change_id: "f".to_owned(), items: Some(replace), ..Change::default() };
     assert!(matches!(stored.apply(&split), ChangeOutcome::Accepted { generation: 3, .. }));
-    let route = &stored.checked().expect("checked").routes["proofs"];
+    let route = &stored.validate().expect("checked").routes["proofs"];
     assert_eq!((route.target_millis, route.shares()), (None, vec![("proof", 2.0)]));
     assert_eq!(stored.version, 9, "a change without a version keeps the current one");
 }
--- a/packages/control_model/src/fleet.rs
+++ b/packages/control_model/src/fleet.rs
@@ -428,7 +428,7 @@
             Message::Stored { disk, entries } => own.owner.stored(*disk, entries.clone(), now),
             Message::KeysResponse { fleet_set, disk, keys } => {
                 if let Some(copy) = &mut own.copy {
-                    copy.listed(*disk, *fleet_set, keys.0.iter().map(|key| key.0.clone()));
+                    copy.record_list(*disk, *fleet_set, keys.0.iter().map(|key| key.0.clone()));
                 }
             }
             Message::Gossip { items } => {
@@ -622,7 +622,7 @@
         if let (Purpose::Copy { generation }, Some(copy)) = (&request.purpose, &mut own.copy)
             && copy.generation() == *generation
         {
-            copy.answered(&request.key, outcome.outcome == WRITTEN);
+            copy.record_read(&request.key, outcome.outcome == WRITTEN);
         }
         if outcome.outcome == WRITTEN {
             let acknowledged = Acknowledged {
--- a/packages/control_registers/src/key_owner.rs
+++ b/packages/control_registers/src/key_owner.rs
@@ -282,7 +282,7 @@
                     version: *version,
                     value: value.clone(),
                 }),
-                false => response.renewed.push(RenewedRecord { place: index as u16, version: *version }),
+                false => response.renewed.push(RenewedRecord { index: index as u16, version: *version }),
             }
         }
         Some(response)
--- a/packages/control_registers/src/set_copy.rs
+++ b/packages/control_registers/src/set_copy.rs
@@ -8,7 +8,7 @@
 /// The copying that must be complete before the successor of a joint set is written: every key that a quorum
 /// of the disks knows is stored again under the joint set, and so on majorities of both sets.
 ///
-/// Example: `SetCopy::new(joint_set)`, then `due_lists`, `listed`, `due_keys` and `answered` until
+/// Example: `SetCopy::new(joint_set)`, then `due_lists`, `record_list`, `due_keys` and `record_read` until
 /// `is_done`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SetCopy {
@@ -50,8 +50,8 @@
     }
 
     /// Adds the keys that a disk listed for a sender under this joint set
-    /// ([`crate::DiskRegisters::list_keys`]). Example: `copy.listed(disk, digest, keys)`.
-    pub fn listed(&mut self, disk: u64, sender_set: u64, keys: impl IntoIterator<Item = String>) {
+    /// ([`crate::DiskRegisters::list_keys`]). Example: `copy.record_list(disk, digest, keys)`.
+    pub fn record_list(&mut self, disk: u64, sender_set: u64, keys: impl IntoIterator<Item = String>) {
         if sender_set != self.joint_set.digest() {
             return;
         }
@@ -71,8 +71,8 @@
     }
 
     /// Records the outcome of a key's read: a key that was not stored again is due again.
-    /// Example: `copy.answered("configuration", true)`.
-    pub fn answered(&mut self, key: &str, is_copied: bool) {
+    /// Example: `copy.record_read("configuration", true)`.
+    pub fn record_read(&mut self, key: &str, is_copied: bool) {
         self.requested.remove(key);
         if is_copied {
             self.copied.insert(key.to_owned());
--- a/packages/control_registers/src/tests.rs
+++ b/packages/control_registers/src/tests.rs
@@ -263,7 +263,7 @@
     settle(&mut owner, &mut disks, Micros(0));
     let renewed = owner.poll(keys_digest, claimed.change, &[], |_| true, Micros(0)).expect("known keys");
     assert!(renewed.records.is_empty());
-    assert_eq!(renewed.renewed, [peer_messages::RenewedRecord { place: 0, version: 2 }]);
+    assert_eq!(renewed.renewed, [peer_messages::RenewedRecord { index: 0, version: 2 }]);
     // A requester that missed the response with the claim gets the whole record despite the renewal.
     let late = owner.poll(keys_digest, first.change, &[], |_| true, Micros(0)).expect("known keys");
     assert_eq!(late.records.iter().map(|record| record.version).collect::<Vec<_>>(), [2]);
@@ -491,16 +491,16 @@
     assert!(copy.due_lists(Micros(0)).is_empty(), "requested a moment ago");
     for disk in [1, 9] {
         let keys = disks[&disk].list_keys(chosen_joint.digest()).expect("it knows the joint set");
-        copy.listed(disk, chosen_joint.digest(), keys);
+        copy.record_list(disk, chosen_joint.digest(), keys);
     }
     assert!(!copy.is_done(), "one disk is not a majority of the previous set");
     let keys = disks[&2].list_keys(chosen_joint.digest()).expect("it knows the joint set");
-    copy.listed(2, chosen_joint.digest(), keys);
+    copy.record_list(2, chosen_joint.digest(), keys);
     assert_eq!(copy.due_keys(256), ["steward/a"]);
     assert!(!copy.is_done() && copy.due_keys(256).is_empty());
-    copy.answered("steward/a", false);
+    copy.record_read("steward/a", false);
     assert_eq!(copy.due_keys(256), ["steward/a"], "a copy that failed is due again");
-    copy.answered("steward/a", true);
+    copy.record_read("steward/a", true);
     assert!(copy.is_done());
 }
 
--- a/packages/fleet_simulator/benches/configuration_change.rs
+++ b/packages/fleet_simulator/benches/configuration_change.rs
@@ -94,7 +94,7 @@
     let encoded_delta = Bytes(generations.delta.encode());
     owner.publish_changed(TOPIC, OWNER, 2, body(&generations.new_stored), encoded_delta);
     let known = peer_messages::List(vec![peer_messages::GossipVersion { topic: TOPIC.into(), sequence: 1 }]);
-    let (_, sends) = owner.received(READER, Message::GossipRequest { known });
+    let (_, sends) = owner.handle_message(READER, Message::GossipRequest { known });
     let message = sends.into_iter().map(|(_, message)| message).next().expect("a response with the change");
     let mut reader = Gossip::new(8);
     reader.publish(TOPIC, OWNER, 1, body(&generations.old_stored));
@@ -146,7 +146,7 @@
             bencher.iter_batched(
                 || (message.clone(), announced_change(&generations).1),
                 |(message, mut reader)| {
-                    let (newer, _) = reader.received(OWNER, message);
+                    let (newer, _) = reader.handle_message(OWNER, message);
                     assert_eq!(newer, [TOPIC]);
                     reader
                 },
--- a/packages/fleet_simulator/src/acknowledgement_scenarios.rs
+++ b/packages/fleet_simulator/src/acknowledgement_scenarios.rs
@@ -79,7 +79,7 @@
         let requested = rng.usize(..10);
         let name = format!("around-{version}");
         let mut plan = OrderPlan::new(name.clone(), requested, Some(version), version + 1);
-        plan.wanted_for = Micros::from_secs(40);
+        plan.abandon_after = Micros::from_secs(40);
         trial.simulation.send_order(plan);
         trial.simulation.run_for(0.005 + rng.f64() * rng.f64() * 0.395);
         let victim = match rng.u8(..3) {
--- a/packages/fleet_simulator/src/catch_up_scenarios.rs
+++ b/packages/fleet_simulator/src/catch_up_scenarios.rs
@@ -68,7 +68,7 @@
             for name in &names {
                 version += 1;
                 let mut plan = OrderPlan::new(name.clone(), 3 + (version % 3) as usize, None, version);
-                plan.wanted_for = Micros::from_secs(30);
+                plan.abandon_after = Micros::from_secs(30);
                 if version == CHANGES / 2 {
                     plan.routes = routes(&function);
                 }
--- a/packages/fleet_simulator/src/control_scenarios.rs
+++ b/packages/fleet_simulator/src/control_scenarios.rs
@@ -166,7 +166,7 @@
             let node = rng.choice(side.iter().copied()).unwrap_or(victim);
             let name = format!("cut-{version}-{contender}");
             let mut plan = OrderPlan::new(name.clone(), node, Some(version), version + 1);
-            plan.wanted_for = Micros::from_secs(40);
+            plan.abandon_after = Micros::from_secs(40);
             plan.repeat = if rng.bool() { Repeat::SameNode } else { Repeat::OtherNode };
             trial.simulation.send_order(plan);
             names.push(name);
@@ -265,8 +265,8 @@
         for name in &names {
             let mut plan = OrderPlan::new(name.clone(), victim, Some(version), version + 1);
             plan.repeat = Repeat::SameNode;
-            plan.silence = Micros::from_millis(50 + rng.u64(..300));
-            plan.wanted_for = Micros::from_secs(40);
+            plan.response_timeout = Micros::from_millis(50 + rng.u64(..300));
+            plan.abandon_after = Micros::from_secs(40);
             self.simulation.send_order(plan);
         }
         names
@@ -327,8 +327,8 @@
     for (number, name) in names.iter().enumerate() {
         let mut plan = OrderPlan::new(name.clone(), victim, None, number as u64 + 1);
         plan.repeat = Repeat::SameNode;
-        plan.silence = Micros::from_secs(3);
-        plan.wanted_for = Micros::from_secs(4);
+        plan.response_timeout = Micros::from_secs(3);
+        plan.abandon_after = Micros::from_secs(4);
         trial.simulation.send_order(plan);
     }
     trial.simulation.run_for(4.0);
--- a/packages/fleet_simulator/src/operator_clients.rs
+++ b/packages/fleet_simulator/src/operator_clients.rs
@@ -81,7 +81,7 @@
         let version = self.known_version + 1;
         let node = self.node(simulation, rng);
         let mut plan = OrderPlan::new(order.clone(), node, Some(self.known_version), version);
-        plan.wanted_for = monotonic_clock::Micros::from_secs(60);
+        plan.abandon_after = monotonic_clock::Micros::from_secs(60);
         if self.only_node.is_some() {
             plan.repeat = Repeat::SameNode;
         }
--- a/packages/fleet_simulator/src/order_scenarios.rs
+++ b/packages/fleet_simulator/src/order_scenarios.rs
@@ -68,7 +68,7 @@
         let names = [format!("race-{version}-a"), format!("race-{version}-b")];
         for name in &names {
             let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), Some(version), version + 1);
-            plan.wanted_for = Micros::from_secs(40);
+            plan.abandon_after = Micros::from_secs(40);
             trial.simulation.send_order(plan);
             trial.simulation.run_for(rng.f64() * 0.004);
         }
@@ -115,9 +115,9 @@
         let interruption = kinds[(seed as usize + version as usize) % kinds.len()];
         let name = format!("lost-{version}");
         let mut plan = OrderPlan::new(name.clone(), rng.usize(..10), Some(version), version + 1);
-        plan.wanted_for = Micros::from_secs(60);
+        plan.abandon_after = Micros::from_secs(60);
         if interruption == Interruption::SentAtOnce {
-            plan.silence = Micros::from_millis(1 + rng.u64(..12));
+            plan.response_timeout = Micros::from_millis(1 + rng.u64(..12));
         }
         trial.simulation.send_order(plan);
         trial.simulation.run_for(0.001 + rng.f64() * 0.03);
--- a/packages/fleet_simulator/src/sim_operators.rs
+++ b/packages/fleet_simulator/src/sim_operators.rs
@@ -42,9 +42,9 @@
     /// Which node further attempts go to.
     pub repeat: Repeat,
     /// It is sent again after this long without a response.
-    pub silence: Micros,
+    pub response_timeout: Micros,
     /// It is abandoned after this long.
-    pub wanted_for: Micros,
+    pub abandon_after: Micros,
     /// Routes that it sets besides its own markers.
     pub routes: Value,
     /// Whether the order is valid; an invalid one has to be refused.
@@ -61,8 +61,8 @@
             expected_version,
             version,
             repeat: Repeat::OtherNode,
-            silence: Micros::from_secs(1),
-            wanted_for: Micros::from_secs(20),
+            response_timeout: Micros::from_secs(1),
+            abandon_after: Micros::from_secs(20),
             routes: json!({}),
             is_proper: true,
         }
@@ -136,7 +136,7 @@
         let order = plan.order.clone();
         let sim_order = SimOrder {
             change: self.change_of(&plan),
-            gives_up_at: self.now + plan.wanted_for.0,
+            gives_up_at: self.now + plan.abandon_after.0,
             attempt_count: 0,
             last_node: plan.node,
             settled: None,
@@ -253,7 +253,7 @@
         let attempt = sim_order.attempt_count;
         sim_order.attempt_count += 1;
         sim_order.last_node = node;
-        let silence = sim_order.plan.silence.0;
+        let response_timeout = sim_order.plan.response_timeout.0;
         let line = Line::OrderSent {
             at: self.now,
             order: order.to_owned(),
@@ -270,7 +270,7 @@
         let network_latency = self.network_latency();
         self.schedule_after(network_latency, SimulationEvent::Operator(OperatorEvent::Arrives { request }));
         self.schedule_after(
-            silence,
+            response_timeout,
             SimulationEvent::Operator(OperatorEvent::ResponseTimeout { order, attempt }),
         );
     }
--- a/packages/fleet_simulator/src/simulation/actions.rs
+++ b/packages/fleet_simulator/src/simulation/actions.rs
@@ -68,12 +68,12 @@
                 self.history(Line::GenerationHeld { at: self.now, node, incarnation, generation });
                 self.record_last_order(number, generation, &configuration);
             }
-            Action::ChangeAnswered { request, change_id, outcome } => {
+            Action::ChangeCompleted { request, change_id, outcome } => {
                 self.order_settled(request, &outcome);
                 self.record_outcome(change_id, &outcome);
             }
-            Action::DecisionsAnswered { .. } => {}
-            Action::ConfigurationAnswered { request, response } => {
+            Action::DecisionsRead { .. } => {}
+            Action::ConfigurationRead { request, response } => {
                 if let ConfigurationResponse::Stored(stored) = &response {
                     self.read_settled(request, Some(stored));
                 } else {
--- a/packages/fleet_simulator/src/simulation/operators.rs
+++ b/packages/fleet_simulator/src/simulation/operators.rs
@@ -95,7 +95,7 @@
                 let sent_at = self.links.sent(number, stored.len(), self.now);
                 self.schedule_after(sent_at - self.now, SimulationEvent::OperatorReadEnds { request });
             }
-            ConfigurationResponse::Elsewhere(target) => {
+            ConfigurationResponse::NewerOnPeer(target) => {
                 let next = self.nodes.iter().position(|node| node.address == target);
                 let Some(node) = next else { return };
                 let network_latency = self.network_latency() * 2;
--- a/packages/function_scheduler/src/fallback_scheduler.rs
+++ b/packages/function_scheduler/src/fallback_scheduler.rs
@@ -26,7 +26,7 @@
     /// The function to call.
     pub function: &'a str,
     /// Whether the call was dispatched before.
-    pub is_extra: bool,
+    pub is_retry: bool,
     /// The instance on which the last dispatch failed.
     pub avoid: &'a str,
     /// When the permit expires.
@@ -131,7 +131,7 @@
             })
             .filter(|(is_trial, count, _)| *count < if *is_trial { 1 } else { limit })
             .min_by_key(|(is_trial, count, instance)| (*is_trial, *count, instance.id.clone()))?;
-        if request.is_extra && !self.retries.spend(now) {
+        if request.is_retry && !self.retries.spend(now) {
             return None;
         }
         self.open.insert(request.permit_id, (picked_instance.id.clone(), request.ends_at));
@@ -146,8 +146,8 @@
     }
 
     /// Records that a permit was returned, with the outcome of its call.
-    /// Example: `fallback.returned(permit.id, RAN, now)`.
-    pub fn returned(&mut self, permit_id: u64, outcome: u8, now: Micros) {
+    /// Example: `fallback.handle_permit_return(permit.id, RAN, now)`.
+    pub fn handle_permit_return(&mut self, permit_id: u64, outcome: u8, now: Micros) {
         let Some((instance, _)) = self.open.remove(&permit_id) else { return };
         match outcome {
             RAN => {
--- a/packages/function_scheduler/src/instance_demand.rs
+++ b/packages/function_scheduler/src/instance_demand.rs
@@ -41,7 +41,7 @@
 /// late calls they avoid cost more than their memory. Without calls in progress, a function keeps its last
 /// instance only if a cold start for the next call would cost more than the memory held until then.
 ///
-/// Example: `demand.note(now, 3.0); demand.wanted(&shape, latency, now)`.
+/// Example: `demand.record_load(now, 3.0); demand.wanted(&shape, latency, now)`.
 #[derive(Debug)]
 pub struct InstanceDemand {
     created_at: Micros,
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Records a request for a call's first dispatch. Example: `demand.called(now)` for each request.
-    pub fn called(&mut self, now: Micros) {
+    /// Records a request for a call's first dispatch. Example: `demand.record_call(now)` for each request.
+    pub fn record_call(&mut self, now: Micros) {
         self.decay(now);
         self.rate += 1.0 / RATE_SECONDS;
         self.rate_fast += 1.0 / FAST_RATE_SECONDS;
@@ -148,8 +148,8 @@
         self.traffic_since = since;
     }
 
-    /// Records the number of slots in use now. Example: `demand.note(now, 3.0)` each 40 ms.
-    pub fn note(&mut self, now: Micros, calls: f64) {
+    /// Records the number of slots in use now. Example: `demand.record_load(now, 3.0)` each 40 ms.
+    pub fn record_load(&mut self, now: Micros, calls: f64) {
         let (fast, slow) =
             (self.smoothing_factor(now, FAST_LOAD_SECONDS), self.smoothing_factor(now, SLOW_LOAD_SECONDS));
         self.load_fast += (calls - self.load_fast) * fast;
@@ -184,8 +184,8 @@
 
     /// Keeps a count as wanted until a time. Used for instances that the previous leader kept for calls which
     /// this leader has not seen.
-    /// Example: `demand.hold(3, now + Micros::from_secs(3))`.
-    pub fn hold(&mut self, instances: u32, until: Micros) {
+    /// Example: `demand.retain_count(3, now + Micros::from_secs(3))`.
+    pub fn retain_count(&mut self, instances: u32, until: Micros) {
         self.kept_counts.retain(|(_, count)| *count > instances);
         self.kept_counts.push_back((until, instances));
     }
@@ -205,15 +205,15 @@
         // its memory costs that much.
         let hold_seconds = shape.costs.start / shape.memory_mb + seconds(shape.boot);
         if wanted > 0 {
-            self.hold(wanted, now + Micros((hold_seconds * 1e6) as u64));
+            self.retain_count(wanted, now + Micros((hold_seconds * 1e6) as u64));
         }
         wanted
     }
 
     /// Instances wanted now, or so recently that stopping them would not pay. The last instance is released
     /// as soon as the call rate no longer pays for it.
-    /// Example: `demand.kept(wanted, now)`.
-    pub fn kept(&mut self, wanted: u32, now: Micros) -> u32 {
+    /// Example: `demand.apply_retention(wanted, now)`.
+    pub fn apply_retention(&mut self, wanted: u32, now: Micros) -> u32 {
         while self.kept_counts.front().is_some_and(|(until, _)| now >= *until) {
             self.kept_counts.pop_front();
         }
--- a/packages/function_scheduler/src/instance_demand/tests.rs
+++ b/packages/function_scheduler/src/instance_demand/tests.rs
@@ -24,7 +24,7 @@
 
 fn kept(demand: &mut InstanceDemand, shape: &InstanceShape, now: Micros) -> u32 {
     let wanted = demand.wanted(shape, &[], LATENCY, now);
-    demand.kept(wanted, now)
+    demand.apply_retention(wanted, now)
 }
 
 /// Calls arrive evenly at a rate; the load is the rate times the latency.
@@ -36,9 +36,9 @@
         credit += rate * 0.02;
         while credit >= 1.0 {
             credit -= 1.0;
-            demand.called(now);
+            demand.record_call(now);
         }
-        demand.note(now, (rate * 0.07).round());
+        demand.record_load(now, (rate * 0.07).round());
         instances = kept(demand, shape, now);
     }
     instances
@@ -48,7 +48,7 @@
 fn a_jump_of_the_call_rate_is_seen_within_half_a_second() {
     let mut demand = InstanceDemand::new(Micros(0));
     for call in 0..150u64 {
-        demand.called(Micros(call * 1_000_000 / 300));
+        demand.record_call(Micros(call * 1_000_000 / 300));
     }
     let now = Micros::from_millis(500);
     assert!(demand.rate(now) < 100.0, "{}", demand.rate(now));
@@ -106,8 +106,8 @@
     assert!(after >= 2, "not released within a second");
     assert_eq!(run(&mut demand, 40.0, 21_000, 45_000, &strict_target()), 1);
     let mut once = InstanceDemand::new(Micros(0));
-    once.called(Micros(0));
-    once.note(Micros(0), 1.0);
+    once.record_call(Micros(0));
+    once.record_load(Micros(0), 1.0);
     assert_eq!(kept(&mut once, &relaxed_target(), Micros::from_millis(40)), 0);
     let mut often = InstanceDemand::new(Micros(0));
     assert_eq!(run(&mut often, 2.0, 0, 20_000, &relaxed_target()), 1);
@@ -117,8 +117,8 @@
 #[test]
 fn discovered_instances_are_kept_until_their_hold_ends() {
     let mut demand = InstanceDemand::new(Micros(0));
-    demand.called(Micros(0));
-    demand.hold(3, Micros::from_secs(3));
+    demand.record_call(Micros(0));
+    demand.retain_count(3, Micros::from_secs(3));
     assert_eq!(kept(&mut demand, &strict_target(), Micros::from_secs(2)), 3);
     assert!(kept(&mut demand, &strict_target(), Micros::from_secs(4)) < 3);
 }
--- a/packages/function_scheduler/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -139,8 +139,8 @@
 
     /// Records that the worker refused an instance of this size; for a while it is skipped for instances of
     /// that size or larger.
-    /// Example: `placement.refused("w3", 600, now)`.
-    pub fn refused(&mut self, worker_name: &str, memory_mb: u64, now: Micros) {
+    /// Example: `placement.record_refusal("w3", 600, now)`.
+    pub fn record_refusal(&mut self, worker_name: &str, memory_mb: u64, now: Micros) {
         self.full_until.insert(worker_name.to_owned(), (memory_mb, now + FULL_WORKER_BACKOFF));
     }
 }
--- a/packages/function_scheduler/src/placement/tests.rs
+++ b/packages/function_scheduler/src/placement/tests.rs
@@ -29,9 +29,9 @@
         placement.pick(600, "c", false, Zone::default(), RECENT_START_RETENTION),
         Some("w2".to_owned())
     );
-    placement.refused("w2", 600, RECENT_START_RETENTION);
+    placement.record_refusal("w2", 600, RECENT_START_RETENTION);
     let late = RECENT_START_RETENTION + RECENT_START_RETENTION;
-    placement.refused("w2", 600, late);
+    placement.record_refusal("w2", 600, late);
     assert_eq!(placement.pick(600, "d", false, Zone::default(), late), None);
     assert_eq!(
         placement.pick(600, "e", false, Zone::default(), late + FULL_WORKER_BACKOFF),
--- a/packages/function_scheduler/src/retry_budget.rs
+++ b/packages/function_scheduler/src/retry_budget.rs
@@ -80,12 +80,12 @@
     }
 
     /// Records that a call, first dispatched with a grant of that time, reached an instance.
-    pub(crate) fn call_arrived(&mut self, granted_at: Micros) {
+    pub(crate) fn record_call(&mut self, granted_at: Micros) {
         self.steps.entry(granted_at.0 / STEP.0).or_default().0 += 1;
     }
 
     /// Gives back a retry granted at that time that never reached an instance.
-    pub(crate) fn retry_not_arrived(&mut self, granted_at: Micros) {
+    pub(crate) fn refund_retry(&mut self, granted_at: Micros) {
         if let Some((_, retries)) = self.steps.get_mut(&(granted_at.0 / STEP.0)) {
             *retries = retries.saturating_sub(1);
         }
--- a/packages/function_scheduler/src/retry_budget/tests.rs
+++ b/packages/function_scheduler/src/retry_budget/tests.rs
@@ -42,14 +42,14 @@
             }
             confirmed_later.retain(|(granted_at, confirmed_at)| {
                 if *confirmed_at <= now {
-                    budget.call_arrived(*granted_at);
+                    budget.record_call(*granted_at);
                 }
                 *confirmed_at > now
             });
             for _ in 0..rng.usize(..20) {
                 if budget.spend(now) {
                     match rng.u8(..8) {
-                        0 => budget.retry_not_arrived(now),
+                        0 => budget.refund_retry(now),
                         _ => retries.push(now.0 + rng.u64(..1_000_000)),
                     }
                 }
@@ -73,7 +73,7 @@
     let late = spend_all(&mut budget, Micros::from_secs(130));
     assert_eq!(late, 20);
     for _ in 0..100 {
-        budget.call_arrived(Micros::from_secs(148));
+        budget.record_call(Micros::from_secs(148));
     }
     assert_eq!(spend_all(&mut budget, Micros::from_secs(150)), 20, "later calls do not raise the burst");
     assert_eq!(spend_all(&mut budget, Micros::from_secs(150)), 0);
--- a/packages/function_scheduler/src/scheduler.rs
+++ b/packages/function_scheduler/src/scheduler.rs
@@ -570,7 +570,7 @@
             return;
         }
         if !is_retry {
-            self.demand.called(now);
+            self.demand.record_call(now);
             self.called_at = now;
             self.zone_calls.record_call(zone, now);
         }
@@ -670,15 +670,15 @@
     fn count_arrival(&mut self, open_permit: &OpenPermit, outcome: u8) {
         let Some(granted_at) = open_permit.granted_at else { return };
         match outcome {
-            RAN | REFUSED_BUSY if open_permit.dispatches == 0 => self.retries.call_arrived(granted_at),
-            NOT_RUN | UNUSED if open_permit.dispatches > 0 => self.retries.retry_not_arrived(granted_at),
+            RAN | REFUSED_BUSY if open_permit.dispatches == 0 => self.retries.record_call(granted_at),
+            NOT_RUN | UNUSED if open_permit.dispatches > 0 => self.retries.refund_retry(granted_at),
             _ => {}
         }
     }
 
     /// Records permits that a node held when this leader took over.
-    /// Example: `scheduler.record_held_permit(9, vec![(permit, Micros::from_secs(2))], now)`.
-    pub fn record_held_permit(&mut self, node: NodeId, permits: Vec<(Permit, Micros)>, now: Micros) {
+    /// Example: `scheduler.record_held_permits(9, vec![(permit, Micros::from_secs(2))], now)`.
+    pub fn record_held_permits(&mut self, node: NodeId, permits: Vec<(Permit, Micros)>, now: Micros) {
         self.awaited_holders.retain(|awaited_holder| *awaited_holder != node);
         self.drop_returned(node, &permits);
         for (permit, ends_in) in permits {
@@ -705,8 +705,8 @@
     }
 
     /// Handles a returned permit and the outcome of its call.
-    /// Example: `scheduler.returned(&permit, RAN, latency, now)`.
-    pub fn returned(&mut self, permit: &Permit, outcome: u8, latency: Micros, now: Micros) {
+    /// Example: `scheduler.handle_permit_return(&permit, RAN, latency, now)`.
+    pub fn handle_permit_return(&mut self, permit: &Permit, outcome: u8, latency: Micros, now: Micros) {
         let Some(mut open_permit) = self.open.remove(&permit.id) else { return };
         self.forget_request(&open_permit, permit.id);
         self.count_arrival(&open_permit, outcome);
@@ -792,8 +792,8 @@
     }
 
     /// Updates the instances from the platform's list; `listed_at` is when the list was requested.
-    /// Example: `scheduler.listed(&instances, &known_ready, requested_at, now)`.
-    pub fn listed(
+    /// Example: `scheduler.handle_list(&instances, &known_ready, requested_at, now)`.
+    pub fn handle_list(
         &mut self,
         listed_instances: &[ListedInstance],
         known_ready: &[String],
@@ -889,8 +889,9 @@
         }
     }
 
-    /// Handles the outcome of a start. Example: `scheduler.started("7-12-1", StartOutcome::NoRoom, now)`.
-    pub fn started(&mut self, start_id: &str, outcome: StartOutcome, now: Micros) {
+    /// Handles the outcome of a start.
+    /// Example: `scheduler.handle_start_outcome("7-12-1", StartOutcome::NoRoom, now)`.
+    pub fn handle_start_outcome(&mut self, start_id: &str, outcome: StartOutcome, now: Micros) {
         if self.starting.remove(start_id).is_none() {
             return;
         }
@@ -969,15 +970,15 @@
     /// Keeps a number of instances for a while, effective at once: memory is claimed before the next timer
     /// event.
     fn hold_instances(&mut self, instances: u32, now: Micros) {
-        self.demand.hold(instances, now + DISCOVERED_RETENTION);
-        self.cost_model_instances.1 = self.demand.kept(self.cost_model_instances.0, now);
+        self.demand.retain_count(instances, now + DISCOVERED_RETENTION);
+        self.cost_model_instances.1 = self.demand.apply_retention(self.cost_model_instances.0, now);
     }
 
     /// Updates how many instances to keep: from the peak of the last idle period if the configuration has
     /// one, otherwise from the cost model.
     fn update_kept_instances(&mut self, now: Micros) {
         let Some(idle) = self.settings.idle else {
-            self.demand.note(now, self.offered_load());
+            self.demand.record_load(now, self.offered_load());
             let shape = InstanceShape {
                 memory_mb: self.settings.memory_mb.max(1) as f64,
                 boot: self.settings.boot,
@@ -987,7 +988,7 @@
             };
             let zone_shares = self.zone_calls.largest_shares();
             let wanted = self.demand.wanted(&shape, &zone_shares, self.usual_latency, now);
-            self.cost_model_instances = (wanted, self.demand.kept(wanted, now));
+            self.cost_model_instances = (wanted, self.demand.apply_retention(wanted, now));
             return;
         };
         if now >= self.peak_rotated_at + Micros(idle.0 / 2) {
--- a/packages/function_scheduler/src/scheduler/handover.rs
+++ b/packages/function_scheduler/src/scheduler/handover.rs
@@ -32,7 +32,7 @@
 pub struct HandoverState {
     /// Whether `permits` holds all open permits; `false` while the leader itself still awaits the permits of
     /// others.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The open permits.
     pub permits: Vec<TransferredPermit>,
     /// The queued requests, in queue order.
@@ -65,7 +65,7 @@
             is_over: u8::from(open.is_over),
         });
         HandoverState {
-            is_whole: !self.is_half_limited(now),
+            is_complete: !self.is_half_limited(now),
             permits: permits.collect(),
             requests: requests.collect(),
             demand: TransferredDemand {
--- a/packages/function_scheduler/src/scheduler/handover/tests.rs
+++ b/packages/function_scheduler/src/scheduler/handover/tests.rs
@@ -47,10 +47,10 @@
     });
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000));
     let outcome = StartOutcome::Started { instance: "c1".to_owned(), address, worker: "w1".to_owned() };
-    scheduler.started(&start.expect("a start"), outcome, at(0));
+    scheduler.handle_start_outcome(&start.expect("a start"), outcome, at(0));
     scheduler.tick(at(1_000));
     let trial = granted(&mut scheduler).remove(0);
-    scheduler.returned(&trial.1, RAN, at(20), at(1_020));
+    scheduler.handle_permit_return(&trial.1, RAN, at(20), at(1_020));
     for request_id in 2..=5 {
         scheduler.request_with_details(
             REQUESTER,
@@ -78,7 +78,7 @@
         draining: false,
         started: true,
     };
-    scheduler.listed(&[instance], &["c1".to_owned()], at(1_100), at(1_100));
+    scheduler.handle_list(&[instance], &["c1".to_owned()], at(1_100), at(1_100));
     scheduler.accept_handover(handover.permits, at(1_100));
     scheduler.resume_demand(&handover.demand, at(1_100));
     scheduler
@@ -88,7 +88,7 @@
 fn open_permits_and_queued_requests_are_transferred_in_order() {
     let (mut scheduler, permits) = full_leader();
     let handover = scheduler.begin_handover(at(1_100));
-    assert!(handover.is_whole);
+    assert!(handover.is_complete);
     assert_eq!(handover.permits.len(), permits.len());
     assert_eq!(handover.requests.iter().map(|request| request.request_id).collect::<Vec<_>>(), [4, 5]);
     assert_eq!(handover.requests[0].time_left, at(3_930));
@@ -102,7 +102,7 @@
     assert_eq!(successor.awaited_holders(), [REQUESTER]);
     successor.request(10, 1, AMPLE_TIME, 0, "", at(1_110));
     assert!(granted(&mut successor).is_empty(), "both slots are in use");
-    successor.returned(&permits[0], RAN, at(80), at(1_120));
+    successor.handle_permit_return(&permits[0], RAN, at(80), at(1_120));
     assert_eq!(granted(&mut successor).len(), 1);
     successor.request(10, 2, AMPLE_TIME, 0, "", at(1_130));
     assert!(granted(&mut successor).is_empty(), "one slot was free, not two");
@@ -113,7 +113,7 @@
     let (mut scheduler, permits) = full_leader();
     let mut successor = successor_of(scheduler.begin_handover(at(1_100)));
     let still_held = vec![(permits[0].clone(), at(3_000))];
-    successor.record_held_permit(REQUESTER, still_held, at(1_120));
+    successor.record_held_permits(REQUESTER, still_held, at(1_120));
     assert_eq!(successor.open_count(), 1);
     successor.request(10, 1, AMPLE_TIME, 0, "", at(1_130));
     successor.request(10, 2, AMPLE_TIME, 0, "", at(1_130));
@@ -123,7 +123,7 @@
 #[test]
 fn a_leader_still_awaiting_permit_holders_transfers_an_incomplete_state() {
     let mut scheduler = FunctionScheduler::new("proof", OLD_LEADER, 12, settings(), vec![REQUESTER], at(0));
-    assert!(!scheduler.begin_handover(at(100)).is_whole);
+    assert!(!scheduler.begin_handover(at(100)).is_complete);
 }
 
 #[test]
--- a/packages/function_scheduler/src/scheduler/tests.rs
+++ b/packages/function_scheduler/src/scheduler/tests.rs
@@ -51,10 +51,10 @@
 fn with_running_instance(mut scheduler: FunctionScheduler) -> FunctionScheduler {
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros(0));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     scheduler.tick(Micros::from_millis(1_000));
     let trial = grants(&mut scheduler);
-    scheduler.returned(&trial[0].1, RAN, Micros::from_millis(20), Micros::from_millis(1_020));
+    scheduler.handle_permit_return(&trial[0].1, RAN, Micros::from_millis(20), Micros::from_millis(1_020));
     scheduler
 }
 
@@ -67,7 +67,7 @@
         scheduler.request(9, request_id, AMPLE_TIME, 0, "", Micros(0));
     }
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     scheduler.tick(Micros::from_millis(900));
     assert!(grants(&mut scheduler).is_empty(), "not before the learnt boot time");
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros::from_millis(950));
@@ -78,7 +78,7 @@
     // Repeating a request returns the same permit; nothing is granted twice.
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros::from_secs(1));
     assert_eq!(grants(&mut scheduler), trial);
-    scheduler.returned(&trial[0].1, RAN, Micros::from_millis(20), Micros::from_millis(1_100));
+    scheduler.handle_permit_return(&trial[0].1, RAN, Micros::from_millis(20), Micros::from_millis(1_100));
     assert_eq!(grants(&mut scheduler).len(), 1);
     for request_id in 3..=6 {
         scheduler.request(9, request_id, AMPLE_TIME, 0, "", Micros::from_millis(1_100));
@@ -98,7 +98,7 @@
     let mut scheduler = new_scheduler();
     scheduler.request(9, 1, Micros::from_millis(500), 0, "", Micros(0));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros::from_millis(1));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros::from_millis(1));
     scheduler.tick(Micros::from_millis(2));
     let refusals = scheduler.take_actions();
     assert!(
@@ -125,12 +125,12 @@
         draining: false,
         started: false,
     };
-    scheduler.listed(&[listed_instance], &[], Micros::from_secs(2), Micros::from_secs(2));
+    scheduler.handle_list(&[listed_instance], &[], Micros::from_secs(2), Micros::from_secs(2));
     for second in 3..=25 {
         scheduler.tick(Micros::from_secs(second));
     }
     assert!(scheduler.take_actions().contains(&SchedulerAction::Stop { instance: "c1".to_owned() }));
-    scheduler.listed(&[], &[], Micros::from_secs(26), Micros::from_secs(26));
+    scheduler.handle_list(&[], &[], Micros::from_secs(26), Micros::from_secs(26));
     assert_eq!(scheduler.instance_count(), 0);
 }
 
@@ -155,7 +155,7 @@
     let mut scheduler = new_scheduler();
     let discovered = [listed("c1"), listed("c2"), listed("c3")];
     let known = ["c1".to_owned(), "c2".to_owned(), "c3".to_owned()];
-    scheduler.listed(&discovered, &known, Micros(0), Micros(0));
+    scheduler.handle_list(&discovered, &known, Micros(0), Micros(0));
     for second in 0..9 {
         scheduler.tick(Micros::from_secs(second));
     }
@@ -178,7 +178,7 @@
             .iter()
             .any(|action| matches!(action, SchedulerAction::Defer { deferral: Deferral::Refused, .. }))
     );
-    new_leader.listed(&discovered, &known, Micros::from_millis(200), Micros::from_millis(200));
+    new_leader.handle_list(&discovered, &known, Micros::from_millis(200), Micros::from_millis(200));
     assert_eq!(grants(&mut new_leader).len(), 1);
 }
 
@@ -190,17 +190,17 @@
     let mut scheduler = new_scheduler();
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros(0));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     scheduler.tick(Micros::from_secs(1));
     let trial = grants(&mut scheduler);
-    scheduler.returned(&trial[0].1, RAN, Micros(1_000), Micros::from_millis(1_100));
+    scheduler.handle_permit_return(&trial[0].1, RAN, Micros(1_000), Micros::from_millis(1_100));
     // A second instance is started for a short load spike and then not needed.
     for request_id in 2..=4 {
         scheduler.request(9, request_id, AMPLE_TIME, 0, "", Micros::from_millis(1_200));
     }
     scheduler.tick(Micros::from_millis(1_500));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c0"), Micros::from_millis(1_500));
+    scheduler.handle_start_outcome(&start_id, started("c0"), Micros::from_millis(1_500));
     scheduler.set_allowed_instances(1);
     scheduler.tick(Micros::from_millis(1_600));
     let actions = scheduler.take_actions();
@@ -224,14 +224,14 @@
     scheduler.settings.max_instances = 1;
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros(0));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     scheduler.tick(ms(1_000));
     let trial = grants(&mut scheduler);
-    scheduler.returned(&trial[0].1, RAN, ms(50), ms(1_050));
+    scheduler.handle_permit_return(&trial[0].1, RAN, ms(50), ms(1_050));
     scheduler.request(9, 2, AMPLE_TIME, 0, "", ms(1_100));
     let second = grants(&mut scheduler);
     scheduler.request(9, 3, AMPLE_TIME, 0, "", ms(1_200));
-    scheduler.returned(&second[0].1, UNKNOWN, ms(200), ms(1_300));
+    scheduler.handle_permit_return(&second[0].1, UNKNOWN, ms(200), ms(1_300));
     scheduler.tick(ms(1_340));
     assert!(grants(&mut scheduler).is_empty(), "the instance may still run the call");
     scheduler.tick(ms(1_600));
@@ -245,14 +245,14 @@
         scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros(0));
         first_start(&mut scheduler)
     };
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     let mut granted = 0;
     for request_id in 2..=400u64 {
         let now = Micros::from_millis(1_000 + request_id);
         scheduler.request(9, request_id, AMPLE_TIME, 1, "", now);
         for (_, permit) in grants(&mut scheduler) {
             granted += 1;
-            scheduler.returned(&permit, REFUSED_BUSY, Micros(1), now);
+            scheduler.handle_permit_return(&permit, REFUSED_BUSY, Micros(1), now);
         }
         scheduler.withdraw(9, request_id);
     }
@@ -267,7 +267,7 @@
     let ms = Micros::from_millis;
     scheduler.request(9, 1, AMPLE_TIME, 0, "", Micros(0));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros(0));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros(0));
     scheduler.tick(ms(1_000));
     let trial = grants(&mut scheduler);
     for (request_id, late_at, rank) in [(2, 1_010, 0), (3, 9_000, 2), (4, 9_000, 1), (5, 9_000, 1)] {
@@ -275,12 +275,12 @@
         let details = RequestDetails { urgency, ..RequestDetails::default() };
         scheduler.request_with_details(9, request_id, AMPLE_TIME, 0, details, ms(1_005));
     }
-    scheduler.returned(&trial[0].1, RAN, ms(20), ms(1_020));
+    scheduler.handle_permit_return(&trial[0].1, RAN, ms(20), ms(1_020));
     let mut order = Vec::new();
     for step in 0..4 {
         for (request_id, permit) in grants(&mut scheduler) {
             order.push(request_id);
-            scheduler.returned(&permit, RAN, ms(20), ms(1_040 + step));
+            scheduler.handle_permit_return(&permit, RAN, ms(20), ms(1_040 + step));
         }
     }
     assert_eq!(order, [4, 5, 3, 2]);
@@ -300,7 +300,7 @@
     scheduler.request(9, 1, Micros::from_secs(4), 0, "", Micros(0));
     scheduler.tick(Micros(1));
     let start_id = first_start(&mut scheduler);
-    scheduler.started(&start_id, started("c1"), Micros::from_millis(5));
+    scheduler.handle_start_outcome(&start_id, started("c1"), Micros::from_millis(5));
     scheduler.evacuate_workers(|_| true, Micros::from_millis(300));
     assert!(scheduler.take_actions().is_empty());
     scheduler.evacuate_workers(|worker| worker != "w1", Micros::from_millis(500));
@@ -411,7 +411,7 @@
     let nested = Urgency { late_at: ms(1), rank: 9, tenant: 0, is_nested: true };
     let details = RequestDetails { urgency: nested, ..RequestDetails::default() };
     scheduler.request_with_details(9, 50, AMPLE_TIME, 0, details, ms(1_004));
-    scheduler.returned(&running[0], RAN, ms(30), ms(1_040));
+    scheduler.handle_permit_return(&running[0], RAN, ms(30), ms(1_040));
     assert_eq!(grants(&mut scheduler).iter().map(|(request_id, _)| *request_id).collect::<Vec<u64>>(), [50]);
 }
 
@@ -430,7 +430,7 @@
         draining: false,
         started: true,
     };
-    scheduler.listed(&[listed("c1", "w1"), listed("c2", "w2")], &[], Micros(0), Micros(0));
+    scheduler.handle_list(&[listed("c1", "w1"), listed("c2", "w2")], &[], Micros(0), Micros(0));
     scheduler
 }
 
@@ -479,7 +479,7 @@
         })
         .collect();
     for permit in open {
-        scheduler.returned(&permit, RAN, Micros::from_millis(20), Micros::from_millis(40));
+        scheduler.handle_permit_return(&permit, RAN, Micros::from_millis(20), Micros::from_millis(40));
     }
     scheduler.set_allowed_instances(1);
     scheduler.tick(Micros::from_millis(100));
@@ -506,7 +506,7 @@
         draining: false,
         started: true,
     };
-    scheduler.listed(&[listed("c1"), listed("c2"), listed("c3")], &[], Micros(0), Micros(0));
+    scheduler.handle_list(&[listed("c1"), listed("c2"), listed("c3")], &[], Micros(0), Micros(0));
     let ms = Micros::from_millis;
     scheduler.tick(ms(40));
     assert_eq!(scheduler.ready_instances().len(), 3, "there was no quota split yet");
@@ -534,7 +534,7 @@
         scheduler.request(9, 100 + number, AMPLE_TIME, 0, "", now);
         let granted = grants(&mut scheduler);
         assert_eq!(granted.len(), 1, "the instance is not suspected after {number} clients disconnected");
-        scheduler.returned(&granted[0].1, ABANDONED, ms(40), now + ms(40));
+        scheduler.handle_permit_return(&granted[0].1, ABANDONED, ms(40), now + ms(40));
         scheduler.tick(now + ms(50));
     }
     // One of two slots is still in use: the instance may be working for the client that disconnected last.
@@ -542,7 +542,7 @@
     scheduler.tick(now);
     scheduler.request(9, 500, AMPLE_TIME, 0, "", now);
     let left = grants(&mut scheduler);
-    scheduler.returned(&left[0].1, ABANDONED, ms(40), now);
+    scheduler.handle_permit_return(&left[0].1, ABANDONED, ms(40), now);
     for request_id in 501..=502 {
         scheduler.request(9, request_id, AMPLE_TIME, 0, "", now);
     }
@@ -569,7 +569,7 @@
         draining: false,
         started: true,
     };
-    scheduler.listed(&[instance(1), instance(2), instance(3), instance(4)], &[], Micros(0), Micros(0));
+    scheduler.handle_list(&[instance(1), instance(2), instance(3), instance(4)], &[], Micros(0), Micros(0));
     // If the memory split runs in between, instances that are not claimed are not allowed and are stopped.
     assert_eq!(scheduler.demanded_instances().total(), 4);
     scheduler.set_allowed_instances(scheduler.demanded_instances().total());
@@ -600,7 +600,7 @@
     let mut permit = permit;
     for step in 1..=count as u64 {
         let now = Micros::from_millis(1_040 + step * 20);
-        scheduler.returned(&permit, RAN, Micros::from_millis(20), now);
+        scheduler.handle_permit_return(&permit, RAN, Micros::from_millis(20), now);
         let Some((request_id, next)) = grants(scheduler).pop() else { break };
         order.push(request_id);
         permit = next;
@@ -651,7 +651,12 @@
         for small in 0..4u32 {
             request_as(&mut scheduler, 1_000 + step * 10 + u64::from(small), (10 + small, 0));
         }
-        scheduler.returned(&permit, RAN, Micros::from_millis(20), Micros::from_millis(1_041 + step));
+        scheduler.handle_permit_return(
+            &permit,
+            RAN,
+            Micros::from_millis(20),
+            Micros::from_millis(1_041 + step),
+        );
         let (request_id, next) = grants(&mut scheduler).pop().expect("a request is served");
         spike_count += usize::from(request_id < 1_000);
         permit = next;
@@ -751,7 +756,7 @@
             let details = RequestDetails { urgency, ..RequestDetails::default() };
             scheduler.request_with_details(9, request_id, Micros::from_millis(900), 0, details, now);
             if step % 2 == 1 {
-                scheduler.returned(&permit, RAN, Micros::from_millis(20), now);
+                scheduler.handle_permit_return(&permit, RAN, Micros::from_millis(20), now);
             }
             scheduler.tick(now);
             if let Some((request_id, next)) = grants(&mut scheduler).pop() {
--- a/packages/function_scheduler/src/start_rate.rs
+++ b/packages/function_scheduler/src/start_rate.rs
@@ -78,8 +78,8 @@
         true
     }
 
-    /// Backs off after a 429 response, twice as long each time. Example: `rate.throttled(now)`.
-    pub fn throttled(&mut self, now: Micros) {
+    /// Backs off after a 429 response, twice as long each time. Example: `rate.record_throttled(now)`.
+    pub fn record_throttled(&mut self, now: Micros) {
         if now < self.throttled_until {
             return;
         }
@@ -87,8 +87,8 @@
         self.backoff = Micros((self.backoff.0 * 2).min(MAX_BACKOFF.0));
     }
 
-    /// Resets the back-off after the platform accepted an operation. Example: `rate.accepted()`.
-    pub fn accepted(&mut self) {
+    /// Resets the back-off after the platform accepted an operation. Example: `rate.record_accepted()`.
+    pub fn record_accepted(&mut self) {
         self.backoff = FIRST_BACKOFF;
     }
 }
--- a/packages/function_scheduler/src/start_rate/tests.rs
+++ b/packages/function_scheduler/src/start_rate/tests.rs
@@ -9,12 +9,12 @@
     };
     let in_two_seconds = spent(&mut rate, 0, 2_000);
     assert!((20..=21).contains(&in_two_seconds), "{in_two_seconds}: one at the start and ten a second");
-    rate.throttled(Micros::from_secs(2));
+    rate.record_throttled(Micros::from_secs(2));
     assert_eq!(spent(&mut rate, 2_000, 2_100), 0);
     assert!(rate.spend(Micros::from_millis(2_200)));
-    rate.throttled(Micros::from_millis(2_200));
+    rate.record_throttled(Micros::from_millis(2_200));
     assert_eq!(spent(&mut rate, 2_200, 2_400), 0);
-    rate.accepted();
+    rate.record_accepted();
     assert!(rate.spend(Micros::from_millis(2_500)));
 }
 
@@ -55,7 +55,7 @@
     let later = Micros::from_millis(999);
     assert!(!rate.spend(later));
     assert!(rate.spend(Micros::from_secs(1)));
-    rate.throttled(Micros::from_secs(1));
+    rate.record_throttled(Micros::from_secs(1));
     assert!(!rate.spend_ahead(Micros::from_secs(1)));
 }
 
--- a/packages/gateway/src/call_state_machine.rs
+++ b/packages/gateway/src/call_state_machine.rs
@@ -127,10 +127,15 @@
     /// violated invariant and panics. Example: `state_machine.step(CallState::Matched)`.
     pub fn step(&mut self, next_state: CallState) {
         let is_allowed = self.state.may_become(next_state);
-        assert!(is_allowed, "{} cannot become {}", self.state.name(), next_state.name());
+        assert!(
+            is_allowed,
+            "invalid call state transition from {} to {}",
+            self.state.name(),
+            next_state.name()
+        );
         assert!(
             !(next_state == CallState::Refused && self.may_have_run),
-            "a call that may have run is no refusal"
+            "a call that may have run must not be refused as not run"
         );
         if next_state == CallState::Dispatched {
             self.dispatches += 1;
--- a/packages/gateway/src/gateway.rs
+++ b/packages/gateway/src/gateway.rs
@@ -122,7 +122,7 @@
     /// Calls refused because the key, or keys, that they carried belong to no tenant.
     unknown_key as "unknown_key",
     /// Dispatches after a call's first.
-    extra_dispatches as "extra_dispatches",
+    retries as "extra_dispatches",
     /// Dispatches that an instance refused as busy.
     refused_busy as "turned_away",
     /// Responses cut off after their beginning had been sent to the client.
@@ -570,7 +570,7 @@
             }
             dispatch_call.tenant = tenant.as_ref().map(|tenant| tenant.name.clone());
             if state_machine.dispatches() > 1 {
-                self.counts.extra_dispatches.fetch_add(1, Ordering::Relaxed);
+                self.counts.retries.fetch_add(1, Ordering::Relaxed);
             }
             let time_left = ends_at - began;
             let mut headers = dispatch_call.headers.clone();
--- a/packages/gateway/src/gateway/open_calls.rs
+++ b/packages/gateway/src/gateway/open_calls.rs
@@ -21,7 +21,7 @@
         let OpenCalls { all, awaiting_permit, at_instance } = self;
         write!(
             formatter,
-            "{all} calls open ({awaiting_permit} wait for a ticket, {at_instance} are at a cell)"
+            "{all} open calls ({awaiting_permit} waiting for a permit, {at_instance} at an instance)"
         )
     }
 }
--- a/packages/gateway/src/gateway/response_bodies.rs
+++ b/packages/gateway/src/gateway/response_bodies.rs
@@ -47,7 +47,7 @@
     fn cut_off(&mut self) -> Poll<Option<Result<Bytes, std::io::Error>>> {
         self.guard.return_permit(UNKNOWN);
         self.guard.gateway.counts.cut_responses.fetch_add(1, Ordering::Relaxed);
-        Poll::Ready(Some(Err(std::io::Error::other("the cell's answer was cut"))))
+        Poll::Ready(Some(Err(std::io::Error::other("the instance's response was cut off"))))
     }
 }
 
--- a/packages/gateway/src/instance_dispatch.rs
+++ b/packages/gateway/src/instance_dispatch.rs
@@ -61,13 +61,13 @@
     /// Responses up to this length are buffered until they are whole; longer ones are streamed.
     pub buffer_limit: usize,
     /// Timeout of opening a connection.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// The connection fails when sent bytes are not acknowledged within this time.
-    pub silence_within: Duration,
+    pub tcp_user_timeout: Duration,
     /// Idle connections kept to one instance; zero closes each after its response.
     pub idle_limit: usize,
     /// How long a connection is kept where the instance does not say how long it may idle.
-    pub idle_undeclared: Duration,
+    pub default_idle_timeout: Duration,
     /// The headers used with instances.
     pub header_conventions: Arc<HeaderConventions>,
 }
@@ -76,10 +76,10 @@
     fn default() -> DispatchSettings {
         DispatchSettings {
             buffer_limit: 256 * 1024,
-            connect_within: Duration::from_millis(1_000),
-            silence_within: Duration::from_secs(4),
+            connect_timeout: Duration::from_millis(1_000),
+            tcp_user_timeout: Duration::from_secs(4),
             idle_limit: 0,
-            idle_undeclared: Duration::ZERO,
+            default_idle_timeout: Duration::ZERO,
             header_conventions: Arc::new(HeaderConventions::default()),
         }
     }
@@ -158,11 +158,11 @@
     if let Some(kept) = connection_pool::check_out(&call.instance, call.address) {
         return Some(kept);
     }
-    let connects_until = ends_at.min(Instant::now() + settings.connect_within);
+    let connects_until = ends_at.min(Instant::now() + settings.connect_timeout);
     let connecting = tokio::time::timeout_at(connects_until, TcpStream::connect(call.address));
     let stream = connecting.await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(settings.silence_within));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(settings.tcp_user_timeout));
     Some(InstanceConnection::fresh(stream))
 }
 
@@ -360,7 +360,7 @@
 }
 
 /// How long the connection may be kept: 70 % of what the instance declares, since the two sides start
-/// counting at different times; `idle_undeclared` without a declaration; not at all when the instance closes
+/// counting at different times; `default_idle_timeout` without a declaration; not at all when the instance closes
 /// the connection.
 fn idle_span(head: &ResponseHead, settings: &DispatchSettings) -> Duration {
     let closes = head.headers.get(header::CONNECTION).is_some_and(|value| {
@@ -373,7 +373,7 @@
     let seconds = keep_alive.and_then(|value| value.to_str().ok()).and_then(|text| {
         text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok())
     });
-    seconds.map_or(settings.idle_undeclared, |seconds| Duration::from_millis(seconds.min(3_600) * 700))
+    seconds.map_or(settings.default_idle_timeout, |seconds| Duration::from_millis(seconds.min(3_600) * 700))
 }
 
 const HOP_BY_HOP: &[&str] = &[
--- a/packages/gateway/tests/gateway_calls.rs
+++ b/packages/gateway/tests/gateway_calls.rs
@@ -479,7 +479,7 @@
         let _first = std::net::TcpStream::connect(address).expect("the queue holds one");
         let (protocol_sender, mut messages) = mpsc::channel(64);
         let mut dispatch = keep_alive_settings(platform_conventions());
-        dispatch.connect_within = Duration::from_secs(20);
+        dispatch.connect_timeout = Duration::from_secs(20);
         let gateway = Arc::new(Gateway::new(
             GatewaySettings { dispatch, ..GatewaySettings::default() },
             protocol_sender,
--- a/packages/gateway/tests/kept_connections.rs
+++ b/packages/gateway/tests/kept_connections.rs
@@ -106,7 +106,7 @@
     let settings = DispatchSettings {
         idle_limit: 2,
         header_conventions: Arc::new(header_conventions),
-        connect_within: Duration::from_secs(5),
+        connect_timeout: Duration::from_secs(5),
         ..DispatchSettings::default()
     };
     for extra in [Extra::Never, Extra::WithResponse, Extra::AfterResponse, Extra::BeforeNext, Extra::Garbage]
--- a/packages/gossip/src/lib.rs
+++ b/packages/gossip/src/lib.rs
@@ -132,7 +132,7 @@
     pub fn set_neighbours(&mut self, own: NodeId, neighbours: Neighbours) {
         self.own = Some(own);
         self.zone_members = neighbours.zone_members(self.own);
-        self.peers = neighbours.everybody().into_iter().collect();
+        self.peers = neighbours.all().into_iter().collect();
         self.rounds = if neighbours.count() <= SMALL_FLEET { ROUNDS } else { LARGE_FLEET_ROUNDS };
         self.neighbours = neighbours;
     }
@@ -186,10 +186,10 @@
         self.topics.get(&item.topic.0).and_then(|topic_state| change_between(&topic_state.item, item))
     }
 
-    /// The meanings that publishers gave to the changes of a topic since a sequence; `None` if some change
-    /// since then is unknown here or has no meaning.
-    /// Example: `gossip.meanings_since("configuration", 4)`.
-    pub fn meanings_since(&self, topic: &str, sequence: u64) -> Option<Vec<Bytes>> {
+    /// The publishers' descriptions (`BodyChange::meaning`) of the changes of a topic since a sequence; `None`
+    /// if some change since then is unknown here or has no description.
+    /// Example: `gossip.change_descriptions_since("configuration", 4)`.
+    pub fn change_descriptions_since(&self, topic: &str, sequence: u64) -> Option<Vec<Bytes>> {
         let changes = self.topics.get(topic)?.changes_since(sequence)?;
         let meanings = changes.into_iter().map(|change| change.meaning);
         meanings.map(|meaning| (!meaning.0.is_empty()).then_some(meaning)).collect()
@@ -343,8 +343,8 @@
         for remote_relays in &self.neighbours.remote_relays {
             sends.extend(remote_relays.first().and_then(|relay| items_message(*relay, &zone_items)));
         }
-        let everybody = self.neighbours.everybody();
-        for node in self.choose_nodes(&everybody, fanout) {
+        let all_peers = self.neighbours.all();
+        for node in self.choose_nodes(&all_peers, fanout) {
             sends.extend(large_versions_message(node, large.clone()));
         }
         self.send_fleet_topics(&items, fanout, sends);
@@ -378,8 +378,8 @@
 
     /// Handles a peer's items, digest, versions, request or changes. Returns the topics that became newer and
     /// what to send.
-    /// Example: `let (newer, sends) = gossip.received(from, message);`.
-    pub fn received(&mut self, from: NodeId, message: Message) -> (Vec<String>, Vec<GossipSend>) {
+    /// Example: `let (newer, sends) = gossip.handle_message(from, message);`.
+    pub fn handle_message(&mut self, from: NodeId, message: Message) -> (Vec<String>, Vec<GossipSend>) {
         match message {
             Message::Gossip { items } => {
                 let newer_topics = items
--- a/packages/gossip/src/neighbours.rs
+++ b/packages/gossip/src/neighbours.rs
@@ -32,8 +32,8 @@
         self.local.len() + self.remote.len()
     }
 
-    /// All peers, local ones first. Example: `neighbours.everybody().len() == 9`.
-    pub fn everybody(&self) -> Vec<NodeId> {
+    /// All peers, local ones first. Example: `neighbours.all().len() == 9`.
+    pub fn all(&self) -> Vec<NodeId> {
         self.local.iter().chain(&self.remote).copied().collect()
     }
 
--- a/packages/gossip/src/tests.rs
+++ b/packages/gossip/src/tests.rs
@@ -21,7 +21,7 @@
                 if loss.u8(..10) < 3 {
                     continue;
                 }
-                let (_, sends) = fleet[receiver as usize].received(sender, message);
+                let (_, sends) = fleet[receiver as usize].handle_message(sender, message);
                 waiting.extend(sends.into_iter().map(|send| (receiver, send)));
             }
             if fleet.iter().all(|gossip| gossip.sequence("small") == 1 && gossip.sequence("large") == 7) {
@@ -68,7 +68,7 @@
             if is_counted(sender, receiver) {
                 sent_bytes += envelope.frame().expect("a frame").len();
             }
-            let (_, sends) = fleet[receiver as usize].received(sender, envelope.message);
+            let (_, sends) = fleet[receiver as usize].handle_message(sender, envelope.message);
             waiting.extend(sends.into_iter().map(|send| (receiver, send)));
         }
     }
@@ -147,16 +147,16 @@
     // The same sequence with other bytes: the digest differs.
     other.publish("configuration", 2, 1, body(&[7]));
     let known = List(vec![GossipVersion { topic: "configuration".into(), sequence: 1 }]);
-    let (_, sends) = publisher.received(2, Message::GossipRequest { known });
+    let (_, sends) = publisher.handle_message(2, Message::GossipRequest { known });
     let [(2, changes @ Message::GossipBodyChanges { .. })] = &sends[..] else {
         panic!("changes, not {sends:?}")
     };
-    let (newer_topics, sends) = other.received(1, changes.clone());
+    let (newer_topics, sends) = other.handle_message(1, changes.clone());
     assert!(newer_topics.is_empty());
     let [(1, Message::GossipRequest { known })] = &sends[..] else { panic!("a request, not {sends:?}") };
     assert_eq!(known.0[0].sequence, 0);
-    let (_, sends) = publisher.received(2, sends[0].1.clone());
-    let (newer_topics, _) = other.received(1, sends[0].1.clone());
+    let (_, sends) = publisher.handle_message(2, sends[0].1.clone());
+    let (newer_topics, _) = other.handle_message(1, sends[0].1.clone());
     assert_eq!(newer_topics, ["configuration"]);
     assert_eq!(other.body("configuration"), Some(&body(&[9])));
 }
@@ -174,14 +174,14 @@
         versions: List(Vec::new()),
         large: List(large.clone()),
     };
-    let (_, sends) = gossip.received(8, versions(&large));
+    let (_, sends) = gossip.handle_message(8, versions(&large));
     assert!(
         matches!(sends[..], [(7, Message::GossipRequest { .. })]),
         "the publisher is requested: {sends:?}"
     );
-    assert!(gossip.received(9, versions(&large)).1.is_empty(), "it may be in transit");
+    assert!(gossip.handle_message(9, versions(&large)).1.is_empty(), "it may be in transit");
     gossip.tick(Micros::from_millis(2_001));
-    let (_, sends) = gossip.received(9, versions(&large));
+    let (_, sends) = gossip.handle_message(9, versions(&large));
     assert!(
         matches!(sends[..], [(9, Message::GossipRequest { .. })]),
         "another node is requested: {sends:?}"
@@ -253,7 +253,7 @@
             if down.contains(&sender) || down.contains(&receiver) {
                 continue;
             }
-            let (_, sends) = fleet[receiver as usize].received(sender, message);
+            let (_, sends) = fleet[receiver as usize].handle_message(sender, message);
             waiting.extend(sends.into_iter().map(|send| (receiver, send)));
         }
         let living = fleet.iter().enumerate().filter(|(node, _)| !down.contains(&(*node as NodeId)));
@@ -284,7 +284,7 @@
     assert_eq!(gossip.awaited_since("configuration"), None);
     for (millis, sequence) in [(1_000, 5), (1_200, 5), (1_500, 6)] {
         gossip.tick(Micros::from_millis(millis));
-        gossip.received(8, announcement(sequence));
+        gossip.handle_message(8, announcement(sequence));
     }
     assert_eq!(gossip.awaited_since("configuration"), Some(Micros::from_millis(1_000)));
     gossip.publish("configuration", 7, 5, Bytes(vec![1; 20_000]));
--- a/packages/leader_election/src/action_guard.rs
+++ b/packages/leader_election/src/action_guard.rs
@@ -41,7 +41,7 @@
         &mut self,
         function: &str,
         leader_epoch: u64,
-        (own_epoch_before, is_kept): (Option<u64>, bool),
+        (own_epoch_before, is_first_or_reclaimed): (Option<u64>, bool),
         now: Micros,
     ) {
         let started_at = self.started_at;
@@ -51,7 +51,7 @@
                 return;
             }
             Some(last) => last.at,
-            None if is_kept => return,
+            None if is_first_or_reclaimed => return,
             None => started_at,
         };
         let barred_until = last_action_at + self.lease;
--- a/packages/leader_election/src/lib.rs
+++ b/packages/leader_election/src/lib.rs
@@ -69,15 +69,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum TermChange {
     /// This node is the leader now. `past_gate`: the gate was bypassed. `transferred_epoch`: the epoch of the
-    /// record that already named this process, if it did. `is_kept`: the function had no leader before, or a
-    /// previous incarnation of this node led it.
+    /// record that already named this process, if it did. `is_first_or_reclaimed`: the function had no leader
+    /// before, or a previous incarnation of this node led it.
     Taken {
         function: String,
         leader_epoch: u64,
         past_gate: bool,
         waited: Micros,
         transferred_epoch: Option<u64>,
-        is_kept: bool,
+        is_first_or_reclaimed: bool,
     },
     /// This node is no longer the leader.
     Lost { function: String, leader_epoch: u64, why: &'static str },
@@ -115,7 +115,7 @@
     past_gate: bool,
     candidate_since: Micros,
     transferred_epoch: Option<u64>,
-    is_kept: bool,
+    is_first_or_reclaimed: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -326,8 +326,8 @@
     }
 
     /// Handles a report of the key's owner that the record, which this node already has, was only renewed.
-    /// Example: `election.renewed("proof", 5, now)`.
-    pub fn renewed(&mut self, function: &str, version: u64, now: Micros) {
+    /// Example: `election.record_renewal("proof", 5, now)`.
+    pub fn record_renewal(&mut self, function: &str, version: u64, now: Micros) {
         if let Some(copy) = self.copies.get_mut(function)
             && version > copy.version
         {
@@ -340,8 +340,8 @@
 
     /// Handles a poll response: records that it does not list are unchanged, and their observer copies keep
     /// their times. Polls are counted only for records without a holder, so only those are visited.
-    /// Example: `election.confirmed(|function| polled.contains(function), now)`.
-    pub fn confirmed(&mut self, is_polled: impl Fn(&str) -> bool, now: Micros) {
+    /// Example: `election.record_poll(|function| polled.contains(function), now)`.
+    pub fn record_poll(&mut self, is_polled: impl Fn(&str) -> bool, now: Micros) {
         self.holder_index.refresh(&self.copies, now);
         for function in self.holder_index.open() {
             if let Some(copy) = self.copies.get_mut(function).filter(|_| is_polled(function)) {
@@ -351,8 +351,8 @@
     }
 
     /// A call waits for this function, which has no leader: a claim is tried at the next tick.
-    /// Example: `election.call_waits("proof")`.
-    pub fn call_waits(&mut self, function: &str) {
+    /// Example: `election.record_waiting_call("proof")`.
+    pub fn record_waiting_call(&mut self, function: &str) {
         if self.functions.contains(function) && !self.called.contains(function) {
             self.called.insert(function.to_owned());
             self.is_claim_wanted = true;
@@ -642,7 +642,7 @@
                 copy.record.as_ref().map_or(copy.observed_at, |held| copy.observed_at + lease_of(held));
             let transferred = copy.record.as_ref().filter(|current| current.holder == self.own);
             let transferred_epoch = transferred.map(|current| current.leader_epoch);
-            let is_kept = copy.version == 0 || (names_own_node && transferred_epoch.is_none());
+            let is_first_or_reclaimed = copy.version == 0 || (names_own_node && transferred_epoch.is_none());
             self.gate_bypasses += u64::from(is_fallback);
             let claim = Claim {
                 record,
@@ -650,7 +650,7 @@
                 past_gate: is_fallback,
                 candidate_since,
                 transferred_epoch,
-                is_kept,
+                is_first_or_reclaimed,
             };
             self.claims.insert(function, claim);
             cluster_count += 1;
@@ -681,8 +681,8 @@
     }
 
     /// Handles a successful write, stored at `version`.
-    /// Example: `election.written("proof", 4, &record, now)`.
-    pub fn written(&mut self, function: &str, version: u64, record: &LeaderRecord, now: Micros) {
+    /// Example: `election.handle_written("proof", 4, &record, now)`.
+    pub fn handle_written(&mut self, function: &str, version: u64, record: &LeaderRecord, now: Micros) {
         if let Some(term) = self.terms.get_mut(function)
             && (record.leader_epoch == term.record.leader_epoch)
         {
@@ -727,19 +727,25 @@
             past_gate: claim.past_gate,
             waited: now - claim.candidate_since,
             transferred_epoch: claim.transferred_epoch,
-            is_kept: claim.is_kept,
+            is_first_or_reclaimed: claim.is_first_or_reclaimed,
         });
     }
 
     /// Handles a write that failed because the register is at another version: updates the copy and drops
     /// claim and term.
-    /// Example: `election.differs("proof", 5, Some(theirs), now)`.
-    pub fn differs(&mut self, function: &str, version: u64, record: Option<LeaderRecord>, now: Micros) {
+    /// Example: `election.handle_conflict("proof", 5, Some(theirs), now)`.
+    pub fn handle_conflict(
+        &mut self,
+        function: &str,
+        version: u64,
+        record: Option<LeaderRecord>,
+        now: Micros,
+    ) {
         // A repeated write whose first response was lost finds its own record stored.
         if let Some(current) = &record
             && self.is_own_write(function, current)
         {
-            self.written(function, version, &current.clone(), now);
+            self.handle_written(function, version, &current.clone(), now);
             return;
         }
         if self.claims.remove(function).is_some() {
@@ -771,8 +777,8 @@
     }
 
     /// Handles a write without a usable response: a claim is dropped, a renewal is repeated after 100 ms.
-    /// Example: `election.unanswered("proof", now)`.
-    pub fn unanswered(&mut self, function: &str, now: Micros) {
+    /// Example: `election.handle_no_response("proof", now)`.
+    pub fn handle_no_response(&mut self, function: &str, now: Micros) {
         self.is_claim_wanted |= self.claims.remove(function).is_some();
         self.called.remove(function);
         if let Some(term) = self.terms.get_mut(function) {
--- a/packages/leader_election/src/successors.rs
+++ b/packages/leader_election/src/successors.rs
@@ -19,7 +19,7 @@
 }
 
 /// Names successors for the functions of one node, and counts the functions given to each.
-/// Example: `Successors::new(&election, &members, now).name("proof", 62)`.
+/// Example: `Successors::new(&election, &members, now).pick("proof", 62)`.
 #[derive(Clone, Debug)]
 pub struct Successors {
     candidates: Vec<Candidate>,
@@ -47,9 +47,9 @@
         Successors { candidates: candidates.collect() }
     }
 
-    /// Names the successor of one function that needs a machine of at least this capacity; if no machine has
-    /// it, one of the largest is named.
-    pub fn name(&mut self, function: &str, min_capacity: u32) -> Option<NodeId> {
+    /// Picks the successor of one function that needs a machine of at least this capacity; if no machine has
+    /// it, one of the largest is picked.
+    pub fn pick(&mut self, function: &str, min_capacity: u32) -> Option<NodeId> {
         let largest = self.candidates.iter().map(|candidate| candidate.capacity).max()?;
         let min_capacity = min_capacity.min(largest);
         let eligible = self.candidates.iter_mut().filter(|candidate| candidate.capacity >= min_capacity);
--- a/packages/leader_election/src/successors/tests.rs
+++ b/packages/leader_election/src/successors/tests.rs
@@ -28,7 +28,7 @@
     let mut successors = Successors::new(election, members, Micros(1));
     let mut counts = BTreeMap::new();
     for number in 0..functions {
-        let node = successors.name(&format!("g{number}"), 0).expect("a member can be named");
+        let node = successors.pick(&format!("g{number}"), 0).expect("a member can be named");
         *counts.entry(node).or_default() += 1;
     }
     counts
@@ -64,6 +64,6 @@
     let mut election = election_with(&[(OWN, 4), (2, 1), (3, 4)]);
     election.set_capacities([(OWN, 260), (2, 62), (3, 260)].into());
     let mut successors = Successors::new(&election, &[OWN, 2, 3], Micros(1));
-    assert_eq!(successors.name("busy", 200), Some(3));
-    assert_eq!(successors.name("busier", 2_000), Some(3));
+    assert_eq!(successors.pick("busy", 200), Some(3));
+    assert_eq!(successors.pick("busier", 2_000), Some(3));
 }
--- a/packages/leader_election/src/tests.rs
+++ b/packages/leader_election/src/tests.rs
@@ -33,11 +33,11 @@
                 for write in node.tick(&members, now) {
                     let register = self.registers.get_mut(&write.function).expect("a known function");
                     if register.0 != write.expected {
-                        node.differs(&write.function, register.0, register.1.clone(), now);
+                        node.handle_conflict(&write.function, register.0, register.1.clone(), now);
                         continue;
                     }
                     *register = (register.0 + 1, Some(write.record.clone()));
-                    node.written(&write.function, register.0, &write.record, now);
+                    node.handle_written(&write.function, register.0, &write.record, now);
                 }
             }
             // At most one leader of each function at any time.
@@ -103,13 +103,13 @@
     node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).remove(0);
-    node.written("f", 1, &claim.record, Micros(0));
+    node.handle_written("f", 1, &claim.record, Micros(0));
     let first_renewal = node.tick(&[1], Micros::from_secs(1)).remove(0);
-    node.unanswered("f", Micros::from_millis(1_600));
+    node.handle_no_response("f", Micros::from_millis(1_600));
     let second_renewal = node.tick(&[1], Micros::from_millis(1_800)).remove(0);
     assert_eq!(first_renewal.record, second_renewal.record);
     // The first one was stored; followers may have observed it since then.
-    node.differs("f", 2, Some(first_renewal.record), Micros::from_millis(1_900));
+    node.handle_conflict("f", 2, Some(first_renewal.record), Micros::from_millis(1_900));
     assert!(node.term("f", Micros::from_millis(3_999)).is_some());
     assert!(node.term("f", Micros::from_millis(4_000)).is_none());
 }
@@ -120,14 +120,14 @@
     node.set_functions(["f".to_owned()].into());
     node.observe("f", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).remove(0);
-    node.written("f", 1, &claim.record, Micros(0));
+    node.handle_written("f", 1, &claim.record, Micros(0));
     let renewal = node.tick(&[1], Micros::from_secs(1)).remove(0);
     node.release_all();
     assert!(node.tick(&[1], Micros::from_millis(1_050)).is_empty());
-    node.written("f", 2, &renewal.record, Micros::from_millis(1_100));
+    node.handle_written("f", 2, &renewal.record, Micros::from_millis(1_100));
     let release = node.tick(&[1], Micros::from_millis(1_120)).remove(0);
     assert_eq!((release.expected, release.record.holder), (2, 0));
-    node.written("f", 3, &release.record, Micros::from_millis(1_130));
+    node.handle_written("f", 3, &release.record, Micros::from_millis(1_130));
     assert!(node.is_empty());
 }
 
@@ -146,7 +146,7 @@
         for write in node.tick(&members, now) {
             let register = cluster.registers.get_mut(&write.function).expect("a known function");
             *register = (register.0 + 1, Some(write.record.clone()));
-            node.written(&write.function, register.0, &write.record, now);
+            node.handle_written(&write.function, register.0, &write.record, now);
         }
         for change in node.take_changes() {
             taken_past_gate += usize::from(matches!(change, TermChange::Taken { past_gate: true, .. }));
@@ -186,15 +186,15 @@
     node.set_functions(["f".to_owned()].into());
     let record = LeaderRecord { holder: 2, renew_count: 1, lease_micros: 3_000_000, leader_epoch: 4 };
     node.observe("f", 5, Some(record), Micros(0));
-    node.confirmed(|function| function == "f", Micros::from_secs(2));
+    node.record_poll(|function| function == "f", Micros::from_secs(2));
     assert!(node.holder("f", Micros::from_millis(2_999)).is_some());
     assert!(node.holder("f", Micros::from_secs(3)).is_none(), "confirmed as unchanged is not renewed");
-    node.renewed("f", 5, Micros::from_millis(3_100));
+    node.record_renewal("f", 5, Micros::from_millis(3_100));
     assert!(node.holder("f", Micros::from_millis(3_100)).is_none(), "a delayed response with an old version");
-    node.renewed("f", 6, Micros::from_millis(3_200));
+    node.record_renewal("f", 6, Micros::from_millis(3_200));
     assert_eq!(node.holder("f", Micros::from_millis(6_199)), Some((2, 4)));
     assert!(node.holder("f", Micros::from_millis(6_200)).is_none());
-    node.renewed("g", 1, Micros(0));
+    node.record_renewal("g", 1, Micros(0));
     assert!(node.holder("g", Micros(0)).is_none(), "the function is unknown");
 }
 
@@ -216,7 +216,7 @@
         for write in node.tick(&[1, 2], now) {
             let register = versions.get_mut(&write.function).expect("a known function");
             *register = (register.0 + 1, Some(write.record.clone()));
-            node.written(&write.function, register.0, &write.record, now);
+            node.handle_written(&write.function, register.0, &write.record, now);
         }
     }
     assert_eq!(node.held(Micros::from_millis(39_990)).len(), 600);
@@ -238,11 +238,11 @@
     node.set_functions(BTreeSet::from(["proof".to_owned()]));
     node.observe("proof", 0, None, Micros(0));
     let claim = node.tick(&[1], Micros(0)).pop().expect("a claim");
-    node.written("proof", 1, &claim.record, Micros(0));
+    node.handle_written("proof", 1, &claim.record, Micros(0));
     node.set_idle_functions(BTreeSet::from(["proof".to_owned()]));
     let renewal = node.tick(&[1], Micros::from_secs(1)).pop().expect("a renewal");
     assert_eq!(renewal.record.lease_micros, 6_000_000);
-    node.written("proof", 2, &renewal.record, Micros::from_secs(1));
+    node.handle_written("proof", 2, &renewal.record, Micros::from_secs(1));
     (node, 2)
 }
 
@@ -287,7 +287,7 @@
         matches!(&lost[..], [.., TermChange::Lost { why: "function no longer configured", .. }]),
         "{lost:?}"
     );
-    node.written("proof", 3, &release.record, Micros::from_secs(2));
+    node.handle_written("proof", 3, &release.record, Micros::from_secs(2));
     assert!(node.is_empty());
     let mut follower = Election::new(2, ElectionSettings::default());
     follower.set_functions(BTreeSet::from(["proof".to_owned()]));
@@ -310,7 +310,7 @@
     }
     for _ in 0..4 {
         for claim in successor.tick(&[2], Micros(0)) {
-            successor.written(&claim.function, 1, &claim.record, Micros(0));
+            successor.handle_written(&claim.function, 1, &claim.record, Micros(0));
         }
     }
     assert!(successor.own_count() >= 8, "{}", successor.own_count());
--- a/packages/membership/src/lib.rs
+++ b/packages/membership/src/lib.rs
@@ -33,20 +33,20 @@
     /// Interval between two probes of this node.
     pub interval: Micros,
     /// Timeout of a direct probe, after which indirect probes are requested.
-    pub response_within: Micros,
+    pub probe_timeout: Micros,
     /// Time from suspicion to removal.
     pub suspicion: Micros,
     /// How long a removed member is remembered and probed.
-    pub remember_gone: Micros,
+    pub gone_retention: Micros,
 }
 
 impl Default for ProbeSettings {
     fn default() -> ProbeSettings {
         ProbeSettings {
             interval: Micros::from_millis(400),
-            response_within: Micros::from_millis(250),
+            probe_timeout: Micros::from_millis(250),
             suspicion: Micros::from_millis(1_500),
-            remember_gone: Micros::from_secs(600),
+            gone_retention: Micros::from_secs(600),
         }
     }
 }
@@ -224,8 +224,8 @@
     }
 
     /// Handles a peer's probe, response, list or request for an indirect probe.
-    /// Example: `members.received(from, address, message, now)`.
-    pub fn received(
+    /// Example: `members.handle_message(from, address, message, now)`.
+    pub fn handle_message(
         &mut self,
         from: NodeId,
         from_address: Address,
@@ -424,7 +424,7 @@
             self.pending = None;
             return;
         };
-        if !pending.is_indirect && now >= pending.sent_at + self.settings.response_within {
+        if !pending.is_indirect && now >= pending.sent_at + self.settings.probe_timeout {
             pending.is_indirect = true;
             let (sequence, suspect_node, suspect_address) =
                 (pending.sequence, pending.target, target.update.address);
@@ -442,7 +442,7 @@
             }));
             return;
         }
-        if now >= pending.sent_at + Micros(self.settings.response_within.0 * 2) {
+        if now >= pending.sent_at + Micros(self.settings.probe_timeout.0 * 2) {
             if target.update.state == ALIVE {
                 target.update.state = SUSPECTED;
                 target.state_since = now;
@@ -463,9 +463,9 @@
                 self.changes.push(MemberChange::Gone(*node));
             }
         }
-        let remember_gone = self.settings.remember_gone;
+        let gone_retention = self.settings.gone_retention;
         self.members
-            .retain(|_, member| member.update.state != GONE || now < member.state_since + remember_gone);
+            .retain(|_, member| member.update.state != GONE || now < member.state_since + gone_retention);
     }
 
     fn probe_next(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
--- a/packages/membership/src/tests.rs
+++ b/packages/membership/src/tests.rs
@@ -34,7 +34,7 @@
             if is_cut(sender, receiver_node) {
                 continue;
             }
-            let responses = receiver.received(sender, sender_address, message, now);
+            let responses = receiver.handle_message(sender, sender_address, message, now);
             waiting.extend(responses.into_iter().map(|sent| (receiver_node, sent)));
         }
     }
@@ -71,7 +71,7 @@
     run(&mut fleet, 0, 5_000, |_, _| false);
     let restarted = MemberUpdate { node: 77, ..update(3) };
     let first_probe = Message::Probe { sequence: 1, target: 0, members: List(vec![restarted.clone()]) };
-    fleet[0].received(77, restarted.address, first_probe, Micros::from_secs(5));
+    fleet[0].handle_message(77, restarted.address, first_probe, Micros::from_secs(5));
     assert_eq!(live_nodes(&fleet[0]), BTreeSet::from([1, 2, 77]));
     assert_eq!(
         fleet[0].take_changes().last_chunk::<2>(),
@@ -88,7 +88,7 @@
         for (address, message) in fleet[index].tick(now) {
             let receiver = fleet.iter_mut().find(|members| members.own().address == address);
             let responses = receiver
-                .map(|members| members.received(sender, update(sender).address, message.clone(), now));
+                .map(|members| members.handle_message(sender, update(sender).address, message.clone(), now));
             sent_bytes += [message]
                 .into_iter()
                 .chain(responses.into_iter().flatten().map(|sent| sent.1))
@@ -142,7 +142,7 @@
             updates.push(MemberUpdate { node: node - 1, state: GONE, ..update(2) });
         }
         let message = Message::MembersResponse { is_requested: 0, members: List(updates) };
-        members.received(900, update(900).address, message, Micros(node));
+        members.handle_message(900, update(900).address, message, Micros(node));
     }
     assert!(members.find(2_999).is_some());
     assert!(members.remembered().count() <= MEMBER_LIMIT);
--- a/packages/node_protocol/src/call_admission.rs
+++ b/packages/node_protocol/src/call_admission.rs
@@ -1,6 +1,6 @@
 //! Permits for this node's own calls: requests to leaders and fallbacks, held permits, and relayed requests.
 
-use crate::node::{Node, PAUSE_A_MEMBER};
+use crate::node::{Node, PAUSE_PER_MEMBER};
 use crate::permit_ledger::{PermitAdmission, PermitLedger};
 use crate::request_relay::{RequestRelay, is_relayed};
 use crate::{Action, RefusedAs};
@@ -43,7 +43,7 @@
     tenant: Option<Arc<str>>,
     requested: Option<NodeId>,
     requested_at: Micros,
-    requested_fallback: bool,
+    is_leader_next: bool,
     next_at: Micros,
     attempts: u32,
 }
@@ -144,7 +144,7 @@
             tenant: parameters.tenant,
             requested: None,
             requested_at: self.now,
-            requested_fallback: false,
+            is_leader_next: false,
             next_at: self.now,
             attempts: 0,
         };
@@ -192,14 +192,14 @@
                 || (self.members.find(*node).is_some() && !self.calls.is_silent(*node, now))
         });
         if reachable_leader.is_none() {
-            self.leadership.election.call_waits(&function);
+            self.leadership.election.record_waiting_call(&function);
         }
         let Some(request) = self.calls.requests.get(&call) else { return };
-        // If the leader did not respond in time or denied being the leader, the fallback is asked; further
-        // attempts alternate between the two.
+        // If the leader did not respond in time or denied being the leader, the next request goes to the
+        // fallback; further attempts alternate between the two.
         let is_leader_turn = !(request.requested.is_some()
             && request.requested == reachable_leader
-            && !request.requested_fallback);
+            && !request.is_leader_next);
         let (node, is_fallback) = match reachable_leader {
             Some(leader) if is_leader_turn => (leader, false),
             _ => match self.fallback_of(&function, holder) {
@@ -217,13 +217,13 @@
         let Some(request) = self.calls.requests.get_mut(&call) else { return };
         request.requested = Some(node);
         request.requested_at = now;
-        request.requested_fallback = is_fallback;
+        request.is_leader_next = is_fallback;
         request.next_at = now + LEADER_TIMEOUT;
         let message = Message::PermitRequest {
             request_id: call,
             function: function.into(),
             time_left_micros: (request.ends_at - now).0,
-            extra: u8::try_from(request.dispatches).unwrap_or(u8::MAX),
+            dispatches: u8::try_from(request.dispatches).unwrap_or(u8::MAX),
             avoid: request.avoid.as_str().into(),
             fallback: match (is_fallback, is_leader_out_of_reach) {
                 (false, _) => AS_LEADER,
@@ -255,7 +255,7 @@
 
     /// The pause before the next attempt of a call that got no permit.
     fn request_retry_pause(&self, attempts: u32) -> Micros {
-        let fleet_pause = Micros(PAUSE_A_MEMBER.0 * self.member_count() as u64);
+        let fleet_pause = Micros(PAUSE_PER_MEMBER.0 * self.member_count() as u64);
         let max_pause = fleet_pause.clamp(REQUEST_RETRY_MAX, LARGE_FLEET_REQUEST_RETRY_MAX);
         let doublings = attempts.saturating_sub(2).min(8);
         Micros(REQUEST_RETRY_PAUSE.0 << doublings).min(max_pause)
@@ -331,14 +331,14 @@
                 if outcome == 0
                     && let Some(call_request) = self.calls.requests.get_mut(&request_id)
                 {
-                    call_request.requested_fallback = true;
+                    call_request.is_leader_next = true;
                 }
             }
             Message::HeldPermitsRequest { functions } => {
                 let mut responses = Vec::new();
                 for HeldPermitsRequestEntry { function, leader_epoch } in functions.0 {
                     self.calls.record_leader(&function.0, from, leader_epoch, self.now);
-                    self.calls.permits.saw_epoch(&function.0, leader_epoch);
+                    self.calls.permits.record_epoch(&function.0, leader_epoch);
                     let permits = List(self.calls.held_for(&function.0, self.now));
                     responses.push(HeldPermitsResponseEntry { function, leader_epoch, permits });
                 }
--- a/packages/node_protocol/src/configuration_sync/current_generation.rs
+++ b/packages/node_protocol/src/configuration_sync/current_generation.rs
@@ -126,7 +126,7 @@
     /// The deltas since the generation in use here, if gossip has all of them.
     fn known_deltas(&self) -> Option<Vec<ConfigurationDelta>> {
         let current_generation = self.configuration.generation;
-        let encoded_deltas = self.gossip.meanings_since(CONFIGURATION_KEY, current_generation)?;
+        let encoded_deltas = self.gossip.change_descriptions_since(CONFIGURATION_KEY, current_generation)?;
         let deltas: Vec<ConfigurationDelta> = encoded_deltas
             .iter()
             .map(|delta_bytes| ConfigurationDelta::decode(&delta_bytes.0))
@@ -179,10 +179,7 @@
     pub(crate) fn configuration_requested(&mut self, request: u64) {
         let purpose = WritePurpose::ConfigurationRequested { request };
         if self.send_write(CONFIGURATION_KEY, 0, Bytes::default(), purpose).is_none() {
-            self.emit(Action::ConfigurationAnswered {
-                request,
-                response: ConfigurationResponse::Unconfirmed,
-            });
+            self.emit(Action::ConfigurationRead { request, response: ConfigurationResponse::Unconfirmed });
         }
     }
 
--- a/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
+++ b/packages/node_protocol/src/configuration_sync/forwarded_changes.rs
@@ -41,7 +41,7 @@
     pub(crate) fn change_requested(&mut self, request: u64, change: Change) {
         if self.configuration.forwarded.len() >= CHANGE_QUEUE_LIMIT {
             let outcome = overloaded();
-            self.emit(Action::ChangeAnswered { request, change_id: change.change_id, outcome });
+            self.emit(Action::ChangeCompleted { request, change_id: change.change_id, outcome });
             return;
         }
         let request_id = self.next_request_id();
@@ -97,7 +97,7 @@
             return;
         }
         let change_id = forwarded.change.change_id;
-        self.emit(Action::ChangeAnswered { request: forwarded.request, change_id, outcome });
+        self.emit(Action::ChangeCompleted { request: forwarded.request, change_id, outcome });
     }
 
     /// Resends forwarded changes without an outcome, possibly to another owner, and abandons them with an
@@ -170,6 +170,6 @@
         }
         let (request, change_id) = (forwarded.request, forwarded.change.change_id.clone());
         let outcome = ChangeOutcome::Unknown { reason: UNCONFIRMED.to_owned() };
-        self.emit(Action::ChangeAnswered { request, change_id, outcome });
+        self.emit(Action::ChangeCompleted { request, change_id, outcome });
     }
 }
--- a/packages/node_protocol/src/control_store/record_polls.rs
+++ b/packages/node_protocol/src/control_store/record_polls.rs
@@ -97,15 +97,15 @@
             return;
         };
         for renewal in renewed {
-            if let Some(function) = group.functions.get(usize::from(renewal.place)) {
-                election.renewed(function, renewal.version, now);
-                observed.renewed(function, renewal.version);
+            if let Some(function) = group.functions.get(usize::from(renewal.index)) {
+                election.record_renewal(function, renewal.version, now);
+                observed.record_renewal(function, renewal.version);
             }
         }
         let functions = &group.functions;
         let is_polled =
             |function: &str| functions.binary_search_by(|polled| polled.as_str().cmp(function)).is_ok();
-        election.confirmed(is_polled, now);
+        election.record_poll(is_polled, now);
         group.change = group.change.max(change);
     }
 
--- a/packages/node_protocol/src/control_store/record_relay.rs
+++ b/packages/node_protocol/src/control_store/record_relay.rs
@@ -50,7 +50,7 @@
     }
 
     /// Applies a renewal to a known record.
-    pub(super) fn renewed(&mut self, function: &str, version: u64) {
+    pub(super) fn record_renewal(&mut self, function: &str, version: u64) {
         if let Some(known) = self.records.get_mut(function).filter(|known| known.version < version) {
             self.change_count += 1;
             known.version = version;
@@ -61,7 +61,7 @@
     /// What changed in these functions' records since a change number; all of them for zero.
     fn since(&self, functions: &[String], since: u64) -> (Vec<PolledRecord>, Vec<RenewedRecord>) {
         let (mut records, mut renewed) = (Vec::new(), Vec::new());
-        for (place, function) in functions.iter().enumerate() {
+        for (index, function) in functions.iter().enumerate() {
             let Some(known) = self.records.get(function).filter(|known| known.changed_at > since) else {
                 continue;
             };
@@ -71,7 +71,7 @@
                     version: known.version,
                     value: known.value.clone(),
                 }),
-                false => renewed.push(RenewedRecord { place: place as u16, version: known.version }),
+                false => renewed.push(RenewedRecord { index: index as u16, version: known.version }),
             }
         }
         (records, renewed)
@@ -179,11 +179,11 @@
             return;
         }
         for renewal in renewed {
-            if let Some(function) = poll.functions.get(usize::from(renewal.place)) {
-                election.renewed(function, renewal.version, now);
+            if let Some(function) = poll.functions.get(usize::from(renewal.index)) {
+                election.record_renewal(function, renewal.version, now);
             }
         }
-        election.confirmed(|_| true, now);
+        election.record_poll(|_| true, now);
         poll.change = poll.change.max(change);
     }
 
--- a/packages/node_protocol/src/control_store/record_relay/tests.rs
+++ b/packages/node_protocol/src/control_store/record_relay/tests.rs
@@ -13,13 +13,13 @@
     assert_eq!((records.len(), renewed.len()), (2, 0), "a follower without records receives all of them");
     let received = observed.change_count;
     assert_eq!(observed.since(&functions(), received), (Vec::new(), Vec::new()));
-    observed.renewed("rush", 8);
-    observed.renewed("proof", 3);
+    observed.record_renewal("rush", 8);
+    observed.record_renewal("proof", 3);
     let (records, renewed) = observed.since(&functions(), received);
     assert!(records.is_empty(), "a renewal of a record that was never polled is ignored");
-    assert_eq!(renewed, [RenewedRecord { place: 2, version: 8 }]);
+    assert_eq!(renewed, [RenewedRecord { index: 2, version: 8 }]);
     observed.observe("rush", 9, &Bytes(vec![3]));
-    observed.renewed("rush", 10);
+    observed.record_renewal("rush", 10);
     let (records, _) = observed.since(&functions(), received);
     assert_eq!(
         (records[0].version, &records[0].value),
@@ -34,6 +34,6 @@
     observed.observe("batch", 4, &Bytes(vec![1]));
     let received = observed.change_count;
     observed.observe("batch", 3, &Bytes(vec![9]));
-    observed.renewed("batch", 4);
+    observed.record_renewal("batch", 4);
     assert_eq!(observed.since(&functions(), received), (Vec::new(), Vec::new()));
 }
--- a/packages/node_protocol/src/control_store/requests.rs
+++ b/packages/node_protocol/src/control_store/requests.rs
@@ -125,7 +125,7 @@
         for write in writes {
             let key = leader_key(&write.function);
             let Some(owner) = self.key_owner(&key) else {
-                self.leadership.election.unanswered(&write.function, self.now);
+                self.leadership.election.handle_no_response(&write.function, self.now);
                 continue;
             };
             let request_id = self.next_request_id();
@@ -178,16 +178,16 @@
         let now = self.now;
         match outcome.outcome {
             WRITTEN => {
-                self.leadership.election.written(function, outcome.version, record, now);
+                self.leadership.election.handle_written(function, outcome.version, record, now);
                 if ![0, self.settings.node].contains(&record.holder) {
                     self.term_written_away(function, record, outcome.version);
                 }
             }
             DIFFERS => {
                 let current_record = LeaderRecord::decode(&outcome.value);
-                self.leadership.election.differs(function, outcome.version, current_record, now);
+                self.leadership.election.handle_conflict(function, outcome.version, current_record, now);
             }
-            _ => self.leadership.election.unanswered(function, now),
+            _ => self.leadership.election.handle_no_response(function, now),
         }
     }
 
@@ -199,7 +199,7 @@
             VIA_GOSSIP => self.configuration_elsewhere(from),
             _ => ConfigurationResponse::Unconfirmed,
         };
-        self.emit(Action::ConfigurationAnswered { request, response });
+        self.emit(Action::ConfigurationRead { request, response });
     }
 
     /// Fills in the value, where it is needed, of a response that only confirms this node's own value. If
@@ -218,7 +218,7 @@
 
     fn configuration_elsewhere(&self, node: NodeId) -> ConfigurationResponse {
         let address = self.members.find(node).map(|member| member.address);
-        address.map_or(ConfigurationResponse::Unconfirmed, ConfigurationResponse::Elsewhere)
+        address.map_or(ConfigurationResponse::Unconfirmed, ConfigurationResponse::NewerOnPeer)
     }
 
     /// Expires writes and polls without a response; the next attempt goes to another voter.
@@ -269,12 +269,14 @@
 
     fn attempt_unanswered(&mut self, purpose: WritePurpose) {
         match purpose {
-            WritePurpose::Leader { function, .. } => self.leadership.election.unanswered(&function, self.now),
+            WritePurpose::Leader { function, .. } => {
+                self.leadership.election.handle_no_response(&function, self.now)
+            }
             WritePurpose::Configuration | WritePurpose::ConfigurationCheck => self.configuration_unanswered(),
             WritePurpose::DisksCopy { key, generation } => self.copy_answered(&key, generation, false),
             WritePurpose::ConfigurationRequested { request } => {
                 let response = ConfigurationResponse::Unconfirmed;
-                self.emit(Action::ConfigurationAnswered { request, response });
+                self.emit(Action::ConfigurationRead { request, response });
             }
             WritePurpose::UsageRead => self.usage_read_unanswered(),
             WritePurpose::UsageWrite => self.usage_write_unanswered(),
--- a/packages/node_protocol/src/control_store/voter_changes.rs
+++ b/packages/node_protocol/src/control_store/voter_changes.rs
@@ -128,7 +128,7 @@
 
     pub(super) fn keys_received(&mut self, disk: u64, fleet_set: u64, keys: List<Text>) {
         if let Some(copy) = &mut self.control.copy {
-            copy.listed(disk, fleet_set, keys.0.into_iter().map(|key| key.0));
+            copy.record_list(disk, fleet_set, keys.0.into_iter().map(|key| key.0));
         }
     }
 
@@ -136,7 +136,7 @@
     pub(super) fn copy_answered(&mut self, key: &str, generation: u64, is_confirmed: bool) {
         let copy = self.control.copy.as_mut().filter(|copy| copy.generation() == generation);
         if let Some(copy) = copy {
-            copy.answered(key, is_confirmed);
+            copy.record_read(key, is_confirmed);
         }
     }
 }
--- a/packages/node_protocol/src/decision_log.rs
+++ b/packages/node_protocol/src/decision_log.rs
@@ -48,8 +48,8 @@
     }
 
     /// The lines after a sequence number, oldest first. Example: `decision_log.after(12, 100)`.
-    pub fn after(&self, sequence: u64, most: usize) -> Vec<DecisionLine> {
-        self.lines.iter().filter(|line| line.sequence > sequence).take(most).cloned().collect()
+    pub fn after(&self, sequence: u64, limit: usize) -> Vec<DecisionLine> {
+        self.lines.iter().filter(|line| line.sequence > sequence).take(limit).cloned().collect()
     }
 
     /// The number of decisions of each kind. Example: `decision_log.counts()["steward_taken"]`.
--- a/packages/node_protocol/src/function_leadership.rs
+++ b/packages/node_protocol/src/function_leadership.rs
@@ -5,7 +5,7 @@
 mod platform_operations;
 mod quotas;
 
-use crate::node::{Node, PAUSE_A_MEMBER};
+use crate::node::{Node, PAUSE_PER_MEMBER};
 use crate::platform_list::PlatformListCache;
 use crate::{Action, Policy};
 use configuration_schema::{Function, FunctionTargets, KeptBy};
@@ -35,7 +35,7 @@
 /// After a failed list the next one is requested sooner than usual.
 const LIST_RETRY_PAUSE: Micros = Micros::from_millis(300);
 const LIST_TIMEOUT: Micros = Micros::from_secs(3);
-/// A node that has not reported its held permits is asked again after this.
+/// The request to a node that has not reported its held permits is repeated after this.
 const HELD_REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
 const UNSETTLED_POLL_INTERVAL: Micros = Micros::from_millis(100);
 const FRESH_LIST_AGE: Micros = Micros::from_millis(2_200);
@@ -211,7 +211,7 @@
         self.update_capacities(&members);
         self.leadership.max_member_count = self.leadership.max_member_count.max(self.member_count());
         let is_check_due = self.leadership.unsettled_poll_ticker.due(now);
-        let pause = Micros(PAUSE_A_MEMBER.0 * members.len() as u64);
+        let pause = Micros(PAUSE_PER_MEMBER.0 * members.len() as u64);
         let (poll_every, poll_pause) = self.poll_pauses(members.len());
         if is_check_due {
             self.leadership.is_unsettled = self.leadership.election.is_unsettled(&members, now);
@@ -268,7 +268,7 @@
     /// results only with their next poll.
     fn poll_pauses(&self, member_count: usize) -> (Micros, Micros) {
         let poll = self.settings.election.poll;
-        let pause = |requesters: usize| Micros(PAUSE_A_MEMBER.0 * requesters as u64);
+        let pause = |requesters: usize| Micros(PAUSE_PER_MEMBER.0 * requesters as u64);
         match (self.zones.relay(), self.polled_relay()) {
             (None, _) => (poll, pause(member_count)),
             (Some(relay), _) if relay == self.settings.node => {
@@ -394,7 +394,7 @@
                     past_gate,
                     waited,
                     transferred_epoch,
-                    is_kept,
+                    is_first_or_reclaimed,
                 } => {
                     self.decision_log.append(
                         "steward_taken",
@@ -407,7 +407,7 @@
                     self.leadership.action_guard.term_taken(
                         &function,
                         leader_epoch,
-                        (transferred_epoch, is_kept),
+                        (transferred_epoch, is_first_or_reclaimed),
                         self.now,
                     );
                     self.start_scheduler(&function, leader_epoch);
@@ -454,14 +454,14 @@
             self.known_ready(function).into_iter().map(|instance| instance.id).collect();
         if self.leadership.has_list {
             let own_instances = instances_of(&self.leadership.instances, function);
-            scheduler.listed(&own_instances, &known_ready, now, now);
+            scheduler.handle_list(&own_instances, &known_ready, now, now);
         } else {
             scheduler.hold_starts(now + FIRST_LIST_WAIT);
         }
         let own_held = self.calls.held_for(function, now);
         let held_permits =
             own_held.into_iter().map(|held| (held.permit, Micros(held.ends_in_micros))).collect();
-        scheduler.record_held_permit(self.settings.node, held_permits, now);
+        scheduler.record_held_permits(self.settings.node, held_permits, now);
         self.leadership.schedulers.insert(function.to_owned(), scheduler);
         // Held permits are requested at the next tick, in one batch with other functions taken by then.
         self.leadership.held_requested.remove(function);
@@ -515,12 +515,12 @@
                 let latency = Micros(latency_micros);
                 if permit.leader_epoch == 0 {
                     if let Some(fallback) = self.leadership.fallbacks.get_mut(&permit.function.0) {
-                        fallback.returned(permit.id, outcome, now);
+                        fallback.handle_permit_return(permit.id, outcome, now);
                     }
                     return;
                 }
                 if let Some(scheduler) = self.leadership.schedulers.get_mut(&permit.function.0) {
-                    scheduler.returned(&permit, outcome, latency, now);
+                    scheduler.handle_permit_return(&permit, outcome, latency, now);
                 }
                 self.forward_return(&permit, outcome, latency_micros);
                 self.relay_return(permit, outcome, latency_micros);
@@ -549,7 +549,7 @@
             request_id,
             ref function,
             time_left_micros,
-            extra,
+            dispatches,
             ref avoid,
             fallback,
             target_left_micros,
@@ -574,12 +574,12 @@
             let late_at = Micros(now.0.saturating_add(target_left_micros));
             let urgency = Urgency { late_at, rank, tenant, is_nested: nested == 1 };
             let details = RequestDetails { avoid: &avoid.0, urgency, zone };
-            scheduler.request_with_details(from, request_id, time_left, u32::from(extra), details, now);
+            scheduler.request_with_details(from, request_id, time_left, u32::from(dispatches), details, now);
             return;
         }
         let leader = self.leader_of(&function.0);
         if leader.is_none() {
-            self.leadership.election.call_waits(&function.0);
+            self.leadership.election.record_waiting_call(&function.0);
         }
         if fallback != AS_LEADER && self.handle_request_as_fallback(from, leader, &message) {
             return;
@@ -597,13 +597,20 @@
         leader: Option<NodeId>,
         message: &Message,
     ) -> bool {
-        let Message::PermitRequest { request_id, function, time_left_micros, extra, avoid, fallback, .. } =
-            message
+        let Message::PermitRequest {
+            request_id,
+            function,
+            time_left_micros,
+            dispatches,
+            avoid,
+            fallback,
+            ..
+        } = message
         else {
             return false;
         };
         let time_left = Micros(*time_left_micros);
-        if let Some(permit) = self.fallback_permit(&function.0, *extra > 0, &avoid.0, time_left) {
+        if let Some(permit) = self.fallback_permit(&function.0, *dispatches > 0, &avoid.0, time_left) {
             self.counts.fallback_permits += 1;
             self.send(from, Message::PermitGranted { request_id: *request_id, permit });
             return true;
@@ -625,13 +632,13 @@
             .into_iter()
             .map(|held| (held.permit, Micros(held.ends_in_micros.min(120_000_000))))
             .collect();
-        scheduler.record_held_permit(from, held_permits, now);
+        scheduler.record_held_permits(from, held_permits, now);
     }
 
     fn fallback_permit(
         &mut self,
         function: &str,
-        is_extra: bool,
+        is_retry: bool,
         avoid: &str,
         time_left: Micros,
     ) -> Option<Permit> {
@@ -662,7 +669,7 @@
         let request = FallbackRequest {
             permit_id: peer_messages::stable_hash(permit_name.as_bytes()),
             function,
-            is_extra,
+            is_retry,
             avoid,
             ends_at: now + time_left + Micros::from_secs(1),
         };
@@ -730,13 +737,13 @@
             self.leadership.is_platform_silent = true;
             self.decision_log.append("platform_silent", json!({}), self.now);
         }
-        self.note_list_failed();
+        self.record_list_failure();
     }
 
-    pub(crate) fn listed(&mut self, workers: Vec<ListedWorker>, instances: Vec<ListedInstance>) {
+    pub(crate) fn handle_list_result(&mut self, workers: Vec<ListedWorker>, instances: Vec<ListedInstance>) {
         let Some(requested_at) = self.leadership.list_requested_at.take() else { return };
         self.leadership.is_list_stale = false;
-        self.note_list(&workers, &instances, requested_at);
+        self.record_list(&workers, &instances, requested_at);
         self.update_list(workers, instances, requested_at);
     }
 
@@ -778,7 +785,7 @@
                 self.known_ready(&function).into_iter().map(|instance| instance.id).collect();
             let own_instances = instances_of(&self.leadership.instances, &function);
             if let Some(scheduler) = self.leadership.schedulers.get_mut(&function) {
-                scheduler.listed(&own_instances, &known_ready, requested_at, now);
+                scheduler.handle_list(&own_instances, &known_ready, requested_at, now);
                 let placement = &self.leadership.placement;
                 scheduler.set_worker_zones(placement.zones());
                 scheduler.evacuate_workers(|worker| placement.is_usable(worker), now);
@@ -900,7 +907,7 @@
                 };
                 if queued_starts.len() >= START_QUEUE_LIMIT {
                     if let Some(scheduler) = self.leadership.schedulers.get_mut(function) {
-                        scheduler.started(&start_id, StartOutcome::NoRoom, self.now);
+                        scheduler.handle_start_outcome(&start_id, StartOutcome::NoRoom, self.now);
                     }
                     return;
                 }
--- a/packages/node_protocol/src/function_leadership/handover.rs
+++ b/packages/node_protocol/src/function_leadership/handover.rs
@@ -93,7 +93,7 @@
             let rate =
                 self.leadership.schedulers.get(&function).map_or(0.0, |scheduler| scheduler.call_rate(now));
             let min_capacity = (rate * CALL_COST_MILLICORES / LARGE_SHARE) as u32;
-            if let Some(successor) = successors.name(&function, min_capacity) {
+            if let Some(successor) = successors.pick(&function, min_capacity) {
                 successors_by_function.push((function, successor));
             }
         }
@@ -131,7 +131,7 @@
             function: function.into(),
             version,
             record: record.clone(),
-            is_whole: u8::from(outgoing.state.is_whole),
+            is_complete: u8::from(outgoing.state.is_complete),
             permits: List(permits),
             demand: outgoing.state.demand.clone(),
         };
@@ -200,7 +200,7 @@
     /// This node was named as successor: it observes the record at once instead of with the next poll.
     pub(super) fn term_transferred(&mut self, from: NodeId, message: Message) {
         let now = self.now;
-        let Message::TermTransferred { function, version, record, is_whole, permits, demand } = message
+        let Message::TermTransferred { function, version, record, is_complete, permits, demand } = message
         else {
             return;
         };
@@ -208,7 +208,7 @@
             return;
         }
         let state =
-            HandoverState { is_whole: is_whole == 1, permits: permits.0, requests: Vec::new(), demand };
+            HandoverState { is_complete: is_complete == 1, permits: permits.0, requests: Vec::new(), demand };
         if self.draining_since.is_some() {
             self.transfer_to_next_successor(&function.0, version, record, state);
             return;
@@ -230,7 +230,7 @@
         let now = self.now;
         let members = self.serving_members();
         let mut successors = leader_election::Successors::new(&self.leadership.election, &members, now);
-        let Some(successor) = successors.name(function, 0) else { return };
+        let Some(successor) = successors.pick(function, 0) else { return };
         let outgoing =
             OutgoingTerm { successor, transferred_at: now, is_written: false, state, requests: Vec::new() };
         self.leadership.handovers.outgoing.insert(function.to_owned(), outgoing);
@@ -246,7 +246,7 @@
         if let Some(scheduler) = self.leadership.schedulers.get_mut(function) {
             scheduler.resume_demand(&incoming.state.demand, now);
             let is_transferred_epoch = transferred_epoch == Some(incoming.leader_epoch);
-            if is_transferred_epoch && incoming.state.is_whole {
+            if is_transferred_epoch && incoming.state.is_complete {
                 scheduler.accept_handover(incoming.state.permits, now);
             }
         }
@@ -319,7 +319,7 @@
         request_id: transferred.request_id,
         function: function.into(),
         time_left_micros: transferred.time_left.0,
-        extra: u8::try_from(transferred.dispatches).unwrap_or(u8::MAX),
+        dispatches: u8::try_from(transferred.dispatches).unwrap_or(u8::MAX),
         avoid: transferred.avoid.as_str().into(),
         fallback: AS_LEADER,
         target_left_micros: transferred.target_left.map_or(u64::MAX, |left| left.0),
--- a/packages/node_protocol/src/function_leadership/platform_operations.rs
+++ b/packages/node_protocol/src/function_leadership/platform_operations.rs
@@ -152,12 +152,12 @@
 
     /// The platform accepted an operation.
     pub(crate) fn operation_accepted(&mut self) {
-        self.leadership.rate.accepted();
+        self.leadership.rate.record_accepted();
     }
 
     /// The platform throttled an operation: its rate limit was exceeded.
     pub(crate) fn operation_throttled(&mut self) {
-        self.leadership.rate.throttled(self.now);
+        self.leadership.rate.record_throttled(self.now);
     }
 
     /// The index of the first function that the action guard does not bar.
@@ -178,7 +178,7 @@
             }
         }
         if let Some(scheduler) = self.leadership.schedulers.get_mut(&start.function) {
-            scheduler.started(&start.start_id, outcome, now);
+            scheduler.handle_start_outcome(&start.start_id, outcome, now);
         }
     }
 
@@ -192,14 +192,14 @@
             // The platform may have refused the fence rather than the worker, and the start is no longer needed here.
             StartResult::NoRoom | StartResult::Unknown if is_term_over => {}
             StartResult::Started { instance, address } => {
-                self.leadership.rate.accepted();
+                self.leadership.rate.record_accepted();
                 self.finish_start(&start, StartOutcome::Started { instance, address, worker });
             }
             StartResult::NoRoom => {
                 let configuration = self.configuration.current();
                 let memory_mb =
                     configuration.functions.get(&start.function).map_or(0, |f| f.instance_memory_mb);
-                self.leadership.placement.refused(&worker, memory_mb, now);
+                self.leadership.placement.record_refusal(&worker, memory_mb, now);
                 if start.attempts >= NO_ROOM_ATTEMPTS {
                     self.finish_start(&start, StartOutcome::NoRoom);
                     return;
@@ -208,7 +208,7 @@
                 self.leadership.queued_starts.push_front(start);
             }
             StartResult::Throttled => {
-                self.leadership.rate.throttled(now);
+                self.leadership.rate.record_throttled(now);
                 self.decision_log.append("throttled", json!({"function": start.function}), now);
                 start.attempts = start.attempts.saturating_sub(1);
                 if !is_term_over {
@@ -231,7 +231,7 @@
             self.leadership.action_guard.operation_answered(&function, self.now);
         }
         if result == StopResult::Throttled {
-            self.leadership.rate.throttled(self.now);
+            self.leadership.rate.record_throttled(self.now);
             self.decision_log.append("throttled", json!({"cell": instance}), self.now);
         }
         // The function's scheduler repeats a stop that had no effect.
--- a/packages/node_protocol/src/lib.rs
+++ b/packages/node_protocol/src/lib.rs
@@ -119,7 +119,7 @@
     /// The bytes stored on a majority of the disks.
     Stored(Vec<u8>),
     /// The stored value is newer than this node's; the peer at this address has it.
-    Elsewhere(Address),
+    NewerOnPeer(Address),
     /// No majority responded in time.
     Unconfirmed,
 }
@@ -162,7 +162,7 @@
     /// An operator's read of the configuration, to be confirmed by a majority of the disks.
     ConfigurationRequested { request: u64 },
     /// An operator's read of the decision stream.
-    DecisionsRequested { request: u64, after: Vec<(NodeId, u64)>, most: u32 },
+    DecisionsRequested { request: u64, after: Vec<(NodeId, u64)>, limit: u32 },
     /// Drain this node: release its leases and accept no new work.
     Drain,
     /// The seeds in the settings file have changed.
@@ -209,11 +209,11 @@
     /// The hosts of the instances in the newest list: calls from these hosts are nested calls.
     InstanceHosts { hosts: BTreeSet<IpAddr> },
     /// The outcome of an operator's change.
-    ChangeAnswered { request: u64, change_id: String, outcome: ChangeOutcome },
+    ChangeCompleted { request: u64, change_id: String, outcome: ChangeOutcome },
     /// The result of a confirmed read of the configuration.
-    ConfigurationAnswered { request: u64, response: ConfigurationResponse },
+    ConfigurationRead { request: u64, response: ConfigurationResponse },
     /// The decision lines after the given cursor, and the cursor that follows them.
-    DecisionsAnswered { request: u64, lines: Vec<DecisionLine>, cursor: Vec<(NodeId, u64)> },
+    DecisionsRead { request: u64, lines: Vec<DecisionLine>, cursor: Vec<(NodeId, u64)> },
     /// The node knows the newest configuration and may accept calls.
     Ready,
     /// All leases are released: the process may exit once its calls are done.
--- a/packages/node_protocol/src/node.rs
+++ b/packages/node_protocol/src/node.rs
@@ -91,7 +91,7 @@
     cursor: BTreeMap<NodeId, u64>,
     awaited_nodes: BTreeSet<NodeId>,
     ends_at: Micros,
-    most: usize,
+    limit: usize,
 }
 
 /// One node. Example: `let actions = node.handle(Event::Tick, now);`.
@@ -125,7 +125,7 @@
 
 /// The minimum pause, for each member, between periodic messages that every node sends to an owner or to all
 /// others. It limits what one node receives to about 200 such messages a second, whatever the fleet's size.
-pub(crate) const PAUSE_A_MEMBER: Micros = Micros::from_millis(5);
+pub(crate) const PAUSE_PER_MEMBER: Micros = Micros::from_millis(5);
 const DECISIONS_QUERY_TIMEOUT: Micros = Micros::from_millis(600);
 const DRAIN_TIMEOUT: Micros = Micros::from_millis(2_000);
 /// A node without a tick for this long was frozen (its process or machine was suspended).
@@ -213,7 +213,7 @@
             Event::DiskUnsynced => self.disk_unsynced(),
             Event::DiskUnusable { reason } => self.disk_unusable(reason),
             Event::DiskQuarantined => self.disk_quarantined(),
-            Event::Listed { workers, instances } => self.listed(workers, instances),
+            Event::Listed { workers, instances } => self.handle_list_result(workers, instances),
             Event::ListFailed => self.list_failed(),
             Event::StartDone { start_id, result } => self.start_done(&start_id, result),
             Event::StopDone { instance, result } => self.stop_done(&instance, result),
@@ -221,8 +221,8 @@
             Event::WallClock { unix } => self.wall_clock_read(unix),
             Event::ChangeRequested { request, change } => self.change_requested(request, change),
             Event::ConfigurationRequested { request } => self.configuration_requested(request),
-            Event::DecisionsRequested { request, after, most } => {
-                self.decisions_requested(request, after, most)
+            Event::DecisionsRequested { request, after, limit } => {
+                self.decisions_requested(request, after, limit)
             }
             Event::Drain => self.drain(),
             Event::SeedsChanged { seeds } => {
@@ -294,7 +294,7 @@
             | Message::MembersDigest { .. }
             | Message::MembersResponse { .. } => {
                 let now = self.now;
-                for (address, response) in self.members.received(from, from_address, message, now) {
+                for (address, response) in self.members.handle_message(from, from_address, message, now) {
                     self.send_to_address(address, response);
                 }
                 self.handle_member_changes();
@@ -304,7 +304,7 @@
             | Message::GossipVersions { .. }
             | Message::GossipRequest { .. }
             | Message::GossipBodyChanges { .. } => {
-                let (newer_topics, sends) = self.gossip.received(from, message);
+                let (newer_topics, sends) = self.gossip.handle_message(from, message);
                 for (node, response) in sends {
                     self.send(node, response);
                 }
@@ -345,10 +345,11 @@
             Message::UsageUpdate { .. } | Message::UsageAck { .. } => {
                 self.handle_usage_message(from, message)
             }
-            Message::DecisionsRequest { request_id, after, most } => {
+            Message::DecisionsRequest { request_id, after, limit } => {
                 let after_own = after.0.iter().find(|position| position.node == self.settings.node);
-                let lines =
-                    self.decision_log.after(after_own.map_or(0, |position| position.sequence), most as usize);
+                let lines = self
+                    .decision_log
+                    .after(after_own.map_or(0, |position| position.sequence), limit as usize);
                 self.send(from, Message::DecisionsResponse { request_id, lines: List(lines) });
             }
             Message::DecisionsResponse { request_id, lines } => {
@@ -460,15 +461,15 @@
         nodes.max_by_key(|node| (rendezvous_weight(name, *node), *node))
     }
 
-    fn decisions_requested(&mut self, request: u64, after: Vec<(NodeId, u64)>, most: u32) {
+    fn decisions_requested(&mut self, request: u64, after: Vec<(NodeId, u64)>, limit: u32) {
         let request_id = self.next_request_id();
-        let most = most.min(2_000);
+        let limit = limit.min(2_000);
         let positions: List<CursorPosition> = after
             .iter()
             .map(|(node, sequence)| CursorPosition { node: *node, sequence: *sequence })
             .collect();
         if self.decisions_queries.len() >= DECISIONS_QUERY_LIMIT {
-            self.emit(Action::DecisionsAnswered { request, lines: Vec::new(), cursor: after });
+            self.emit(Action::DecisionsRead { request, lines: Vec::new(), cursor: after });
             return;
         }
         let nodes: BTreeSet<NodeId> = self.members.live().iter().map(|member| member.node).collect();
@@ -480,11 +481,11 @@
                 cursor: after.into_iter().collect(),
                 awaited_nodes: nodes.clone(),
                 ends_at: self.now + DECISIONS_QUERY_TIMEOUT,
-                most: most as usize,
+                limit: limit as usize,
             },
         );
         for node in nodes {
-            self.send(node, Message::DecisionsRequest { request_id, after: positions.clone(), most });
+            self.send(node, Message::DecisionsRequest { request_id, after: positions.clone(), limit });
         }
     }
 
@@ -500,11 +501,11 @@
 
     fn finish_decisions_query(&mut self, request_id: u64) {
         let Some(mut query) = self.decisions_queries.remove(&request_id) else { return };
-        query.lines.truncate(query.most);
+        query.lines.truncate(query.limit);
         for line in &query.lines {
             query.cursor.insert(line.node, line.sequence);
         }
-        self.emit(Action::DecisionsAnswered {
+        self.emit(Action::DecisionsRead {
             request: query.request,
             lines: query.lines,
             cursor: query.cursor.into_iter().collect(),
--- a/packages/node_protocol/src/permit_ledger.rs
+++ b/packages/node_protocol/src/permit_ledger.rs
@@ -36,8 +36,8 @@
 
 impl PermitLedger {
     /// Records a leader epoch; permits of older epochs are not used from now on.
-    /// Example: `ledger.saw_epoch("proof", 4)`.
-    pub fn saw_epoch(&mut self, function: &str, leader_epoch: u64) {
+    /// Example: `ledger.record_epoch("proof", 4)`.
+    pub fn record_epoch(&mut self, function: &str, leader_epoch: u64) {
         let newest_epoch = self.newest_epochs.entry(function.to_owned()).or_default();
         *newest_epoch = leader_epoch.max(*newest_epoch);
     }
@@ -54,7 +54,7 @@
     ) -> PermitAdmission {
         let newest_epoch = self.newest_epochs.get(&permit.function.0).copied().unwrap_or(0);
         let is_stale = permit.leader_epoch != 0 && permit.leader_epoch < newest_epoch;
-        self.saw_epoch(&permit.function.0, permit.leader_epoch);
+        self.record_epoch(&permit.function.0, permit.leader_epoch);
         if self.entries.contains_key(&permit.id) {
             return PermitAdmission::Repeated;
         }
--- a/packages/node_protocol/src/platform_list.rs
+++ b/packages/node_protocol/src/platform_list.rs
@@ -218,7 +218,7 @@
 
     /// Stores a list received from the platform, or pulled by a relay, for the peers that pull it from this
     /// node.
-    pub(crate) fn note_list(
+    pub(crate) fn record_list(
         &mut self,
         workers: &[ListedWorker],
         instances: &[ListedInstance],
@@ -236,7 +236,7 @@
 
     /// The platform did not respond to this node: notifies the waiting peers, which then try another
     /// lister.
-    pub(crate) fn note_list_failed(&mut self) {
+    pub(crate) fn record_list_failure(&mut self) {
         self.leadership.lists.failed_pulls = 0;
         let waiting = std::mem::take(&mut self.leadership.lists.waiting);
         for node in waiting.into_keys() {
@@ -311,7 +311,7 @@
                 let instances: Vec<ListedInstance> = copy.instances.values().cloned().collect();
                 if self.leadership.listed_at.is_none_or(|newest_at| listed_at > newest_at) {
                     if self.zones.may_relay() {
-                        self.note_list(&workers, &instances, listed_at);
+                        self.record_list(&workers, &instances, listed_at);
                     }
                     self.update_list(workers, instances, listed_at);
                 }
--- a/packages/node_protocol/src/usage_reporting.rs
+++ b/packages/node_protocol/src/usage_reporting.rs
@@ -6,7 +6,7 @@
 //! and no election of its own.
 
 use crate::control_store::WritePurpose;
-use crate::node::{Node, PAUSE_A_MEMBER};
+use crate::node::{Node, PAUSE_PER_MEMBER};
 use crate::{Action, UsageResult};
 use control_registers::{DIFFERS, USAGE_KEY, WRITTEN};
 use function_scheduler::{NOT_RUN, REFUSED_BUSY, UNUSED};
@@ -200,7 +200,7 @@
     pub(crate) fn usage_resumed_after_freeze(&mut self) {
         self.usage.stored_register = None;
         self.usage.collector_since = None;
-        self.usage.clock.woke_up();
+        self.usage.clock.discard_readings();
     }
 
     /// The collector and the standby collector, which only stores the updates it receives. Machines with disks are
@@ -253,7 +253,7 @@
         let (Some(collector), Some(length)) = (collector, self.usage_length()) else { return };
         let clock = self.usage.clock.unix(now).unwrap_or_default();
         let open_window = length.number_at(clock);
-        let least_pause = Micros(PAUSE_A_MEMBER.0 * self.member_count() as u64).max(every);
+        let least_pause = Micros(PAUSE_PER_MEMBER.0 * self.member_count() as u64).max(every);
         let jitter = Micros::from_millis(self.settings.node % UPDATE_JITTER_MILLIS);
         let usage = &mut self.usage;
         let progress = usage.sent_progress.entry(collector).or_default();
@@ -345,7 +345,7 @@
                 if let Some(progress) = self.usage.sent_progress.get_mut(&from) {
                     progress.acknowledged = sequence;
                 }
-                self.usage.usage_counter.decided_below(next_window);
+                self.usage.usage_counter.set_decided_below(next_window);
                 if clock_micros > 0 && self.usage_collectors().0 == Some(from) {
                     self.usage.clock.set_fleet_time(Micros(clock_micros), now);
                 }
@@ -534,7 +534,7 @@
         }
         if let Some(register) = &register {
             self.usage.record_holder(register.fence, register.process);
-            self.usage.usage_counter.decided_below(register.next_window);
+            self.usage.usage_counter.set_decided_below(register.next_window);
         }
         self.usage.set_stored_register(version, register, now);
     }
--- a/packages/peer_messages/src/lib.rs
+++ b/packages/peer_messages/src/lib.rs
@@ -98,9 +98,9 @@
         /// `granted`: 0 refused, 1 stored, 2 the disk does not hold the value of the entry's digest.
         StoredEntry { key: Text, epoch: Epoch, attempt: u64, version: u64, granted: u8, promised: Epoch, }
         PolledRecord { key: Text, version: u64, value: Bytes, }
-        /// A record that was only renewed since the requester's last poll; `place` is its index among the
+        /// A record that was only renewed since the requester's last poll; `index` is its position among the
         /// polled keys.
-        RenewedRecord { place: u16, version: u64, }
+        RenewedRecord { index: u16, version: u64, }
         /// `urgent` 1 requests an immediate flush; renewals are sent in groups.
         WriteEntry { request_id: u64, key: Text, expected: u64, value: Bytes, urgent: u8, }
         /// `outcome`: 0 written, 1 version differs (`value` is the current one), 2 not owner, 3 no majority,
@@ -205,14 +205,15 @@
             renewed: List<RenewedRecord>,
             silent: List<NodeId>,
         }
-        /// `fallback`: a value of `permit_request`. `target_left_micros`: time until the response exceeds the
-        /// route's target latency, all ones if the route has no target. `rank`: the tenant's rank, then the
-        /// route's. `tenant`: [`tenant_hash`], zero for none.
+        /// `dispatches`: earlier dispatches of the call. `fallback`: a value of `permit_request`.
+        /// `target_left_micros`: time until the response exceeds the route's target latency, all ones if the
+        /// route has no target. `rank`: the tenant's rank, then the route's. `tenant`: [`tenant_hash`], zero for
+        /// none.
         "30" PermitRequest as "TicketAsk" {
             request_id: u64,
             function: Text,
             time_left_micros: u64,
-            extra: u8,
+            dispatches: u8,
             avoid: Text,
             fallback: u8,
             target_left_micros: u64,
@@ -230,13 +231,13 @@
         "35" HeldPermitsRequest as "HeldAsk" { functions: List<HeldPermitsRequestEntry>, }
         "36" HeldPermitsResponse as "HeldAnswer" { functions: List<HeldPermitsResponseEntry>, }
         /// The sender led the function under the epoch of this record and transferred its term to the
-        /// receiver, which the record at this version names as the holder. `is_whole` 1 if the list has all
+        /// receiver, which the record at this version names as the holder. `is_complete` 1 if the list has all
         /// permits in use.
         "37" TermTransferred as "TermHandedOver" {
             function: Text,
             version: u64,
             record: LeaderRecord,
-            is_whole: u8,
+            is_complete: u8,
             permits: List<TransferredPermit>,
             demand: TransferredDemand,
         }
@@ -261,7 +262,7 @@
         /// The sequence up to which the counts are stored. A collector adds the lowest undecided window and
         /// the fleet's clock; both are zero if the sender is not a collector or does not know them.
         "71" UsageAck as "UsageHeard" { sequence: u64, next_window: u64, clock_micros: u64, holder: NodeId, fence: u64, }
-        "50" DecisionsRequest as "DecisionsAsk" { request_id: u64, after: List<CursorPosition>, most: u32, }
+        "50" DecisionsRequest as "DecisionsAsk" { request_id: u64, after: List<CursorPosition>, limit: u32, }
         "51" DecisionsResponse as "DecisionsAnswer" { request_id: u64, lines: List<DecisionLine>, }
     }
 }
--- a/packages/platform_client/src/lib.rs
+++ b/packages/platform_client/src/lib.rs
@@ -126,7 +126,7 @@
         usage: UsageDocument,
     ) -> LocalBoxFuture<'static, UsageResponse>;
     /// The same platform at another address. Example: after a reload of the settings.
-    fn moved(&self, address: SocketAddr) -> Rc<dyn PlatformApi>;
+    fn with_address(&self, address: SocketAddr) -> Rc<dyn PlatformApi>;
 }
 
 impl PlatformApi for PlatformClient {
@@ -155,7 +155,7 @@
         Box::pin(async move { PlatformClient::report_usage(&client, &report).await })
     }
 
-    fn moved(&self, address: SocketAddr) -> Rc<dyn PlatformApi> {
+    fn with_address(&self, address: SocketAddr) -> Rc<dyn PlatformApi> {
         Rc::new(PlatformClient::new(address))
     }
 }
--- a/packages/supervisor/src/lib.rs
+++ b/packages/supervisor/src/lib.rs
@@ -105,7 +105,7 @@
             Ok(Err(failure)) => format!("{failure:?}"),
             Err(join_error) => join_error.to_string(),
         };
-        log::error!("{} failed: {reason}", child.name);
+        log::error!("supervised task {} failed: {reason}", child.name);
         failed_at.retain(|failed| failed.elapsed() < restart_policy.within);
         failed_at.push(Instant::now());
         if failed_at.len() > restart_policy.restarts {
--- a/packages/usage_reports/src/fleet_clock.rs
+++ b/packages/usage_reports/src/fleet_clock.rs
@@ -67,8 +67,8 @@
     }
 
     /// Discards reported readings after the process was suspended: they are stale by an unknown time.
-    /// Example: `clock.woke_up()`.
-    pub fn woke_up(&mut self) {
+    /// Example: `clock.discard_readings()`.
+    pub fn discard_readings(&mut self) {
         self.reported_offsets.clear();
         self.is_agreed = false;
     }
--- a/packages/usage_reports/src/tests.rs
+++ b/packages/usage_reports/src/tests.rs
@@ -41,9 +41,9 @@
 fn a_call_is_not_counted_in_a_decided_window() {
     let (mut usage_counter, tenant) = (UsageCounter::default(), Arc::from("acme"));
     usage_counter.add(7, &tenant, NOW);
-    usage_counter.decided_below(8);
+    usage_counter.set_decided_below(8);
     assert!(!usage_counter.add(7, &tenant, NOW));
-    usage_counter.decided_below(2);
+    usage_counter.set_decided_below(2);
     assert_eq!((usage_counter.open_from(), usage_counter.changed_since(0)), (8, List(Vec::new())));
 }
 
--- a/packages/usage_reports/src/usage_counter.rs
+++ b/packages/usage_reports/src/usage_counter.rs
@@ -72,8 +72,8 @@
     }
 
     /// Marks the windows below this one as decided and drops their counts.
-    /// Example: `usage_counter.decided_below(8)`.
-    pub fn decided_below(&mut self, window: u64) {
+    /// Example: `usage_counter.set_decided_below(8)`.
+    pub fn set_decided_below(&mut self, window: u64) {
         if window > self.open_from {
             self.open_from = window;
             self.windows = self.windows.split_off(&window);
--- a/packages/vanelane/src/control_costs.rs
+++ b/packages/vanelane/src/control_costs.rs
@@ -23,7 +23,7 @@
     pub stale: u64,
 }
 
-/// Counts since the last log line. Example: `costs.sent("Probe", 90, true)`.
+/// Counts since the last log line. Example: `costs.record_sent("Probe", 90, true)`.
 #[derive(Debug)]
 pub struct ControlCosts {
     started_at: Instant,
@@ -39,28 +39,28 @@
     }
 
     /// Counts a frame of so many bytes that was passed to a link; `is_local` means a link within the zone.
-    /// Example: `costs.sent("Probe", 90, true)`.
-    pub fn sent(&mut self, kind: &'static str, bytes: usize, is_local: bool) {
+    /// Example: `costs.record_sent("Probe", 90, true)`.
+    pub fn record_sent(&mut self, kind: &'static str, bytes: usize, is_local: bool) {
         let cost = self.messages.entry(kind).or_default();
         cost.sent += 1;
         cost.sent_bytes += bytes as u64;
         cost.remote_bytes += if is_local { 0 } else { bytes as u64 };
     }
 
-    /// Counts a message that was handled after this wait. Example: `costs.received("Probe", waited)`.
-    pub fn received(&mut self, kind: &'static str, waited: Duration) {
+    /// Counts a message that was handled after this wait. Example: `costs.record_received("Probe", waited)`.
+    pub fn record_received(&mut self, kind: &'static str, waited: Duration) {
         let cost = self.messages.entry(kind).or_default();
         cost.received += 1;
         cost.waited += waited;
     }
 
-    /// Counts a message that was dropped unhandled. Example: `costs.stale("RecordsPoll")`.
-    pub fn stale(&mut self, kind: &'static str) {
+    /// Counts a message that was dropped unhandled. Example: `costs.record_stale("RecordsPoll")`.
+    pub fn record_stale(&mut self, kind: &'static str) {
         self.messages.entry(kind).or_default().stale += 1;
     }
 
-    /// Adds time spent on an event. Example: `costs.spent("tick", started_at.elapsed())`.
-    pub fn spent(&mut self, category: &'static str, time: Duration) {
+    /// Adds time spent on an event. Example: `costs.record_time("tick", started_at.elapsed())`.
+    pub fn record_time(&mut self, category: &'static str, time: Duration) {
         *self.spent.entry(category).or_default() += time;
     }
 
--- a/packages/vanelane/src/control_costs/tests.rs
+++ b/packages/vanelane/src/control_costs/tests.rs
@@ -6,12 +6,12 @@
     let mut costs = ControlCosts::new(started_at);
     let counts = NodeCounts { permits_granted: 7, remote_permits: 2, ..NodeCounts::default() };
     for _ in 0..10 {
-        costs.sent("Probe", 100, true);
-        costs.received("Probe", Duration::from_millis(4));
+        costs.record_sent("Probe", 100, true);
+        costs.record_received("Probe", Duration::from_millis(4));
     }
-    costs.sent("News", 500, false);
-    costs.stale("RecordsPoll");
-    costs.spent("tick", Duration::from_millis(50));
+    costs.record_sent("News", 500, false);
+    costs.record_stale("RecordsPoll");
+    costs.record_time("tick", Duration::from_millis(50));
     assert_eq!(costs.due_line(started_at + Duration::from_secs(4), &counts), None);
     let line = costs.due_line(started_at + Duration::from_secs(5), &counts).expect("a line");
     let reported: serde_json::Value = line.parse().expect("JSON");
--- a/packages/vanelane/src/control_pages.rs
+++ b/packages/vanelane/src/control_pages.rs
@@ -126,7 +126,7 @@
     async fn decisions(self, query: &str) -> Page {
         let mut after = Vec::new();
         let mut is_following = false;
-        let mut most = DECISIONS_PER_RESPONSE;
+        let mut limit = DECISIONS_PER_RESPONSE;
         for (name, value) in query.split('&').filter_map(|part| part.split_once('=')) {
             match name {
                 "after" => match parse_cursor(value) {
@@ -137,7 +137,7 @@
                 },
                 "follow" => is_following = value == "1",
                 "most" => match value.parse::<u32>() {
-                    Ok(number) => most = number.clamp(1, 2_000),
+                    Ok(number) => limit = number.clamp(1, 2_000),
                     Err(_) => {
                         return json_page(StatusCode::BAD_REQUEST, &json!({"reason": "most is no number"}));
                     }
@@ -149,7 +149,7 @@
             }
         }
         if !is_following {
-            let Some(reply) = self.port.decisions(after, most).await else {
+            let Some(reply) = self.port.decisions(after, limit).await else {
                 return json_page(StatusCode::SERVICE_UNAVAILABLE, &json!({"reason": "no answer"}));
             };
             return page(StatusCode::OK, "application/x-ndjson", decision_lines(&reply));
@@ -160,7 +160,7 @@
                     tokio::time::sleep(FOLLOW_POLL_INTERVAL).await;
                 }
                 let requested = after.clone();
-                let reply = pages.port.decisions(requested, most).await?;
+                let reply = pages.port.decisions(requested, limit).await?;
                 let lines = if reply.lines.is_empty() { String::new() } else { decision_lines(&reply) };
                 Some((Ok::<Bytes, std::io::Error>(Bytes::from(lines)), (pages, reply.cursor, false)))
             });
@@ -221,7 +221,7 @@
             |reason: String| json_page(StatusCode::SERVICE_UNAVAILABLE, &json!({"reason": reason}));
         let stored = match self.port.confirmed_configuration().await {
             ConfirmedConfiguration::Stored(stored) => stored,
-            ConfirmedConfiguration::Elsewhere(address) => {
+            ConfirmedConfiguration::NewerOnPeer(address) => {
                 return unconfirmed(format!("this node's link is small: read it from the node at {address}"));
             }
             ConfirmedConfiguration::Unconfirmed => {
--- a/packages/vanelane/src/disk_thread.rs
+++ b/packages/vanelane/src/disk_thread.rs
@@ -47,7 +47,9 @@
         let newest_token = group.last().map_or(0, |work| work.token);
         if let Err(failure) = write_group(&mut file, &group) {
             // The record file refuses appends until a rewrite has restored it.
-            log::error!("the disk failed and is not trusted until it is rewritten: {failure:?}");
+            log::error!(
+                "disk write or sync failed; the record file is not used until it is rewritten: {failure:?}"
+            );
             done(newest_token, false);
             continue;
         }
--- a/packages/vanelane/src/operator_port.rs
+++ b/packages/vanelane/src/operator_port.rs
@@ -23,7 +23,7 @@
     /// It is stored on a majority of the disks.
     Stored(StoredConfiguration),
     /// The machine at this address has a newer one than this node.
-    Elsewhere(IpAddr),
+    NewerOnPeer(IpAddr),
     /// No majority of the disks answered in time.
     Unconfirmed,
 }
@@ -79,8 +79,8 @@
         match self.request(|reply| RuntimeEvent::ConfirmedConfiguration { reply }).await {
             Some(ConfigurationResponse::Stored(stored)) => StoredConfiguration::decode(&stored)
                 .map_or(ConfirmedConfiguration::Unconfirmed, ConfirmedConfiguration::Stored),
-            Some(ConfigurationResponse::Elsewhere(address)) => {
-                ConfirmedConfiguration::Elsewhere(address.socket().ip())
+            Some(ConfigurationResponse::NewerOnPeer(address)) => {
+                ConfirmedConfiguration::NewerOnPeer(address.socket().ip())
             }
             Some(ConfigurationResponse::Unconfirmed) | None => ConfirmedConfiguration::Unconfirmed,
         }
@@ -95,8 +95,8 @@
         Some(address.socket().ip())
     }
 
-    pub(crate) async fn decisions(&self, after: Vec<(NodeId, u64)>, most: u32) -> Option<DecisionsReply> {
-        self.request(|reply| RuntimeEvent::Decisions { after, most, reply }).await
+    pub(crate) async fn decisions(&self, after: Vec<(NodeId, u64)>, limit: u32) -> Option<DecisionsReply> {
+        self.request(|reply| RuntimeEvent::Decisions { after, limit, reply }).await
     }
 
     /// The node's status. Example: `port.status().await?.generation`.
--- a/packages/vanelane/src/peer_links.rs
+++ b/packages/vanelane/src/peer_links.rs
@@ -291,7 +291,7 @@
             }
             Ok(_) => {
                 counts.other_fleet.fetch_add(1, Ordering::Relaxed);
-                log::warn!(target: LOG_TARGET, "a node of another fleet speaks from {:?}", stream.get_ref().peer_addr().ok());
+                log::warn!(target: LOG_TARGET, "closed a connection from {:?}: the node belongs to another fleet", stream.get_ref().peer_addr().ok());
                 return;
             }
             Err(failure) => {
@@ -320,7 +320,7 @@
         FrameError::Checksum | FrameError::Malformed => &counts.damaged,
     };
     count.fetch_add(1, Ordering::Relaxed);
-    log::warn!(target: LOG_TARGET, "dropped a frame from {:?} after {} ms: {failure:?}",
+    log::warn!(target: LOG_TARGET, "dropped a frame from {:?}, {} ms after the start: {failure:?}",
         stream.peer_addr().ok(),
         clock.now().millis()
     );
--- a/packages/vanelane/src/protocol_runtime.rs
+++ b/packages/vanelane/src/protocol_runtime.rs
@@ -49,7 +49,7 @@
     },
     Decisions {
         after: Vec<(NodeId, u64)>,
-        most: u32,
+        limit: u32,
         reply: oneshot::Sender<DecisionsReply>,
     },
     Status {
@@ -62,7 +62,7 @@
         bytes: Option<usize>,
         reply: oneshot::Sender<Option<Address>>,
     },
-    PlatformMoved {
+    PlatformAddressChanged {
         address: std::net::SocketAddr,
     },
     Drain,
@@ -176,10 +176,10 @@
                 }
                 if waited > envelope.message.valid_for() {
                     self.links.count_stale();
-                    self.costs.stale(name);
+                    self.costs.record_stale(name);
                     return;
                 }
-                self.costs.received(name, waited);
+                self.costs.record_received(name, waited);
                 self.handle(Event::Received(envelope));
             }
             RuntimeEvent::DiskDone { token, is_synced } => self.handle(Event::DiskDone { token, is_synced }),
@@ -188,9 +188,9 @@
                 self.change_replies.insert(request, reply);
                 self.handle(Event::ChangeRequested { request, change });
             }
-            RuntimeEvent::Decisions { after, most, reply } => {
+            RuntimeEvent::Decisions { after, limit, reply } => {
                 self.decision_replies.insert(request, reply);
-                self.handle(Event::DecisionsRequested { request, after, most });
+                self.handle(Event::DecisionsRequested { request, after, limit });
             }
             RuntimeEvent::Status { reply } => {
                 let _ = reply.send(self.node.status(self.clock.now()));
@@ -198,7 +198,9 @@
             RuntimeEvent::RedirectTarget { bytes, reply } => {
                 let _ = reply.send(self.node.redirect_target(bytes));
             }
-            RuntimeEvent::PlatformMoved { address } => self.platform = self.platform.moved(address),
+            RuntimeEvent::PlatformAddressChanged { address } => {
+                self.platform = self.platform.with_address(address)
+            }
             RuntimeEvent::ConfirmedConfiguration { reply } => {
                 self.configuration_replies.insert(request, reply);
                 self.handle(Event::ConfigurationRequested { request });
@@ -228,7 +230,7 @@
         let category = cost_category(&event);
         let started_at = Instant::now();
         self.process(event);
-        self.costs.spent(category, started_at.elapsed());
+        self.costs.record_time(category, started_at.elapsed());
     }
 
     fn process(&mut self, event: Event) {
@@ -257,11 +259,11 @@
                 };
                 match envelope.frame() {
                     Some(bytes) => {
-                        self.costs.sent(name, bytes.len(), self.node.is_local_address(address));
+                        self.costs.record_sent(name, bytes.len(), self.node.is_local_address(address));
                         self.links.send(address, OutgoingFrame { bytes, priority, created_at, valid_until });
                     }
                     None => {
-                        log::error!(target: LOG_TARGET, "a {name} message is over the frame limit and was dropped")
+                        log::error!(target: LOG_TARGET, "dropped a {name} message that exceeds the frame limit")
                     }
                 }
             }
@@ -355,21 +357,21 @@
                 }
             }
             Action::ConfigurationApplied { generation, configuration, deltas } => {
-                log::info!(target: LOG_TARGET, "configuration generation {generation} holds");
+                log::info!(target: LOG_TARGET, "configuration generation {generation} is in force");
                 self.gateway.apply_changed_configuration(generation, &configuration, &deltas);
             }
             Action::InstanceHosts { hosts } => self.gateway.set_instance_hosts(hosts),
-            Action::ChangeAnswered { request, outcome, .. } => {
+            Action::ChangeCompleted { request, outcome, .. } => {
                 if let Some(reply) = self.change_replies.remove(&request) {
                     let _ = reply.send(outcome);
                 }
             }
-            Action::ConfigurationAnswered { request, response } => {
+            Action::ConfigurationRead { request, response } => {
                 if let Some(reply) = self.configuration_replies.remove(&request) {
                     let _ = reply.send(response);
                 }
             }
-            Action::DecisionsAnswered { request, lines, cursor } => {
+            Action::DecisionsRead { request, lines, cursor } => {
                 if let Some(reply) = self.decision_replies.remove(&request) {
                     let _ = reply.send(DecisionsReply { lines, cursor });
                 }
--- a/packages/vanelane/src/run_node.rs
+++ b/packages/vanelane/src/run_node.rs
@@ -58,7 +58,7 @@
     /// The operator pages and the readiness page.
     pub pages: Rc<dyn OperatorPages>,
     /// Reads the settings again.
-    pub reread: Rc<dyn Fn() -> Result<Settings, Vec<SettingsReason>>>,
+    pub read_settings: Rc<dyn Fn() -> Result<Settings, Vec<SettingsReason>>>,
     /// The settings file, watched for changes; `None` if there is none.
     pub settings_path: Option<PathBuf>,
 }
@@ -79,7 +79,7 @@
         header_conventions: HeaderConventions::default(),
         platform: Rc::new(PlatformClient::new(platform_address)),
         pages: Rc::new(ControlPages),
-        reread: Rc::new(move || settings::read(&run)),
+        read_settings: Rc::new(move || settings::read(&run)),
         settings_path,
     })
 }
@@ -190,7 +190,7 @@
     let own_address = Address::from(settings.peer_address);
     let node_settings = node_settings(&settings, own_address);
     let own_node = node_settings.node;
-    log::info!("node {own_node:016x} starts at {}", settings.peer_address);
+    log::info!("starting node {own_node:016x} at peer address {}", settings.peer_address);
     let mut runtime = ProtocolRuntime {
         node: Node::new(node_settings, disk, clock.now()),
         clock,
@@ -472,7 +472,7 @@
     loop {
         let file_changed = async {
             match &integration.settings_path {
-                Some(path) => settings_watch::changed(path, &mut known_bytes).await,
+                Some(path) => settings_watch::wait_for_change(path, &mut known_bytes).await,
                 None => std::future::pending().await,
             }
         };
@@ -485,7 +485,7 @@
         reload(&integration, &stop.inbox, &log_handle).await;
     }
     let began = Instant::now();
-    log::info!("stopping: leases are released and calls finished");
+    log::info!("stopping: releasing leases and completing open calls");
     // Set directly and not by the event, which may wait in the long inbox of a busy node.
     stop.flags.draining.store(true, Ordering::Relaxed);
     stop.gateway.begin_stop(stop.stop_within);
@@ -524,7 +524,7 @@
     inbox: &mpsc::Sender<RuntimeEvent>,
     log_handle: &log4rs::Handle,
 ) {
-    let settings = match (integration.reread)() {
+    let settings = match (integration.read_settings)() {
         Ok(settings) => settings,
         Err(reasons) => {
             let reason_texts: Vec<String> =
@@ -535,12 +535,12 @@
     };
     let seeds = settings.seeds.iter().map(|seed| Address::from(*seed)).collect();
     let _ = inbox.send(RuntimeEvent::Protocol(Event::SeedsChanged { seeds })).await;
-    let _ = inbox.send(RuntimeEvent::PlatformMoved { address: settings.platform_address }).await;
+    let _ = inbox.send(RuntimeEvent::PlatformAddressChanged { address: settings.platform_address }).await;
     let logging = logging_config(settings.log_level);
     if let Ok(logging) = logging {
         log_handle.set_config(logging);
     }
     log::info!(
-        "settings reloaded: seeds, platform_address and log_level hold now, the others from the next start"
+        "settings reloaded: seeds, platform_address and log_level are in effect; other settings need a restart"
     );
 }
--- a/packages/vanelane/src/settings.rs
+++ b/packages/vanelane/src/settings.rs
@@ -75,7 +75,7 @@
     log_level: String,
 }
 
-/// Checked settings. Example: `checked(SettingsFile::default()).unwrap_err()[0].0 == "zone"`.
+/// Checked settings. Example: `validate(SettingsFile::default()).unwrap_err()[0].0 == "zone"`.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub fleet: String,
@@ -191,7 +191,7 @@
             Err(_) => reasons.push(("acts_per_second", format!("{text} is no number"))),
         }
     }
-    match checked(file) {
+    match validate(file) {
         Ok(settings) if reasons.is_empty() => Ok(settings),
         Ok(_) => Err(reasons),
         Err(check_reasons) => {
@@ -274,8 +274,8 @@
     }
 }
 
-/// Checks every field and returns all reasons. Example: `checked(file).map_err(print_all)`.
-pub fn checked(file: SettingsFile) -> Result<Settings, Vec<SettingsReason>> {
+/// Checks every field and returns all reasons. Example: `validate(file).map_err(print_all)`.
+pub fn validate(file: SettingsFile) -> Result<Settings, Vec<SettingsReason>> {
     let mut checker = Checker { reasons: Vec::new() };
     let zone = checker.text("zone", file.zone, None);
     let fleet = checker.text("fleet", file.fleet, Some("vanelane"));
--- a/packages/vanelane/src/settings/tests.rs
+++ b/packages/vanelane/src/settings/tests.rs
@@ -10,14 +10,14 @@
         platform_address = "127.0.0.1:9000"
     "#;
     let parse = |text: &str| toml::from_str::<SettingsFile>(text).expect("TOML");
-    assert!(checked(parse(sound)).is_ok());
+    assert!(validate(parse(sound)).is_ok());
     let broken = format!(
         "{sound}\nseeds = [\"nowhere\"]\nlease_millis = 10\nlog_level = \"loud\"\nfounding_disks = 0\n"
     );
     let fields: Vec<&str> =
-        checked(parse(&broken)).expect_err("refused").into_iter().map(|(field, _)| field).collect();
+        validate(parse(&broken)).expect_err("refused").into_iter().map(|(field, _)| field).collect();
     assert_eq!(fields, ["seeds", "log_level", "lease_millis", "renewal_millis", "founding_disks"]);
-    assert_eq!(checked(SettingsFile::default()).expect_err("refused").len(), 5);
+    assert_eq!(validate(SettingsFile::default()).expect_err("refused").len(), 5);
     assert!(toml::from_str::<SettingsFile>("zoen = \"a\"").is_err());
 }
 
@@ -31,7 +31,7 @@
             colleague_address = "127.0.0.1:8082"
             platform_address = "127.0.0.1:9000"
         "#;
-        checked(toml::from_str::<SettingsFile>(&format!("{sound}\n{more}")).expect("TOML"))
+        validate(toml::from_str::<SettingsFile>(&format!("{sound}\n{more}")).expect("TOML"))
     };
     assert_eq!(parse("").expect("sound").usage, None);
     let usage = parse("usage_window_seconds = 5.0").expect("sound").usage.expect("named");
--- a/packages/vanelane/src/settings_watch.rs
+++ b/packages/vanelane/src/settings_watch.rs
@@ -7,7 +7,7 @@
 
 /// Returns once the file's bytes differ from `known`, which then holds the new ones. A file that cannot be
 /// read counts as unchanged.
-pub async fn changed(path: &Path, known: &mut Vec<u8>) {
+pub async fn wait_for_change(path: &Path, known: &mut Vec<u8>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         if let Ok(bytes) = std::fs::read(path)
