--- a/packages/function_scheduler/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reserves memory on each worker for functions without an instance. Memory held by a group above its
-    /// share is only available seconds after its instances were asked to stop.
+    /// share is only available seconds after its instances began to stop.
     /// Example: `placement.set_reserve(128)`.
     pub fn set_reserve(&mut self, reserve_mb: u64) {
         self.reserve_mb = reserve_mb;
--- a/packages/function_scheduler/src/scheduler.rs
+++ b/packages/function_scheduler/src/scheduler.rs
@@ -114,7 +114,7 @@
 pub enum SchedulerAction {
     /// Send the requester its permit; `is_remote` if the instance runs in another zone than the requester.
     Grant { requester: NodeId, request_id: u64, permit: Permit, is_remote: bool },
-    /// Tell the requester that its request is queued or refused.
+    /// Notify the requester that its request is queued or refused.
     Defer {
         requester: NodeId,
         request_id: u64,
@@ -613,7 +613,7 @@
         }
     }
 
-    /// Makes room in a full queue by evicting a request; `false` if the newcomer is refused instead.
+    /// Makes room in a full queue by evicting a request; `false` if the new request is refused instead.
     fn make_room(&mut self, newcomer: &QueuedRequest) -> bool {
         if self.open.len() >= OPEN_LIMIT {
             return false;
--- a/packages/function_scheduler/src/scheduler/fair_order.rs
+++ b/packages/function_scheduler/src/scheduler/fair_order.rs
@@ -103,7 +103,7 @@
         order
     }
 
-    /// The index of the request that a newcomer to a full queue replaces, or `None` if the newcomer is
+    /// The index of the request that a new request replaces in a full queue, or `None` if the newcomer is
     /// refused. A request of a lower class is replaced; within the class it is, once in
     /// [`NEWCOMERS_PER_REPLACEMENT`] times, the newest request of the tenant with the most queued requests.
     pub(super) fn replaced_by(
--- a/packages/function_scheduler/src/scheduler/tests.rs
+++ b/packages/function_scheduler/src/scheduler/tests.rs
@@ -690,7 +690,7 @@
     }
     request_as(&mut scheduler, 200, (2, 0));
     assert_eq!(full_refusals(&mut scheduler), [104]);
-    // A newcomer of the large tenant is refused as before, and so are three of four others.
+    // A new request of the large tenant is refused as before, and so are three of four others.
     request_as(&mut scheduler, 105, (1, 0));
     assert_eq!(full_refusals(&mut scheduler), [105]);
     for request_id in 201..204 {
--- a/packages/function_scheduler/src/zone.rs
+++ b/packages/function_scheduler/src/zone.rs
@@ -57,7 +57,7 @@
         self.counts.iter().map(|(zone, count)| (*zone, count / total)).collect()
     }
 
-    /// The shares of the named zones, largest first; empty if no call came from a named zone.
+    /// The shares of the named zones, largest first; empty if no call arrived from a named zone.
     /// Example: `calls.largest_shares() == [0.75, 0.25]`.
     pub fn largest_shares(&self) -> Vec<f64> {
         let named = self.shares().into_iter().filter(|(zone, _)| *zone != Zone::default());
--- a/packages/gateway/src/call_state_machine.rs
+++ b/packages/gateway/src/call_state_machine.rs
@@ -31,16 +31,16 @@
     Received as "Received" => [Matched, Refused],
     /// A route matches, and the call's deadline is set.
     Matched as "Matched" => [PermitRequested, Refused],
-    /// The leader or a fallback is asked for a permit; a newer configuration generation may match the call
-    /// again.
+    /// A permit is requested from the leader or a fallback; a newer configuration generation may match the
+    /// call again.
     PermitRequested as "TicketAsked" => [Matched, Dispatched, Refused, Unknown],
     /// Bytes may reach an instance.
     Dispatched as "Dispatched" => [PermitRequested, Answered, Refused, Unknown],
     /// An instance's response goes to the client.
     Answered as "Answered" => [],
-    /// The client is told that the call did not run.
+    /// The response states that the call did not run.
     Refused as "Refused" => [],
-    /// The client is told that the outcome is unknown.
+    /// The response states that the outcome is unknown.
     Unknown as "Unknown" => [],
 }
 
@@ -83,7 +83,7 @@
     MatchAgain,
     /// The response goes to the client.
     Response,
-    /// The call is given up, in this final state.
+    /// The call is abandoned, in this final state.
     GiveUp(CallState),
 }
 
@@ -187,7 +187,7 @@
         NextStep::RequestAgain
     }
 
-    /// Gives up the call: it is refused if it certainly did not run, and of unknown outcome otherwise.
+    /// Abandons the call: it is refused if it certainly did not run, and of unknown outcome otherwise.
     /// Example: `state_machine.give_up() == CallState::Refused` before any dispatch.
     pub fn give_up(&mut self) -> CallState {
         let final_state = if self.may_have_run { CallState::Unknown } else { CallState::Refused };
--- a/packages/gateway/src/gateway.rs
+++ b/packages/gateway/src/gateway.rs
@@ -285,7 +285,7 @@
     }
 
     /// Sets whether the node's routes and keys may be outdated. While they may, a call that they do not admit
-    /// is asked to retry later rather than refused for good. Example: `gateway.set_routes_suspect(true)`.
+    /// is refused with a request to retry later. Example: `gateway.set_routes_suspect(true)`.
     pub fn set_routes_suspect(&self, is_suspected: bool) {
         self.suspects_routes.store(is_suspected, Ordering::Relaxed);
     }
@@ -436,7 +436,7 @@
 
     /// The refusal of a call that the routes do not admit. It names no key.
     fn denial_refusal(&self, denial: Denial, routes: &RouteTable) -> Refusal {
-        // Before this process has a configuration it knows no routes, and cannot tell that none matches.
+        // Before this process has a configuration it knows no routes, so it cannot conclude that none matches.
         let has_no_configuration =
             routes.generation == 0 && self.awaits_configuration.load(Ordering::Relaxed);
         if denial == Denial::NoRoute && has_no_configuration {
@@ -495,7 +495,7 @@
         }
     }
 
-    /// Requests permits and dispatches until the call is answered or given up.
+    /// Requests permits and dispatches until the call is answered or abandoned.
     #[allow(clippy::too_many_arguments)]
     async fn dispatch_with_retries(
         self: &Arc<Self>,
--- a/packages/gateway/src/header_conventions.rs
+++ b/packages/gateway/src/header_conventions.rs
@@ -11,15 +11,15 @@
     pub instance: HeaderName,
     /// Names the function a dispatch is meant for.
     pub function: Option<HeaderName>,
-    /// Tells clients how their call ended: `ran`, `not_run` or `unknown`.
+    /// Reports to clients how their call ended: `ran`, `not_run` or `unknown`.
     pub outcome: Option<HeaderName>,
-    /// Says in an instance's response that it did not run the call; with this value, or with any.
+    /// States in an instance's response that it did not run the call; with this value, or with any.
     pub not_run: (HeaderName, Option<&'static str>),
     /// Identifies the call; instances send it back, so that a response to another call is recognized.
     pub call_id: Option<HeaderName>,
     /// Carries the client's API key, where calls may carry one. It is never forwarded to an instance.
     pub api_key: Option<HeaderName>,
-    /// Tells the instance the tenant of the call. What clients send in it is ignored and never forwarded.
+    /// Names the tenant of the call to the instance. What clients send in it is ignored and never forwarded.
     pub tenant: Option<HeaderName>,
     /// Whether the client's address is appended to `X-Forwarded-For`.
     pub forwarded_for: bool,
--- a/packages/gateway/src/instance_dispatch.rs
+++ b/packages/gateway/src/instance_dispatch.rs
@@ -360,8 +360,8 @@
 }
 
 /// How long the connection may be kept: 70 % of what the instance declares, since the two sides start
-/// counting at different times; `default_idle_timeout` without a declaration; not at all when the instance closes
-/// the connection.
+/// counting at different times; `default_idle_timeout` without a declaration; not at all when the instance
+/// closes the connection.
 fn idle_span(head: &ResponseHead, settings: &DispatchSettings) -> Duration {
     let closes = head.headers.get(header::CONNECTION).is_some_and(|value| {
         value.to_str().is_ok_and(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case("close")))
--- a/packages/gateway/src/lib.rs
+++ b/packages/gateway/src/lib.rs
@@ -33,5 +33,5 @@
 pub const INSTANCE_HEADER: &str = "x-vanelane-cell";
 /// The header that carries a client's API key; it is never forwarded to an instance.
 pub const API_KEY_HEADER: &str = "x-vanelane-api-key";
-/// The header that tells an instance the tenant of the call.
+/// The header that names the tenant of the call to an instance.
 pub const TENANT_HEADER: &str = "x-vanelane-tenant";
--- a/packages/gateway/tests/gateway_calls.rs
+++ b/packages/gateway/tests/gateway_calls.rs
@@ -459,7 +459,7 @@
                 "a call that may not run twice is left to run to its end"
             );
             assert_eq!(gateway.open_calls(), 0);
-            // The slot at the instance stays occupied for a while: nothing tells whether the work stopped.
+            // The slot at the instance stays occupied for a while: nothing shows whether the work stopped.
             let returned = received.lock().expect("the mutex is not poisoned").returned.clone();
             assert_eq!(returned.len(), usize::from(is_repeatable));
             assert!(!returned.contains(&UNUSED));
--- a/packages/gateway/tests/tenant_keys.rs
+++ b/packages/gateway/tests/tenant_keys.rs
@@ -1,4 +1,4 @@
-//! Tenants' API keys at the gateway: which calls are admitted, what instances are told, and that keys are
+//! Tenants' API keys at the gateway: which calls are admitted, what instances receive, and that keys are
 //! sent nowhere else.
 
 mod key_bench;
@@ -428,7 +428,7 @@
 /// Guards against violations of CONFIG: a node that knew of a newer configuration refused calls for good by
 /// its own older one.
 #[test]
-fn a_call_that_suspect_routes_do_not_admit_is_asked_to_retry() {
+fn a_call_not_admitted_by_suspect_routes_may_be_retried_later() {
     run(async {
         let header_names = HeaderNames::PLATFORM;
         let instance = responding_instance();
--- a/packages/node_protocol/src/control_store/disk.rs
+++ b/packages/node_protocol/src/control_store/disk.rs
@@ -219,7 +219,7 @@
     }
 
     /// Marks the disk as failed until it has been rewritten: what the previous process wrote may not be
-    /// synced, and no response tells whether it is.
+    /// synced, and no response shows whether it is.
     pub(crate) fn disk_unsynced(&mut self) {
         let now = self.now;
         let Some(disk) = &mut self.control.disk else { return };
--- a/packages/node_protocol/src/control_store/record_relay.rs
+++ b/packages/node_protocol/src/control_store/record_relay.rs
@@ -16,7 +16,7 @@
 /// How long a node that does not consider itself a relay is skipped.
 const RELAY_SUSPECT_SPAN: Micros = Micros::from_secs(1);
 
-/// An owner heard from directly within this time is not suspected, whatever a relay reports.
+/// An owner that sent this node a message within this time is not suspected, whatever a relay reports.
 const RECENT_CONTACT_SPAN: Micros = Micros::from_millis(600);
 
 /// A leader record as observed by this node, with the change numbers of its last change and of its last
--- a/packages/node_protocol/src/platform_list.rs
+++ b/packages/node_protocol/src/platform_list.rs
@@ -11,7 +11,7 @@
 
 /// A lister that does not respond to a pull within this time is skipped for a while.
 const LISTER_TIMEOUT: Micros = Micros::from_millis(600);
-/// If no peer was heard from within this time after the pull, this node may be isolated and requests the
+/// If no peer sent a message within this time after the pull, this node may be isolated and requests the
 /// list from the platform.
 const NO_CONTACT_TIMEOUT: Micros = Micros::from_millis(300);
 const LISTER_SUSPECT_SPAN: Micros = Micros::from_secs(2);
--- a/packages/node_protocol/src/request_relay/tests.rs
+++ b/packages/node_protocol/src/request_relay/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn response_of_a_node_that_was_not_asked_is_ignored() {
+fn response_of_a_node_without_the_request_is_ignored() {
     let mut relay = RequestRelay::default();
     let relay_id = relay.register(REQUESTER, 12, LEADER, at(4_000), at(0)).expect("the relay is not full");
     assert_eq!(relay.record_response(relay_id, LEADER + 1), None);
