--- a/packages/function_scheduler/src/placement.rs
+++ b/packages/function_scheduler/src/placement.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reserves memory on each worker for functions without an instance. Memory held by a group above its
-    /// share is only available seconds after its instances were asked to stop.
+    /// share is only available seconds after its instances began to stop.
     /// Example: `placement.set_reserve(128)`.
     pub fn set_reserve(&mut self, reserve_mb: u64) {
         self.reserve_mb = reserve_mb;
@@ -139,8 +139,8 @@
 
     /// Records that the worker refused an instance of this size; for a while it is skipped for instances of
     /// that size or larger.
-    /// Example: `placement.refused("w3", 600, now)`.
-    pub fn refused(&mut self, worker_name: &str, memory_mb: u64, now: Micros) {
+    /// Example: `placement.record_refusal("w3", 600, now)`.
+    pub fn record_refusal(&mut self, worker_name: &str, memory_mb: u64, now: Micros) {
         self.full_until.insert(worker_name.to_owned(), (memory_mb, now + FULL_WORKER_BACKOFF));
     }
 }
--- a/packages/gateway/tests/gateway_calls.rs
+++ b/packages/gateway/tests/gateway_calls.rs
@@ -459,7 +459,7 @@
                 "a call that may not run twice is left to run to its end"
             );
             assert_eq!(gateway.open_calls(), 0);
-            // The slot at the instance stays occupied for a while: nothing tells whether the work stopped.
+            // The slot at the instance stays occupied for a while: nothing shows whether the work stopped.
             let returned = received.lock().expect("the mutex is not poisoned").returned.clone();
             assert_eq!(returned.len(), usize::from(is_repeatable));
             assert!(!returned.contains(&UNUSED));
@@ -479,7 +479,7 @@
         let _first = std::net::TcpStream::connect(address).expect("the queue holds one");
         let (protocol_sender, mut messages) = mpsc::channel(64);
         let mut dispatch = keep_alive_settings(platform_conventions());
-        dispatch.connect_within = Duration::from_secs(20);
+        dispatch.connect_timeout = Duration::from_secs(20);
         let gateway = Arc::new(Gateway::new(
             GatewaySettings { dispatch, ..GatewaySettings::default() },
             protocol_sender,
