--- a/packages/gateway/src/gateway/open_calls.rs
+++ b/packages/gateway/src/gateway/open_calls.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The number of calls in one stage. A call leaves the stage when its [`StagePlace`] is dropped.
+/// The number of calls in one stage. A call leaves the stage when its [`StageGuard`] is dropped.
 #[derive(Debug, Default)]
 pub(super) struct StageCount(AtomicUsize);
 
